--- /dev/null
+++ b/core/tests/action_hash/hash.rs
@@ -0,0 +1,165 @@
+//! FNV-1a (64 bits) over the explicit fields of actions and snapshots: neither type names nor log texts count.
+
+use std::time::Duration;
+
+use pipittack_core::failover::Change;
+use pipittack_core::heritage::{Heritage, Stood};
+use pipittack_core::interface::Action;
+
+const FNV_OFFSET: u64 = 0xCBF2_9CE4_8422_2325;
+const FNV_PRIME: u64 = 0x0000_0100_0000_01B3;
+
+const TAG_SEND: u8 = 1;
+const TAG_REJECT: u8 = 2;
+const TAG_FAIL: u8 = 3;
+const TAG_CANCEL: u8 = 4;
+const TAG_HEALTH_CHECK: u8 = 5;
+const TAG_WATCH: u8 = 6;
+const TAG_FETCH: u8 = 7;
+const TAG_CLOSE: u8 = 8;
+const TAG_GOSSIP: u8 = 9;
+const TAG_TIMER: u8 = 10;
+const TAG_LOG: u8 = 11;
+
+/// The running hash.
+#[derive(Debug, Clone)]
+pub struct Hash(u64);
+
+impl Hash {
+    /// The hash of no bytes.
+    pub fn new() -> Self {
+        Self(FNV_OFFSET)
+    }
+
+    /// The value so far.
+    pub fn value(&self) -> u64 {
+        self.0
+    }
+
+    fn byte(&mut self, byte: u8) {
+        self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+    }
+
+    fn number(&mut self, number: u64) {
+        number.to_le_bytes().into_iter().for_each(|byte| self.byte(byte));
+    }
+
+    fn bytes(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        bytes.iter().for_each(|byte| self.byte(*byte));
+    }
+
+    fn float(&mut self, number: f64) {
+        self.number(number.to_bits());
+    }
+
+    fn duration(&mut self, duration: Duration) {
+        self.number(duration.as_nanos() as u64);
+    }
+
+    fn option<T>(&mut self, value: Option<T>, feed: impl FnOnce(&mut Self, T)) {
+        self.byte(u8::from(value.is_some()));
+        if let Some(value) = value {
+            feed(self, value);
+        }
+    }
+
+    /// Adds what one step answered, and when.
+    pub fn step(&mut self, now: Duration, actions: &[Action]) {
+        self.duration(now);
+        self.number(actions.len() as u64);
+        actions.iter().for_each(|action| self.action(action));
+    }
+
+    fn action(&mut self, action: &Action) {
+        match action {
+            Action::Send { request, server, timeout } => {
+                self.byte(TAG_SEND);
+                self.number(request.0);
+                self.number(u64::from(server.0));
+                self.duration(*timeout);
+            }
+            Action::Refuse { request, retry_after } => {
+                self.byte(TAG_REJECT);
+                self.number(request.0);
+                self.option(*retry_after, Self::duration);
+            }
+            Action::Fail { request } => {
+                self.byte(TAG_FAIL);
+                self.number(request.0);
+            }
+            Action::Cancel { request, attempt } => {
+                self.byte(TAG_CANCEL);
+                self.number(request.0);
+                self.number(u64::from(attempt.0));
+            }
+            Action::Tell { to, bytes } => {
+                self.byte(TAG_GOSSIP);
+                self.option(*to, |hash, to| hash.number(u64::from(to)));
+                self.bytes(bytes);
+            }
+            Action::Timer { after, id } => {
+                self.byte(TAG_TIMER);
+                self.duration(*after);
+                self.number(id.0);
+            }
+            other => self.short_action(other),
+        }
+    }
+
+    fn short_action(&mut self, action: &Action) {
+        match action {
+            Action::Probe { server } => {
+                self.byte(TAG_HEALTH_CHECK);
+                self.number(u64::from(server.0));
+            }
+            Action::Close { server } => {
+                self.byte(TAG_CLOSE);
+                self.number(u64::from(server.0));
+            }
+            Action::Watch { on } => {
+                self.byte(TAG_WATCH);
+                self.byte(u8::from(*on));
+            }
+            Action::Fetch => self.byte(TAG_FETCH),
+            Action::Log(_) => self.byte(TAG_LOG),
+            long => unreachable!("hashed in full before: {long:?}"),
+        }
+    }
+
+    /// Adds all figures of a snapshot.
+    pub fn snapshot(&mut self, snapshot: &Heritage) {
+        self.option(snapshot.floor, Self::float);
+        self.number(snapshot.marks.len() as u64);
+        for (session, position) in &snapshot.marks {
+            self.bytes(session.as_bytes());
+            self.float(*position);
+        }
+        self.number(snapshot.servers.len() as u64);
+        snapshot.servers.iter().for_each(|server| self.server(server));
+    }
+
+    fn server(&mut self, server: &Stood) {
+        self.number(u64::from(server.server));
+        self.option(server.position, Self::float);
+        self.float(server.heard);
+        self.byte(u8::from(server.primary));
+        self.option(server.replica_at, Self::float);
+        self.option(server.started, Self::float);
+        self.float(server.budget);
+        self.option(server.window, Self::float);
+        self.option(server.down, |hash, (since, dead)| {
+            hash.float(since);
+            hash.byte(u8::from(dead));
+        });
+        self.number(server.news.epoch);
+        self.byte(u8::from(server.news.deposed));
+        self.option(server.news.change, |hash, (kind, seconds)| {
+            hash.byte(match kind {
+                Change::Planned => 1,
+                Change::Unplanned => 2,
+            });
+            hash.float(seconds);
+        });
+    }
+}
