--- a/src/listing.rs
+++ b/src/listing.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 /// A list, or changes to it, as the service words them.
-#[derive(Debug, Clone, Serialize, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
     /// Version of the list.
     pub rev: u64,
@@ -20,7 +20,7 @@
 }
 
 /// An entry of the list. What a reader can do without may be absent.
-#[derive(Debug, Clone, Serialize, Deserialize)]
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Target {
     /// The server's name, the same at every proxy and over restarts.
     pub uid: String,
--- a/src/net/parcel.rs
+++ b/src/net/parcel.rs
@@ -110,7 +110,7 @@
 }
 
 /// What a process knows when its successor comes.
-#[derive(Debug, Clone, Default, Serialize, Deserialize)]
+#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct State {
     version: u32,
@@ -420,3 +420,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/twin.rs
+++ b/src/net/twin.rs
@@ -30,7 +30,7 @@
 const WORD_MOST: usize = 16 * 1024;
 
 /// A word as it goes over the channel.
-#[derive(Debug, Serialize, Deserialize)]
+#[derive(Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum Said {
     Wrote {
@@ -160,3 +160,6 @@
         self.wakes.abort();
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/tests/handover_format.rs
@@ -0,0 +1,307 @@
+//! Recorded bytes of what outlives a process: the files in the state directory with their names, and the snapshot that
+//! a predecessor passes to its successor in a hot restart.
+
+use std::fmt::Debug;
+use std::fs;
+use std::io::{Read, Write};
+use std::os::unix::fs::FileTypeExt;
+use std::os::unix::net::{UnixListener, UnixStream};
+use std::path::{Path, PathBuf};
+
+use pipittack::listing::{Listing, Target};
+use pipittack::net::ops::Bans;
+use pipittack_core::failover::{Change, News};
+use pipittack_core::heritage::{Heritage, Stood};
+use rstest::rstest;
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+
+use support::{folder, launch, until, Proxy, PATIENCE};
+
+mod support;
+
+const OUT_OF_SERVICE: &str = include_str!("fixtures/handover/servers_out_of_service.json");
+const SNAPSHOT_FULL: &str = include_str!("fixtures/handover/routing_snapshot_full.json");
+const SNAPSHOT_EMPTY: &str = include_str!("fixtures/handover/routing_snapshot_empty.json");
+const SERVER_FULL: &str = include_str!("fixtures/handover/server_full.json");
+const SERVER_EMPTY: &str = include_str!("fixtures/handover/server_empty.json");
+const LIST_FULL: &str = include_str!("fixtures/handover/endpoint_list_full.json");
+
+/// Bytes of a frame before its content: kind, length, checksum.
+const HEADER_LEN: usize = 9;
+/// The greeting of a successor, as a frame.
+const GREETING: &[u8] = b"G\0\0\0\x19\xc9\x70\x14\xea{\"version\":2,\"name\":\"n0\"}";
+
+fn assert_recorded<T: Serialize + DeserializeOwned + PartialEq + Debug>(recorded: &str, value: &T) {
+    assert_eq!(serde_json::from_str::<T>(recorded).expect("it is read"), *value);
+    assert_eq!(serde_json::to_string(value).expect("it serialises"), recorded);
+}
+
+fn full_server() -> Stood {
+    Stood {
+        server: 7,
+        position: Some(99.25),
+        heard: 100.5,
+        primary: true,
+        replica_at: Some(12.0),
+        started: Some(3.5),
+        budget: 0.125,
+        window: Some(32.0),
+        down: Some((98.0, true)),
+        news: News { epoch: 3, deposed: true, change: Some((Change::Unplanned, 1.5)) },
+    }
+}
+
+fn full_snapshot() -> Heritage {
+    let bare = Stood { server: 4_000_000_000, ..Stood::default() };
+    let marks = vec![("basket-7".to_owned(), 99.0), ("\u{e9}\"".to_owned(), 1e-7)];
+    Heritage { floor: Some(90.75), marks, servers: vec![full_server(), bare] }
+}
+
+#[test]
+fn snapshot_of_985872a_is_read_and_written_byte_for_byte() {
+    assert_recorded(SNAPSHOT_FULL, &full_snapshot());
+    assert_recorded(SNAPSHOT_EMPTY, &Heritage::default());
+}
+
+#[test]
+fn server_snapshot_of_985872a_is_read_and_written_byte_for_byte() {
+    assert_recorded(SERVER_FULL, &full_server());
+    assert_recorded(SERVER_EMPTY, &Stood::default());
+}
+
+#[rstest]
+#[case::planned(Change::Planned, r#""planned""#)]
+#[case::unplanned(Change::Unplanned, r#""unplanned""#)]
+fn primary_change_of_985872a_is_read_and_written_byte_for_byte(
+    #[case] change: Change,
+    #[case] recorded: &str,
+) {
+    assert_recorded(recorded, &change);
+    let news = News { epoch: u64::MAX, deposed: false, change: Some((change, 0.5)) };
+    let recorded = format!(r#"{{"epoch":18446744073709551615,"deposed":false,"change":[{recorded},0.5]}}"#);
+    assert_recorded(&recorded, &news);
+}
+
+#[test]
+fn replica_set_snapshot_without_a_change_is_read_and_written_byte_for_byte() {
+    assert_recorded(r#"{"epoch":0,"deposed":false,"change":null}"#, &News::default());
+}
+
+#[test]
+fn unknown_fields_of_a_snapshot_are_ignored() {
+    let snapshot = SNAPSHOT_FULL.replace(r#"{"server""#, r#"{"later":{},"server""#);
+    let snapshot = snapshot.replace(r#"{"floor""#, r#"{"later":1,"floor""#);
+    let snapshot = snapshot.replace(r#"{"epoch""#, r#"{"later":[],"epoch""#);
+    assert_eq!(snapshot.matches("later").count(), 5);
+    assert_eq!(serde_json::from_str::<Heritage>(&snapshot).expect("it is read"), full_snapshot());
+}
+
+#[test]
+fn absent_fields_of_a_snapshot_are_defaults() {
+    assert_eq!(serde_json::from_str::<Heritage>("{}").expect("it is read"), Heritage::default());
+    assert_eq!(serde_json::from_str::<Stood>("{}").expect("it is read"), Stood::default());
+    let news = serde_json::from_str::<News>(r#"{"epoch":0,"deposed":false}"#);
+    assert_eq!(news.expect("it is read"), News::default());
+}
+
+#[rstest]
+#[case::no_epoch(r#"{"deposed":false}"#)]
+#[case::no_deposed(r#"{"epoch":1}"#)]
+#[case::unknown_change(r#"{"epoch":1,"deposed":false,"change":["later",0.5]}"#)]
+fn incomplete_replica_set_snapshots_are_refused(#[case] content: &str) {
+    assert!(serde_json::from_str::<News>(content).is_err());
+}
+
+fn full_list() -> Listing {
+    let full = Target {
+        uid: "store-a".to_owned(),
+        endpoint: "10.0.0.1:5432".parse().expect("an address"),
+        az: "eu-1a".to_owned(),
+        model: "m5".to_owned(),
+        pod_group: 2,
+        state: "Ready".to_owned(),
+        capacity_hint: Some(1.5),
+        boot_ms: 1_767_225_000_000.0,
+        mode: Some("read-write".to_owned()),
+    };
+    Listing { rev: 41, all: true, targets: vec![full, bare_endpoint()] }
+}
+
+fn bare_endpoint() -> Target {
+    Target {
+        uid: "store-b".to_owned(),
+        endpoint: "[::1]:5433".parse().expect("an address"),
+        az: String::new(),
+        model: String::new(),
+        pod_group: 0,
+        state: "Gone".to_owned(),
+        capacity_hint: None,
+        boot_ms: 0.0,
+        mode: None,
+    }
+}
+
+#[test]
+fn endpoint_list_of_985872a_is_read_and_written_byte_for_byte() {
+    assert_recorded(LIST_FULL, &full_list());
+}
+
+#[test]
+fn absent_and_unknown_fields_of_an_endpoint_list_are_read() {
+    let list = r#"{"rev":5,"later":0,"targets":[{"uid":"store-b","endpoint":"[::1]:5433","state":"Gone","later":0}]}"#;
+    let list: Listing = serde_json::from_str(list).expect("it is read");
+    assert_eq!(list, Listing { rev: 5, all: false, targets: vec![bare_endpoint()] });
+}
+
+#[rstest]
+#[case::no_revision(r#"{"all":true,"targets":[]}"#)]
+#[case::no_name(r#"{"rev":1,"targets":[{"endpoint":"[::1]:5433","state":"Gone"}]}"#)]
+#[case::no_address(r#"{"rev":1,"targets":[{"uid":"a","state":"Gone"}]}"#)]
+#[case::no_state(r#"{"rev":1,"targets":[{"uid":"a","endpoint":"[::1]:5433"}]}"#)]
+fn incomplete_endpoint_lists_are_refused(#[case] content: &str) {
+    assert!(serde_json::from_str::<Listing>(content).is_err());
+}
+
+/// A file in an empty folder of its own, with this content.
+fn stored(test: &str, content: &str) -> PathBuf {
+    let folder = folder(test);
+    let file = folder.join("pipittack-n0-127.0.0.1:0.json");
+    fs::write(&file, content).expect("a writable folder");
+    file
+}
+
+fn names_in(folder: &Path) -> Vec<String> {
+    let entries = fs::read_dir(folder).expect("a folder");
+    let name = |entry: fs::DirEntry| entry.file_name().into_string().expect("UTF-8");
+    let mut names: Vec<_> = entries.map(|entry| name(entry.expect("an entry"))).collect();
+    names.sort();
+    names
+}
+
+/// The servers that the recorded file takes out of service, in its order.
+fn recorded_servers() -> [(String, bool); 2] {
+    [("store-a".to_owned(), true), ("\u{e9} \"b\"".to_owned(), true)]
+}
+
+#[test]
+fn servers_out_of_service_of_985872a_are_read_and_written_byte_for_byte() {
+    let file = stored("out-of-service", OUT_OF_SERVICE);
+    let servers = Bans::new(Some(file.clone()));
+    assert_eq!(servers.look().expect("it is read"), recorded_servers());
+    fs::remove_file(&file).expect("it is there");
+    servers.set("store-a", true).expect("it is written");
+    assert_eq!(fs::read_to_string(&file).expect("it is there"), OUT_OF_SERVICE);
+    assert_eq!(names_in(file.parent().expect("a folder")), ["pipittack-n0-127.0.0.1:0.json"]);
+}
+
+#[test]
+fn no_server_out_of_service_is_written_as_an_empty_list() {
+    let file = stored("none-out-of-service", r#"{"offline":["store-a"]}"#);
+    let servers = Bans::new(Some(file.clone()));
+    servers.set("store-a", false).expect("it is written");
+    assert_eq!(fs::read_to_string(&file).expect("it is there"), r#"{"offline":[]}"#);
+}
+
+#[test]
+fn unknown_fields_of_servers_out_of_service_are_ignored_and_dropped() {
+    let file = stored("unknown-out-of-service", r#"{"later":{},"offline":["store-a"]}"#);
+    let servers = Bans::new(Some(file.clone()));
+    assert_eq!(servers.look().expect("it is read"), [("store-a".to_owned(), true)]);
+    servers.set("store-b", true).expect("it is written");
+    assert_eq!(fs::read_to_string(&file).expect("it is there"), r#"{"offline":["store-a","store-b"]}"#);
+}
+
+#[rstest]
+#[case::no_list("no-list", "{}")]
+#[case::empty("empty", "")]
+fn incomplete_servers_out_of_service_are_refused(#[case] test: &str, #[case] content: &str) {
+    let file = stored(test, content);
+    let servers = Bans::new(Some(file.clone()));
+    assert!(servers.look().is_err());
+    assert!(servers.set("store-a", true).is_err());
+    assert_eq!(fs::read_to_string(&file).expect("it is there"), content);
+}
+
+/// A directory where the new file would be written first shows under which name that is.
+#[test]
+fn servers_out_of_service_are_written_to_a_new_file_first() {
+    let file = stored("new-file", OUT_OF_SERVICE);
+    let new = file.with_file_name(format!("pipittack-n0-127.0.0.1:0.new-{}", std::process::id()));
+    fs::create_dir_all(&new).expect("a writable folder");
+    let servers = Bans::new(Some(file.clone()));
+    assert!(servers.set("store-b", true).is_err());
+    fs::remove_dir(&new).expect("it is empty");
+    assert!(servers.set("store-b", true).is_ok());
+}
+
+fn start(folder: &Path) -> Proxy {
+    launch(include_str!("../examples/config.json"), &[], Some(folder))
+}
+
+fn is_socket(path: &Path) -> bool {
+    fs::metadata(path).is_ok_and(|file| file.file_type().is_socket())
+}
+
+/// Reads a frame's header and its content.
+fn read_frame(stream: &mut UnixStream) -> (u8, Vec<u8>) {
+    let mut header = [0; HEADER_LEN];
+    stream.read_exact(&mut header).expect("a header");
+    let length = u32::from_be_bytes([header[1], header[2], header[3], header[4]]);
+    let mut content = vec![0; length as usize];
+    stream.read_exact(&mut content).expect("the content");
+    (header[0], content)
+}
+
+fn with_timeout(stream: UnixStream) -> UnixStream {
+    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream
+}
+
+#[test]
+fn successor_of_985872a_is_served_at_the_recorded_socket() {
+    let folder = folder("successor");
+    let _proxy = start(&folder);
+    let socket = folder.join("pipittack-n0-127.0.0.1:0.2.sock");
+    until("the socket is there", || is_socket(&socket));
+    assert_eq!(names_in(&folder), ["pipittack-n0-127.0.0.1:0.2.sock"]);
+    let mut successor = with_timeout(UnixStream::connect(&socket).expect("it listens"));
+    successor.write_all(GREETING).expect("it reads");
+    assert_eq!(read_frame(&mut successor), (b'D', Vec::new()));
+    assert_eq!(read_frame(&mut successor), (b'W', Vec::new()));
+    let (kind, snapshot) = read_frame(&mut successor);
+    assert_eq!(kind, b'S');
+    assert!(snapshot.starts_with(br#"{"version":2,"zero_unix_ms":"#));
+    successor.write_all(b"R\0\0\0\0\0\0\0\0").expect("it reads");
+    let (kind, limit) = read_frame(&mut successor);
+    assert_eq!((kind, limit.len()), (b'P', 4));
+}
+
+/// The first connection, within the tests' time limit.
+fn accept(listener: &UnixListener) -> UnixStream {
+    listener.set_nonblocking(true).expect("a socket");
+    let mut accepted = None;
+    until("a successor connects", || {
+        accepted = listener.accept().ok();
+        accepted.is_some()
+    });
+    let (stream, _) = accepted.expect("it connected");
+    stream.set_nonblocking(false).expect("a socket");
+    stream
+}
+
+#[rstest]
+#[case::present("2.sock", GREETING)]
+#[case::early("sock", b"")]
+fn predecessor_of_985872a_is_asked_at_the_recorded_socket(#[case] ending: &str, #[case] asked: &[u8]) {
+    let folder = folder(&format!("asked-{ending}"));
+    let socket = folder.join(format!("pipittack-n0-127.0.0.1:0.{ending}"));
+    let _ = fs::remove_file(&socket); // left by an earlier run with this process id
+    let predecessor = UnixListener::bind(&socket).expect("a free path");
+    let proxy = std::thread::spawn(move || start(&folder));
+    let stream = accept(&predecessor);
+    let mut bytes = vec![0; asked.len()];
+    with_timeout(stream).read_exact(&mut bytes).expect("a greeting");
+    assert_eq!(bytes, asked);
+    drop(proxy.join().expect("it serves by itself"));
+}
