--- /dev/null
+++ b/core/src/api/mod.rs
@@ -0,0 +1,33 @@
+//! The routing engine's API: its settings, the events that it is fed and the actions that it answers with.
+//!
+//! Times are [`Duration`](std::time::Duration)s on the caller's own clock, whose zero is the caller's choice.
+//! Classes, zones, tenants and machine kinds are indices into the caller's own tables; no names occur here.
+
+mod action;
+mod attempt;
+mod class;
+mod endpoint;
+mod event;
+mod failover_settings;
+mod ids;
+mod peer_message;
+mod request;
+mod settings;
+mod snapshot;
+
+pub use action::Action;
+pub use attempt::{AttemptEnded, LoadReport, Outcome, ServerStatus};
+pub use class::{Class, Consistency, Idempotency, KeyScope, Tenant};
+pub use endpoint::{Endpoint, EndpointState, EndpointUpdate};
+pub use event::Event;
+pub use failover_settings::{FailoverSettings, InvalidFailoverSetting};
+pub use ids::{
+    AttemptId, AttemptNumber, ClassId, GroupId, MachineKindId, RequestId, ServerId, TenantId, TimerId, ZoneId,
+};
+pub use peer_message::PeerMessage;
+pub use request::Request;
+pub use settings::{
+    DiscoveryMode, Limits, ListedRole, LoadReports, Prices, ServiceRules, SessionTokens, Settings,
+    SettingsError, StaleReadPolicy,
+};
+pub use snapshot::{FailoverKind, ReplicaSetSnapshot, ServerSnapshot, StateSnapshot};
--- a/core/src/window.rs
+++ b/core/src/concurrency_limit.rs
@@ -1,13 +1,13 @@
 //! A server's window: how many attempts this gateway has in flight there at the most.
 //!
-//! Owns the parabola that is fitted to throughput over concurrency and the period in which it learns. It must never
-//! count what is in flight, which its server's books do, and never choose a server.
+//! Owns the parabola that is fitted to throughput over concurrency and the period in which it learns. It must
+//! never count what is in flight, which its server's books do, and never choose a server.
 
 use std::collections::BTreeMap;
 
-pub(crate) const WINDOW_START: f64 = 16.0; // in-flight, over all gateways; a few a core of a small server
-pub(crate) const WINDOW_LEAST: f64 = 2.0; // in-flight; the design's floor
-const WINDOW_MOST: f64 = 64.0; // in-flight; cm_max
+pub(crate) const INITIAL_LIMIT: f64 = 16.0; // in-flight, over all gateways; a few a core of a small server
+pub(crate) const MIN_LIMIT: f64 = 2.0; // in-flight; the design's floor
+const MAX_LIMIT: f64 = 64.0; // in-flight; cm_max
 const PERIOD_DONE: f64 = 20.0; // completions that make a period worth fitting
 const PERIOD_LEAST: f64 = 1.0; // s
 const PERIOD_MOST: f64 = 4.0; // s; an idle server's period
@@ -19,7 +19,7 @@
 
 /// A server's window: mplmax, and what the present period has shown.
 #[derive(Default)]
-pub(crate) struct Window {
+pub(crate) struct ConcurrencyLimit {
     pub max: f64,
     pub peak: f64,
     pub peaks: Vec<f64>,
@@ -28,21 +28,21 @@
     pub good: f64,
     pub clean: bool,
     pub thrash_to: Option<f64>,
-    pub fit: crate::estimate::Fit,
+    pub fit: crate::throughput_fit::ThroughputFit,
     pub levels: BTreeMap<u32, f64>,
     pub rate: Option<f64>,
 }
 
-impl Window {
+impl ConcurrencyLimit {
     /// `share` is the part of the server's work that comes through this gateway.
     pub fn new(now: f64, share: f64) -> Self {
-        Self::of(now, (WINDOW_START * share).clamp(WINDOW_LEAST, WINDOW_START / 2.0))
+        Self::of(now, (INITIAL_LIMIT * share).clamp(MIN_LIMIT, INITIAL_LIMIT / 2.0))
     }
 
     /// A window of this width, as another process had it.
     pub fn of(now: f64, width: f64) -> Self {
-        let width = if width.is_finite() { width } else { WINDOW_LEAST };
-        let max = width.clamp(WINDOW_LEAST, WINDOW_MOST);
+        let width = if width.is_finite() { width } else { MIN_LIMIT };
+        let max = width.clamp(MIN_LIMIT, MAX_LIMIT);
         Self { max, peaks: vec![max; PEAKS_KEPT], began: now, clean: true, ..Self::default() }
     }
 
@@ -74,12 +74,12 @@
             let best = self.levels.iter().max_by(|a, b| a.1.total_cmp(b.1)).map_or(m, |l| f64::from(*l.0));
             let vertex = self.fit.vertex().filter(|_| self.levels.len() >= LEVELS_NEEDED);
             let opt = vertex.unwrap_or_else(|| if waiting > 0.0 { best.max(self.max) + 1.0 } else { best });
-            let opt = opt.clamp(WINDOW_LEAST, WINDOW_MOST);
+            let opt = opt.clamp(MIN_LIMIT, MAX_LIMIT);
             let current = self.peaks.iter().fold(0.0, |a: f64, b| a.max(*b));
             self.thrash_to = None;
             // Where most answers come late the curve has no peak left to find: that is thrashing as well.
             let opt = if self.good < LATE_SHARE * self.done { opt.min(self.max * 0.75) } else { opt };
-            let opt = opt.max(WINDOW_LEAST);
+            let opt = opt.max(MIN_LIMIT);
             if self.peak >= self.max && self.max > opt {
                 self.thrash_to = Some(opt);
             } else if self.peak >= self.max {
@@ -87,7 +87,7 @@
             } else {
                 self.max = self.max.min(current);
             }
-            self.max = self.max.clamp(WINDOW_LEAST, WINDOW_MOST);
+            self.max = self.max.clamp(MIN_LIMIT, MAX_LIMIT);
         }
         (self.began, self.done, self.good, self.peak, self.clean) = (now, 0.0, 0.0, in_flight, true);
     }
--- a/core/src/subscription.rs
+++ b/core/src/discovery_schedule.rs
@@ -1,19 +1,20 @@
 //! When discovery is asked to tell of changes.
 //!
-//! All gateways share one discovery, which works through their calls one after another. Calls that wait for too long
-//! fail, but their work is still done: once more come in a while than it can answer, all that wait behind them fail as
-//! well, their retries keep the queue long, and nobody learns anything. None hears of the others' calls, so each calls at a
-//! time of its own, drawn over a window that has room for the calls of all. How much room one call needs is what
-//! its own calls tell: the window doubles when one fails after a wait (the others' calls were before it), and shrinks
-//! by a step when one is answered at once; a call that is refused at once costs nothing and tells nothing of the queue.
-//! Who holds a list is bound to hear of its changes, so it calls in time for that, until a call has waited in vain; who
-//! holds none is bound by nothing and only wants an answer, so it keeps to the window. Sources: additive increase and multiplicative
+//! All gateways share one discovery, which works through their calls one after another. Calls that wait for
+//! too long fail, but their work is still done: once more come in a while than it can answer, all that wait
+//! behind them fail as well, their retries keep the queue long, and nobody learns anything. None hears of the
+//! others' calls, so each calls at a time of its own, drawn over a window that has room for the calls of all.
+//! How much room one call needs is what its own calls tell: the window doubles when one fails after a wait
+//! (the others' calls were before it), and shrinks by a step when one is answered at once; a call that is
+//! refused at once costs nothing and tells nothing of the queue. Who holds a list is bound to hear of its
+//! changes, so it calls in time for that, until a call has waited in vain; who holds none is bound by nothing
+//! and only wants an answer, so it keeps to the window. Sources: additive increase and multiplicative
 //! decrease of a shared resource's use by those who can't talk (Chiu and Jain 1989), slotted random access.
 //!
 //! Owns the times of calls. It must never ask twice at once, nor stop asking.
 
-use crate::interface::Settings;
-use crate::state::secs;
+use crate::api::Settings;
+use crate::time::secs;
 
 /// Calls at once that discovery answers in time; a fleet of no more gateways spreads nothing.
 const BURST: f64 = 20.0;
@@ -27,7 +28,7 @@
 const AT_ONCE: f64 = 0.15;
 const WAITED: f64 = 0.5;
 /// Time in s over which calls are spread at the most, however many gateways there are said to be.
-const WINDOW_MOST: f64 = 300.0;
+const MAX_WINDOW_SECS: f64 = 300.0;
 /// Part of the longest time without a question over which those who hold a list spread their calls at most.
 const SPREAD_MOST: f64 = 0.8;
 /// Parts of the mean gap at which a call is made again: from the first, by chance up to one gap later.
@@ -36,8 +37,8 @@
 const PAUSE_FIRST: f64 = 0.5;
 /// ...up to this part of the longest time without a question...
 const PAUSE_MOST: f64 = 0.25;
-/// ...and of the time after which a change counts as told once discovery can be reached: two calls must fit into it, each
-/// after a pause and half of one, for one of them may fail in the moment of its return.
+/// ...and of the time after which a change counts as told once discovery can be reached: two calls must fit
+/// into it, each after a pause and half of one, for one of them may fail in the moment of its return.
 const TOLD_WITHIN: f64 = 6.0;
 const PAUSE_OF_TOLD: f64 = 0.25;
 /// Part of the longest time without a question after which a call that nothing came of is made anew.
@@ -45,7 +46,7 @@
 
 /// One gateway's subscription.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Subscription {
+pub(crate) struct DiscoverySchedule {
     watching: bool,
     /// It holds a list, from now or from before.
     holds: bool,
@@ -59,7 +60,7 @@
     rate: f64,
 }
 
-impl Default for Subscription {
+impl Default for DiscoverySchedule {
     fn default() -> Self {
         Self {
             watching: false,
@@ -73,7 +74,7 @@
     }
 }
 
-impl Subscription {
+impl DiscoverySchedule {
     /// Discovery told something.
     pub fn heard(&mut self, now: f64) {
         if self.called.take().is_some_and(|called| now - called < AT_ONCE) {
@@ -94,7 +95,7 @@
         if waited && !self.cut {
             self.rate = (self.rate / 2.0).max(RATE * RATE_BOUNDS.0);
         }
-        let most = (PAUSE_MOST * secs(settings.contract.ask_every)).min(PAUSE_OF_TOLD * TOLD_WITHIN);
+        let most = (PAUSE_MOST * secs(settings.rules.poll_interval)).min(PAUSE_OF_TOLD * TOLD_WITHIN);
         let pause = (PAUSE_FIRST * 2f64.powi(self.failures)).min(most).max(PAUSE_FIRST);
         let (window, cut) = self.window(settings, waited);
         let gap = if cut { window / (GAP_FROM + 1.0) } else { window };
@@ -115,17 +116,17 @@
         let due = self.ask_at.is_some_and(|at| now >= at);
         if due {
             self.called = Some(now);
-            self.ask_at = Some(now + AGAIN_AFTER * secs(settings.contract.ask_every));
+            self.ask_at = Some(now + AGAIN_AFTER * secs(settings.rules.poll_interval));
         }
         due
     }
 
-    /// Time in s over which the calls of all are spread, and whether they need more. Once a call has `waited` in vain there
-    /// is more time (a failed call counts as a question for four times as long), and what the queue bears goes first: calls
-    /// that fail tell nobody anything.
+    /// Time in s over which the calls of all are spread, and whether they need more. Once a call has `waited`
+    /// in vain there is more time (a failed call counts as a question for four times as long), and what the
+    /// queue bears goes first: calls that fail tell nobody anything.
     fn window(&self, settings: &Settings, waited: bool) -> (f64, bool) {
-        let needed = ((f64::from(settings.gateways) - BURST).max(0.0) / self.rate).min(WINDOW_MOST);
-        let bound = SPREAD_MOST * secs(settings.contract.ask_every);
+        let needed = ((f64::from(settings.instance_count) - BURST).max(0.0) / self.rate).min(MAX_WINDOW_SECS);
+        let bound = SPREAD_MOST * secs(settings.rules.poll_interval);
         let cut = self.holds && !waited && needed > bound;
         (if cut { bound } else { needed }, cut)
     }
--- a/core/src/subscription/tests.rs
+++ b/core/src/discovery_schedule/tests.rs
@@ -1,8 +1,8 @@
 //! A fleet's calls to one discovery service, stepped through by themselves.
 
 use super::*;
-use crate::failover::Tuning;
-use crate::interface::*;
+use crate::api::FailoverSettings;
+use crate::api::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
@@ -14,55 +14,61 @@
 fn settings(gateways: u32) -> Settings {
     let ms = Duration::from_millis;
     let limits = Limits {
-        attempts: 6,
-        cancel: true,
-        tell: false,
-        probes: true,
-        second_copies: false,
-        retry_after: true,
+        max_attempts: 6,
+        allow_cancel: true,
+        allow_gossip: false,
+        allow_health_checks: true,
+        allow_hedging: false,
+        send_retry_after: true,
         max_retry_after: ms(1000),
         connect_timeout: ms(250),
-        streams_per_connection: 1,
+        max_streams_per_connection: 1,
     };
-    let contract = Contract {
-        answer_slack: ms(20),
-        ask_every: ms(10_000),
-        cold_share: 0.2,
+    let contract = ServiceRules {
+        answer_grace_period: ms(20),
+        poll_interval: ms(10_000),
+        initial_capacity_share: 0.2,
         warm_up: ms(15_000),
         overload_factor: 2.0,
-        overload_for: ms(1000),
-        stop_within: ms(2000),
-        only_draining_binds: false,
+        overload_duration: ms(1000),
+        drain_grace_period: ms(2000),
+        removed_may_serve: false,
     };
     Settings {
-        index: 0,
-        gateways,
+        instance_index: 0,
+        instance_count: gateways,
         zone: ZoneId(0),
-        tick: ms(5),
+        min_step_interval: ms(5),
         classes: Vec::new(),
         tenants: Vec::new(),
-        over_share_worth: 1.0,
-        checks: Checks::Silent,
-        positions: true,
-        session_marks: SessionMarks::Brought,
-        role_column: RoleColumn::Silent,
-        reports: Reports::Silent,
-        discovery: Discovery::Subscribe,
+        over_quota_weight: 1.0,
+        stale_read_policy: StaleReadPolicy::AnswerStale,
+        responses_carry_position: true,
+        session_tokens: SessionTokens::FromClient,
+        listed_role: ListedRole::Absent,
+        load_reports: LoadReports::Never,
+        discovery: DiscoveryMode::Subscribe,
         limits,
-        contract,
-        prices: Prices { cross_zone: 0.0, probe: 0.0, peer: 0.0, waste: 0.0, late_fail: 0.0 },
-        failover: Tuning::default(),
+        rules: contract,
+        prices: Prices {
+            cross_zone: 0.0,
+            health_check: 0.0,
+            gossip: 0.0,
+            wasted_work: 0.0,
+            late_failure: 0.0,
+        },
+        failover: FailoverSettings::default(),
     }
 }
 
-/// All start at once; discovery is down at first. Gives the calls while it was up, those of them that failed, and when
-/// the last one was told, in s after the service came up.
+/// All start at once; discovery is down at first. Gives the calls while it was up, those of them that failed,
+/// and when the last one was told, in s after the service came up.
 fn start(gateways: u32, holds: bool, down: f64) -> (usize, usize, f64) {
     let settings = settings(gateways);
     let mut rng = Pcg64Mcg::seed_from_u64(u64::from(gateways));
-    let mut all = vec![Subscription::default(); gateways as usize];
+    let mut all = vec![DiscoverySchedule::default(); gateways as usize];
     if holds {
-        all.iter_mut().for_each(Subscription::remembered);
+        all.iter_mut().for_each(DiscoverySchedule::remembered);
     }
     let mut ends: Vec<Option<(f64, bool)>> = vec![None; all.len()];
     let (mut free_at, mut calls, mut failed, mut last) = (0.0, 0, 0, 0.0);
@@ -91,8 +97,8 @@
     (calls, failed, last)
 }
 
-/// Guards against a service that works on nothing but calls that have failed: 705 calls of 200, of which 633 failed,
-/// and most of the fleet without a list for good.
+/// Guards against a service that works on nothing but calls that have failed: 705 calls of 200, of which 633
+/// failed, and most of the fleet without a list for good.
 #[test]
 fn a_fleet_that_holds_no_list_is_told_as_fast_as_the_service_can() {
     for (gateways, down) in [(1, 0.0), (8, 0.0), (200, 0.0), (1000, 0.0), (3000, 0.0), (200, 20.0)] {
@@ -103,8 +109,8 @@
     }
 }
 
-/// Guards against a jam that feeds itself: who holds a list has to hear of its changes in time, and more call then than
-/// are answered.
+/// Guards against a jam that feeds itself: who holds a list has to hear of its changes in time, and more call
+/// then than are answered.
 #[test]
 fn a_fleet_that_holds_a_list_gets_over_its_own_calls() {
     for (gateways, told) in [(100, 10.0), (200, 40.0), (300, 100.0), (400, 150.0), (1000, 400.0)] {
@@ -114,16 +120,16 @@
     }
 }
 
-/// Guards against a call made just before discovery returns, a pause after it, and a call that fails in the jam of its
-/// return: a change counts as told 6 s after discovery could be reached, whatever failed before.
+/// Guards against a call made just before discovery returns, a pause after it, and a call that fails in the
+/// jam of its return: a change counts as told 6 s after discovery could be reached, whatever failed before.
 #[test]
 fn two_calls_fit_into_the_time_after_which_a_change_counts_as_told() {
     for ask_every in [2_000, 10_000, 60_000] {
         let mut settings = settings(10);
-        settings.contract.ask_every = Duration::from_millis(ask_every);
-        let (mut one, mut now) = (Subscription::default(), 0.0);
+        settings.rules.poll_interval = Duration::from_millis(ask_every);
+        let (mut one, mut now) = (DiscoverySchedule::default(), 0.0);
         one.remembered();
-        let next = |one: &mut Subscription, now: &mut f64| {
+        let next = |one: &mut DiscoverySchedule, now: &mut f64| {
             let since = *now;
             while !one.asks(*now, &settings, || 1.0) {
                 *now += 0.01;
@@ -134,7 +140,8 @@
             next(&mut one, &mut now);
             one.refused(now, &settings, || 1.0);
         }
-        // It is back right after the last one failed; the next call fails after a wait for its turn, and one more is due.
+        // It is back right after the last one failed; the next call fails after a wait for its turn, and one
+        // more is due.
         let first = next(&mut one, &mut now);
         one.refused(now + 0.4, &settings, || 1.0);
         now += 0.4;
--- /dev/null
+++ b/core/src/failover/attempt_log.rs
@@ -0,0 +1,159 @@
+//! The ledger of one request's attempts: what has become of each, what proves it, and so what its client may
+//! be told.
+//!
+//! Owns the rule that "never ran" is said only where it was proved: an attempt that is out may run, and one
+//! that ended without such a proof may have run. It must never forget an attempt.
+
+use crate::api::{AttemptNumber, Idempotency, KeyScope, Outcome, ServerId};
+
+/// What an attempt's end proves.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ExecutionEvidence {
+    /// None yet: it is out, and may run.
+    Out,
+    /// It ran: this is its answer.
+    Answered,
+    /// It never ran: it was turned away untouched, or its last byte was not written.
+    NeverRan,
+    /// Nothing: it may have run, and may yet.
+    Unknown,
+}
+
+/// What a client may be told when its request is given up.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RetrySafety {
+    /// Nothing ran, or it may run again: asking again is harmless.
+    Harmless,
+    /// It may have run, and must not run again.
+    Unknown,
+}
+
+/// One attempt.
+#[derive(Debug, Clone, Copy, PartialEq)]
+struct LoggedAttempt {
+    attempt: u32,
+    server: ServerId,
+    sent: f64,
+    proof: ExecutionEvidence,
+}
+
+/// What has become of a request's attempts.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct AttemptLog {
+    legs: Vec<LoggedAttempt>,
+}
+
+impl ExecutionEvidence {
+    /// What an outcome proves.
+    pub fn of(outcome: Outcome) -> Self {
+        match outcome {
+            Outcome::Success => Self::Answered,
+            _ if outcome.rules_out_execution() => Self::NeverRan,
+            _ => Self::Unknown,
+        }
+    }
+}
+
+impl AttemptLog {
+    /// An attempt goes out.
+    pub fn sent(&mut self, attempt: u32, server: ServerId, now: f64) {
+        self.legs.push(LoggedAttempt { attempt, server, sent: now, proof: ExecutionEvidence::Out });
+    }
+
+    /// An attempt ended. One that is not known, or has ended before, changes nothing.
+    pub fn ended(&mut self, attempt: AttemptNumber, outcome: Outcome) {
+        let leg =
+            self.legs.iter_mut().find(|leg| leg.attempt == attempt.0 && leg.proof == ExecutionEvidence::Out);
+        if let Some(leg) = leg {
+            leg.proof = ExecutionEvidence::of(outcome);
+        }
+    }
+
+    /// The first attempt that has ended and may have run: when it was sent, and where.
+    pub fn ran(&self) -> Option<(f64, ServerId)> {
+        let ran = |leg: &&LoggedAttempt| {
+            matches!(leg.proof, ExecutionEvidence::Answered | ExecutionEvidence::Unknown)
+        };
+        self.legs.iter().find(ran).map(|leg| (leg.sent, leg.server))
+    }
+
+    /// Whether an attempt is out at a server.
+    pub fn is_out_at(&self, server: ServerId) -> bool {
+        self.legs.iter().any(|leg| leg.server == server && leg.proof == ExecutionEvidence::Out)
+    }
+
+    /// Whether some server has taken it up, so far as is known.
+    pub fn reached(&self) -> bool {
+        self.legs.iter().any(|leg| leg.proof != ExecutionEvidence::NeverRan)
+    }
+
+    /// What its client may be told now.
+    pub fn verdict(&self, effect: Idempotency) -> RetrySafety {
+        match effect {
+            Idempotency::Idempotent | Idempotency::WithKey { scope: KeyScope::All, .. } => {
+                RetrySafety::Harmless
+            }
+            _ if self.reached() => RetrySafety::Unknown,
+            _ => RetrySafety::Harmless,
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use proptest::prelude::*;
+
+    use super::*;
+
+    const ALL: [Outcome; 9] = [
+        Outcome::Success,
+        Outcome::ServerError,
+        Outcome::Rejected,
+        Outcome::Timeout,
+        Outcome::ConnectFailed,
+        Outcome::Reset,
+        Outcome::Cancelled,
+        Outcome::NotSent,
+        Outcome::Misdirected,
+    ];
+
+    #[test]
+    fn only_four_ends_prove_that_nothing_ran() {
+        let proved: Vec<_> =
+            ALL.into_iter().filter(|o| ExecutionEvidence::of(*o) == ExecutionEvidence::NeverRan).collect();
+        assert_eq!(
+            proved,
+            [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Misdirected]
+        );
+    }
+
+    #[test]
+    fn what_is_out_may_run() {
+        let mut fate = AttemptLog::default();
+        assert_eq!(fate.verdict(Idempotency::NonIdempotent), RetrySafety::Harmless);
+        fate.sent(0, ServerId(1), 5.0);
+        assert_eq!((fate.verdict(Idempotency::NonIdempotent), fate.ran()), (RetrySafety::Unknown, None));
+        assert!(fate.is_out_at(ServerId(1)) && !fate.is_out_at(ServerId(2)));
+        fate.ended(AttemptNumber(0), Outcome::Misdirected);
+        assert_eq!(fate.verdict(Idempotency::NonIdempotent), RetrySafety::Harmless);
+        fate.ended(AttemptNumber(0), Outcome::Timeout); // it has ended before
+        assert_eq!(fate.verdict(Idempotency::NonIdempotent), RetrySafety::Harmless);
+    }
+
+    proptest! {
+        /// Whatever comes after it, an attempt that may have run is never taken back.
+        #[test]
+        fn doubt_is_never_taken_back(ends in prop::collection::vec(0..ALL.len(), 1..6)) {
+            let mut fate = AttemptLog::default();
+            let mut doubted = false;
+            for (n, end) in ends.iter().enumerate() {
+                fate.sent(n as u32, ServerId(n as u32), n as f64);
+                fate.ended(AttemptNumber(n as u32), ALL[*end]);
+                doubted |= !ALL[*end].rules_out_execution();
+                prop_assert_eq!(fate.verdict(Idempotency::NonIdempotent) == RetrySafety::Unknown, doubted);
+                prop_assert_eq!(fate.ran().is_some(), doubted);
+                prop_assert_eq!(fate.verdict(Idempotency::Idempotent), RetrySafety::Harmless);
+            }
+        }
+    }
+}
--- a/core/src/failover/phase.rs
+++ b/core/src/failover/phase.rs
@@ -1,9 +1,9 @@
 //! The state machine of a set's primary.
 //!
-//! Owns which phase follows which on what input, and nothing else: a table that can be read and tested whole. It
-//! must never be moved by time alone; who watches the clock gives it an input.
+//! Owns which phase follows which on what input, and nothing else: a table that can be read and tested whole.
+//! It must never be moved by time alone; who watches the clock gives it an input.
 
-use super::Change;
+use crate::api::FailoverKind;
 
 /// How a set stands. Times are in s on the caller's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -42,7 +42,7 @@
 
 /// What moves it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Input {
+pub enum PhaseInput {
     /// The primary has been silent for too long; when it was last heard.
     Silent(f64),
     /// It spoke.
@@ -63,8 +63,8 @@
 
 impl Phase {
     /// The phase after an input.
-    pub fn after(self, input: Input) -> Self {
-        use Input::{Claimed, Denied, Drains, Lost, Served, Settled, Silent, Spoke};
+    pub fn after(self, input: PhaseInput) -> Self {
+        use PhaseInput::{Claimed, Denied, Drains, Lost, Served, Settled, Silent, Spoke};
         let began = self.began();
         match (self, input) {
             (Self::Steady | Self::Settling, Silent(heard)) => Self::Suspected { since: heard },
@@ -104,12 +104,12 @@
     }
 
     /// The kind of change that is under way, as far as is known.
-    pub fn change(self) -> Option<Change> {
+    pub fn change(self) -> Option<FailoverKind> {
         match self {
             Self::Steady | Self::Settling => None,
-            Self::Draining { .. } | Self::HandingOver { .. } => Some(Change::Planned),
+            Self::Draining { .. } | Self::HandingOver { .. } => Some(FailoverKind::Planned),
             Self::Suspected { .. } | Self::Without { .. } | Self::TakingOver { .. } => {
-                Some(Change::Unplanned)
+                Some(FailoverKind::Unplanned)
             }
         }
     }
@@ -137,7 +137,7 @@
 mod tests {
     use rstest::rstest;
 
-    use super::Input::*;
+    use super::PhaseInput::*;
     use super::*;
 
     const SUSPECTED: Phase = Phase::Suspected { since: 5.0 };
@@ -167,7 +167,7 @@
     #[case::a_second_change_in_the_release(Phase::Settling, Silent(5.0), SUSPECTED)]
     #[case::a_late_word_of_a_write(SUSPECTED, Served, SUSPECTED)]
     #[case::nothing_new(WITHOUT, Lost(9.0), WITHOUT)]
-    fn an_input_moves_it(#[case] from: Phase, #[case] input: Input, #[case] to: Phase) {
+    fn an_input_moves_it(#[case] from: Phase, #[case] input: PhaseInput, #[case] to: Phase) {
         assert_eq!(from.after(input), to);
     }
 
--- a/core/src/failover/set.rs
+++ b/core/src/failover/replica_set.rs
@@ -1,13 +1,14 @@
 //! One set of servers as changes of its primary see it: the parts of this module put together.
 //!
-//! Owns the set's claims, its phase, and the release that is under way; it turns evidence into inputs of the state
-//! machine and answers where writes may go, whom to ask, and what to expect. It must never choose a server for a
-//! read, and never let a write go to a primary that is suspected, drains or is deposed.
+//! Owns the set's claims, its phase, and the release that is under way; it turns evidence into inputs of the
+//! state machine and answers where writes may go, whom to ask, and what to expect. It must never choose a
+//! server for a read, and never let a write go to a primary that is suspected, drains or is deposed.
 
-use serde::{Deserialize, Serialize};
-
-use super::{Change, Claim, Forecast, Input, Outlook, Patience, Phase, Primacy, Pulse, Release, Ruling};
-use crate::interface::{Outcome, ServerId};
+use super::{
+    BufferRelease, ClaimVerdict, FailoverDurations, Phase, PhaseInput, PrimaryClaim, PrimaryTracker,
+    RecoveryForecast, ResponseTimes, SilenceThreshold,
+};
+use crate::api::{FailoverKind, Outcome, ReplicaSetSnapshot, ServerId};
 
 /// Time in s between two writes that ask members who the primary is, within a round.
 const ASK_NEXT: f64 = 0.01;
@@ -17,17 +18,17 @@
 const ASK_PAUSE: (f64, f64) = (0.1, 0.03);
 /// Part of the shortest known change after which its end may be near.
 const NEAR: f64 = 0.8;
-/// Time in s between two reads that are sent to a silent primary to see whether it answers, and the first pause before
-/// a write is; each further write waits twice as long.
+/// Time in s between two reads that are sent to a silent primary to see whether it answers, and the first
+/// pause before a write is; each further write waits twice as long.
 const CANARY_EVERY: f64 = 0.25;
 const TEST_FIRST: f64 = 0.6;
-/// Silence past which it is no pause any more, in s and in bounds on silence, whichever is more: the primary counts as
-/// lost, and others may be asked.
+/// Silence past which it is no pause any more, in s and in bounds on silence, whichever is more: the primary
+/// counts as lost, and others may be asked.
 const PAUSE_MOST: (f64, f64) = (0.6, 1.4);
 
 /// What is seen of the primary at one time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Sight {
+pub struct PrimaryObservation {
     /// When it last answered.
     pub heard: f64,
     /// When the oldest attempt was sent that it owes an answer to.
@@ -35,44 +36,35 @@
     /// It is taken to be down.
     pub down: bool,
     /// How long it may be silent.
-    pub patience: Patience,
+    pub patience: SilenceThreshold,
     /// Writes that wait for it.
     pub waiting: usize,
 }
 
-/// What one process tells another of a server's set.
-#[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct News {
-    /// How many claims the set has seen.
-    pub epoch: u64,
-    /// The server has been deposed and is not known to know it.
-    pub deposed: bool,
-    /// A change under way: its kind, and for how many seconds.
-    pub change: Option<(Change, f64)>,
-}
-
 /// Changes of its own from which on a set's forecast goes by these alone.
 const OWN_LEAST: usize = 4;
 
 /// A set.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Set {
+pub struct ReplicaSet {
     /// How long its own changes took.
-    own: Forecast,
-    primacy: Primacy,
+    own: FailoverDurations,
+    primacy: PrimaryTracker,
     phase: Phase,
-    release: Release,
+    release: BufferRelease,
     /// How long the primary takes to answer.
-    pulse: Pulse,
+    pulse: ResponseTimes,
     /// Who was primary when the change that is under way began, and whether it was silent.
     before: Option<(ServerId, bool)>,
     /// The name of the phase at the last look.
     seen: &'static str,
     /// The last primary, where it drains or is gone.
     draining: Option<ServerId>,
-    /// When the newest attempt was sent that the primary has served: what it owes from before that says nothing.
+    /// When the newest attempt was sent that the primary has served: what it owes from before that says
+    /// nothing.
     overtaken: f64,
-    /// When a read may next be sent to a silent primary, when a write, and how long the next write waits then.
+    /// When a read may next be sent to a silent primary, when a write, and how long the next write waits
+    /// then.
     next_canary: f64,
     next_test: f64,
     test_pause: f64,
@@ -81,14 +73,14 @@
     next_ask: f64,
 }
 
-impl Default for Set {
+impl Default for ReplicaSet {
     fn default() -> Self {
         Self {
-            own: Forecast::empty(),
-            primacy: Primacy::default(),
+            own: FailoverDurations::empty(),
+            primacy: PrimaryTracker::default(),
             phase: Phase::default(),
-            release: Release::default(),
-            pulse: Pulse::default(),
+            release: BufferRelease::default(),
+            pulse: ResponseTimes::default(),
             before: None,
             seen: Phase::default().name(),
             draining: None,
@@ -102,7 +94,7 @@
     }
 }
 
-impl Set {
+impl ReplicaSet {
     /// The primary, if one is known: it may be suspected or down.
     pub fn primary(&self) -> Option<ServerId> {
         self.primacy.primary()
@@ -124,7 +116,7 @@
         self.primacy.is_deposed(server)
     }
 
-    fn input(&mut self, input: Input) {
+    fn input(&mut self, input: PhaseInput) {
         let before = self.phase;
         self.phase = before.after(input);
         if before.takes_writes() && !self.phase.takes_writes() {
@@ -141,14 +133,14 @@
         at: f64,
         sent: Option<f64>,
         now: f64,
-        forecast: &mut Forecast,
-    ) -> Ruling {
+        forecast: &mut FailoverDurations,
+    ) -> ClaimVerdict {
         let old = self.primacy.claim().copied();
         let ruling = self.primacy.claims(server, at, sent);
         match ruling {
-            Ruling::Known => self.spoke(now),
-            Ruling::Accepted => self.accepted(old, now, forecast),
-            Ruling::Stale => {}
+            ClaimVerdict::Known => self.spoke(now),
+            ClaimVerdict::Accepted => self.accepted(old, now, forecast),
+            ClaimVerdict::Stale => {}
         }
         ruling
     }
@@ -156,30 +148,30 @@
     /// A primary that was silent answered.
     fn spoke(&mut self, now: f64) {
         match self.phase {
-            Phase::Suspected { .. } => self.release = Release::to_known(now),
+            Phase::Suspected { .. } => self.release = BufferRelease::to_known(now),
             Phase::Without { .. } if self.primacy.claim().is_some_and(|claim| claim.lost.is_none()) => {
-                self.release = Release::new(now);
+                self.release = BufferRelease::new(now);
             }
             _ => return,
         }
-        self.input(Input::Spoke);
+        self.input(PhaseInput::Spoke);
     }
 
     /// The list names a server as the primary; see [`Primacy::listed`].
-    pub fn listed(&mut self, server: ServerId, now: f64, forecast: &mut Forecast) -> Ruling {
+    pub fn listed(&mut self, server: ServerId, now: f64, forecast: &mut FailoverDurations) -> ClaimVerdict {
         let old = self.primacy.claim().copied();
         let first = old.is_none() && self.primacy.epoch() == 0;
         let ruling = self.primacy.listed(server, now);
         match ruling {
-            Ruling::Accepted if first => {}
-            Ruling::Accepted => self.accepted(old, now, forecast),
-            Ruling::Stale if self.takes_writes().is_none() => self.cursor = Some(server),
+            ClaimVerdict::Accepted if first => {}
+            ClaimVerdict::Accepted => self.accepted(old, now, forecast),
+            ClaimVerdict::Stale if self.takes_writes().is_none() => self.cursor = Some(server),
             _ => {}
         }
         ruling
     }
 
-    fn accepted(&mut self, old: Option<Claim>, now: f64, forecast: &mut Forecast) {
+    fn accepted(&mut self, old: Option<PrimaryClaim>, now: f64, forecast: &mut FailoverDurations) {
         if let (Some(change), Some(began)) = (self.phase.change(), self.phase.began()) {
             forecast.learn(change, now - began);
             self.own.learn(change, now - began);
@@ -188,11 +180,11 @@
             self.before = Some((old.server, old.lost.is_some()));
         }
         // One that stepped down by itself leaves no doubt of its successor.
-        let doubted = self.phase.change() == Some(Change::Unplanned);
-        self.release = if doubted { Release::new(now) } else { Release::after_handover(now) };
+        let doubted = self.phase.change() == Some(FailoverKind::Unplanned);
+        self.release = if doubted { BufferRelease::new(now) } else { BufferRelease::after_handover(now) };
         // The first one that is ever heard of takes over from nobody.
         if self.primacy.epoch() > 1 || self.phase != Phase::Steady {
-            self.input(Input::Claimed(now));
+            self.input(PhaseInput::Claimed(now));
         }
         (self.cursor, self.draining) = (None, None);
     }
@@ -200,7 +192,7 @@
     /// A server says that it is no primary; `at` is when that was heard.
     pub fn denies(&mut self, server: ServerId, at: f64) {
         if self.primacy.denies(server, at) {
-            self.input(Input::Denied(at));
+            self.input(PhaseInput::Denied(at));
         }
     }
 
@@ -212,7 +204,7 @@
         at: f64,
         sent: Option<f64>,
         now: f64,
-        forecast: &mut Forecast,
+        forecast: &mut FailoverDurations,
     ) {
         match primary {
             Some(true) => {
@@ -223,31 +215,31 @@
         }
     }
 
-    /// A server answered what was sent to it at this time, so many seconds after. What the primary serves tells its
-    /// pulse.
+    /// A server answered what was sent to it at this time, so many seconds after. What the primary serves
+    /// tells its pulse.
     pub fn answered(&mut self, server: ServerId, outcome: Outcome, sent: f64, took: f64) {
-        if outcome == Outcome::Ok && self.primary() == Some(server) {
+        if outcome == Outcome::Success && self.primary() == Some(server) {
             self.pulse.learn(took);
             self.overtaken = self.overtaken.max(sent);
         }
     }
 
-    /// Whether the primary owes an answer to what was sent at this time, so that its silence says something. One slow
-    /// request that others have overtaken is no sign of a hang.
+    /// Whether the primary owes an answer to what was sent at this time, so that its silence says something.
+    /// One slow request that others have overtaken is no sign of a hang.
     pub fn is_owed(&self, sent: f64) -> bool {
         sent > self.overtaken
     }
 
-    /// A write that was sent to a server at this time has ended; `served` if by an answer. Gives the primary before
-    /// it where that fell silent and this is the first one served since: what is still out there has no answer to
-    /// come.
+    /// A write that was sent to a server at this time has ended; `served` if by an answer. Gives the primary
+    /// before it where that fell silent and this is the first one served since: what is still out there has
+    /// no answer to come.
     pub fn ended(&mut self, server: ServerId, sent: f64, served: bool) -> Option<ServerId> {
         self.release.ended(sent, served);
         if !served || self.primacy.primary() != Some(server) {
             return None;
         }
         self.primacy.served(server);
-        self.input(Input::Served);
+        self.input(PhaseInput::Served);
         self.before.take().filter(|(_, silent)| *silent).map(|(before, _)| before)
     }
 
@@ -255,7 +247,7 @@
     pub fn withdraws(&mut self, server: ServerId, now: f64, drains: bool) {
         if self.primacy.withdraw(server) {
             self.draining = Some(server);
-            self.input(if drains { Input::Drains(now) } else { Input::Lost(now) });
+            self.input(if drains { PhaseInput::Drains(now) } else { PhaseInput::Lost(now) });
         }
     }
 
@@ -272,9 +264,9 @@
         self.primary().or(self.draining)
     }
 
-    /// Looks at [`Self::watched`]. To be called at each step, with what is seen of it. Gives the name of the phase
-    /// where it is another since the last look.
-    pub fn watch(&mut self, now: f64, sight: &Sight) -> Option<&'static str> {
+    /// Looks at [`Self::watched`]. To be called at each step, with what is seen of it. Gives the name of the
+    /// phase where it is another since the last look.
+    pub fn watch(&mut self, now: f64, sight: &PrimaryObservation) -> Option<&'static str> {
         let oldest = sight.oldest;
         // One that was never heard has been primary since its claim.
         let heard = self.primacy.claim().map_or(sight.heard, |claim| claim.since.max(sight.heard));
@@ -284,9 +276,9 @@
         let pause = || PAUSE_MOST.0.max(PAUSE_MOST.1 * sight.patience.bound(pulse));
         if sight.down || (suspected && now - since > pause()) {
             self.primacy.lose(now);
-            self.input(Input::Lost(since));
+            self.input(PhaseInput::Lost(since));
         } else if suspected {
-            self.input(Input::Silent(since));
+            self.input(PhaseInput::Silent(since));
             if matches!(self.phase, Phase::Without { .. }) {
                 self.primacy.lose(now); // a successor fell silent before it served
             }
@@ -295,12 +287,12 @@
         } else if let (Phase::Suspected { since }, None) = (self.phase, oldest) {
             // All that it owed was given up: one write shows whether it answers again.
             if now - since > pause() {
-                self.input(Input::Spoke);
-                self.release = Release::new(now);
+                self.input(PhaseInput::Spoke);
+                self.release = BufferRelease::new(now);
             }
         }
         if self.phase == Phase::Settling && (sight.waiting == 0 || self.release.is_done()) {
-            self.input(Input::Settled);
+            self.input(PhaseInput::Settled);
         }
         let name = self.phase.name();
         (std::mem::replace(&mut self.seen, name) != name).then_some(name)
@@ -345,11 +337,16 @@
         lost && now >= self.next_ask
     }
 
-    /// Which of these members a write asks, in id order and round after round; a miss costs nothing. Each comes with
-    /// the time in s for which it has owed an answer. None where the write has to wait. One that is silent is not
-    /// asked, nor one that may not know that it was deposed, for it would take the write; the lost primary
-    /// itself seldom, for the write's fate is at stake there.
-    pub fn ask(&mut self, members: &[(ServerId, f64)], now: f64, forecast: &Forecast) -> Option<ServerId> {
+    /// Which of these members a write asks, in id order and round after round; a miss costs nothing. Each
+    /// comes with the time in s for which it has owed an answer. None where the write has to wait. One that
+    /// is silent is not asked, nor one that may not know that it was deposed, for it would take the write;
+    /// the lost primary itself seldom, for the write's fate is at stake there.
+    pub fn ask(
+        &mut self,
+        members: &[(ServerId, f64)],
+        now: f64,
+        forecast: &FailoverDurations,
+    ) -> Option<ServerId> {
         if !self.may_ask(now) {
             return None;
         }
@@ -375,7 +372,7 @@
     }
 
     /// Durations of this set's changes where it has had some, else those of all sets together.
-    fn known<'f>(&'f self, change: Change, all: &'f Forecast) -> &'f Forecast {
+    fn known<'f>(&'f self, change: FailoverKind, all: &'f FailoverDurations) -> &'f FailoverDurations {
         if self.own.sample(change).len() >= OWN_LEAST {
             &self.own
         } else {
@@ -383,39 +380,40 @@
         }
     }
 
-    /// When the set takes writes again, if it takes none now and that is no mere pause. `forecast` is that of all sets.
-    pub fn outlook<'f>(&'f self, now: f64, forecast: &'f Forecast) -> Option<Outlook<'f>> {
+    /// When the set takes writes again, if it takes none now and that is no mere pause. `forecast` is that of
+    /// all sets.
+    pub fn outlook<'f>(&'f self, now: f64, forecast: &'f FailoverDurations) -> Option<RecoveryForecast<'f>> {
         if self.takes_writes().is_some() || matches!(self.phase, Phase::Suspected { .. }) {
             return None;
         }
         // Before any change was seen, nobody knows a primary: as if one had just been lost.
-        let change = self.phase.change().unwrap_or(Change::Unplanned);
+        let change = self.phase.change().unwrap_or(FailoverKind::Unplanned);
         let elapsed = self.phase.began().map_or(0.0, |began| now - began);
         Some(self.known(change, forecast).outlook(change, elapsed))
     }
 
     /// What another process of this proxy must know of a server here.
-    pub fn news(&self, server: ServerId, now: f64) -> News {
+    pub fn news(&self, server: ServerId, now: f64) -> ReplicaSetSnapshot {
         let change = self.phase.change().zip(self.phase.began());
-        News {
+        ReplicaSetSnapshot {
             epoch: self.primacy.epoch(),
             deposed: self.primacy.is_deposed(server),
-            change: change.map(|(change, began)| (change, (now - began).max(0.0))),
+            failover: change.map(|(change, began)| (change, (now - began).max(0.0))),
         }
     }
 
     /// Takes over what another process knew.
-    pub fn recall(&mut self, server: ServerId, news: &News, now: f64) {
+    pub fn recall(&mut self, server: ServerId, news: &ReplicaSetSnapshot, now: f64) {
         self.primacy.recall_epoch(news.epoch);
         if news.deposed {
             self.primacy.recall_deposed(server, now);
         }
-        let Some((change, lasted)) = news.change.filter(|_| self.phase == Phase::Steady) else { return };
+        let Some((change, lasted)) = news.failover.filter(|_| self.phase == Phase::Steady) else { return };
         if self.takes_writes().is_none() && lasted.is_finite() {
             let since = now - lasted.max(0.0);
             self.phase = match change {
-                Change::Planned => Phase::HandingOver { since },
-                Change::Unplanned => Phase::Without { since },
+                FailoverKind::Planned => Phase::HandingOver { since },
+                FailoverKind::Unplanned => Phase::Without { since },
             };
         }
     }
--- a/core/src/farewell.rs
+++ b/core/src/graceful_shutdown.rs
@@ -1,14 +1,15 @@
 //! How a process that was told to end lets its clients go.
 //!
-//! Owns the phases between that word and the end of the process, how long a connection may stand in each, and how
-//! much of its time a request that still comes may take. Times are those of one clock. It must never hold an
-//! answer back, end a connection of which something was read and not answered, nor outlast the time after which the
-//! platform kills what has not ended.
+//! Owns the phases between that word and the end of the process, how long a connection may stand in each, and
+//! how much of its time a request that still comes may take. Times are those of one clock. It must never hold
+//! an answer back, end a connection of which something was read and not answered, nor outlast the time after
+//! which the platform kills what has not ended.
 //!
-//! A connection can't be closed without a race: a query that is on its way while its connection closes comes again,
-//! once, on a new one. So connections go first and the door last, and the door stays open for those that return.
-//! A session belongs to its proxy for as long as that runs: whoever is let go early has nowhere to go before the front
-//! has noticed, which takes it a second and more. So connections are kept for half of the time that there is.
+//! A connection can't be closed without a race: a query that is on its way while its connection closes comes
+//! again, once, on a new one. So connections go first and the door last, and the door stays open for those
+//! that return. A session belongs to its proxy for as long as that runs: whoever is let go early has nowhere
+//! to go before the front has noticed, which takes it a second and more. So connections are kept for half of
+//! the time that there is.
 
 use std::time::Duration;
 
@@ -20,15 +21,15 @@
 pub const RETURNS_WITHIN: Duration = Duration::from_millis(250);
 /// Time in which a connection that has asked nothing yet is owed the chance to, from when it came.
 pub const ASKS_WITHIN: Duration = Duration::from_secs(1);
-/// What the platform waits for at the most, beside the notice and the time to settle: the longest deadline, counted
-/// as this where it is longer.
+/// What the platform waits for at the most, beside the notice and the time to settle: the longest deadline,
+/// counted as this where it is longer.
 const LONGEST: Duration = Duration::from_secs(3);
 /// Time past the last deadline in which final answers are still written.
 const SETTLE: Duration = Duration::from_millis(150);
 
 /// How far a process that was told to end has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Phase {
+pub enum ShutdownPhase {
     /// All goes on as before.
     Notice,
     /// Connections end as soon as they stand between requests. New ones are taken, each for a request.
@@ -36,12 +37,12 @@
     /// The door is to be closed; what stands in its queue is taken in, each for a request.
     Closing,
     /// Nothing is owed any more, or the time is up.
-    Ended,
+    AttemptEnded,
 }
 
 /// What a connection without an open request stands for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum IdleState {
     /// It has asked nothing yet.
     Silent,
     /// All that it asked was answered.
@@ -52,7 +53,7 @@
 
 /// The course of one process's end.
 #[derive(Debug, Clone)]
-pub struct Farewell {
+pub struct GracefulShutdown {
     told: Duration,
     /// When connections begin to be let go.
     leaves: Duration,
@@ -66,9 +67,10 @@
     shut: bool,
 }
 
-impl Farewell {
-    /// The word came with so many clients connected; `longest` is the longest deadline of a class. Before it the process
-    /// had stood still for a while: the word may have waited for as long, and so long less is left.
+impl GracefulShutdown {
+    /// The word came with so many clients connected; `longest` is the longest deadline of a class. Before it
+    /// the process had stood still for a while: the word may have waited for as long, and so long less is
+    /// left.
     pub fn new(told: Duration, longest: Duration, connected: usize, stood: Duration) -> Self {
         let ends = told + NOTICE + longest.min(LONGEST) + SETTLE;
         let kept = (ends - told).mul_f64(KEPT).max(NOTICE).saturating_sub(stood);
@@ -102,13 +104,13 @@
     }
 
     /// How far it has come.
-    pub fn phase(&self, now: Duration) -> Phase {
+    pub fn phase(&self, now: Duration) -> ShutdownPhase {
         match () {
-            () if now >= self.ends || (self.shut && self.connected == 0) => Phase::Ended,
-            () if self.handed || self.shut => Phase::Closing,
-            () if self.connected == 0 && now >= self.quiet() => Phase::Closing,
-            () if now < self.leaves => Phase::Notice,
-            () => Phase::Leaving,
+            () if now >= self.ends || (self.shut && self.connected == 0) => ShutdownPhase::AttemptEnded,
+            () if self.handed || self.shut => ShutdownPhase::Closing,
+            () if self.connected == 0 && now >= self.quiet() => ShutdownPhase::Closing,
+            () if now < self.leaves => ShutdownPhase::Notice,
+            () => ShutdownPhase::Leaving,
         }
     }
 
@@ -120,17 +122,18 @@
 
     /// Until when a connection may stand so that came at `since`; past it, it ends, but only once it was seen
     /// that nothing of it lies unread. None where only the rules of service bound it.
-    pub fn stands_until(&self, standing: Standing, since: Duration) -> Option<Duration> {
+    pub fn stands_until(&self, standing: IdleState, since: Duration) -> Option<Duration> {
         match standing {
-            Standing::Begun => None,
+            IdleState::Begun => None,
             // A successor goes on with what has asked nothing as well.
             _ if self.handed => Some(self.told),
-            Standing::Between => Some(self.leaves),
-            Standing::Silent => Some((since + ASKS_WITHIN).max(self.leaves).min(self.ends)),
+            IdleState::Between => Some(self.leaves),
+            IdleState::Silent => Some((since + ASKS_WITHIN).max(self.leaves).min(self.ends)),
         }
     }
 
-    /// How much of the time that its client waits a request may take that comes now: it is over before the process is.
+    /// How much of the time that its client waits a request may take that comes now: it is over before the
+    /// process is.
     pub fn time_left(&self, now: Duration, wanted: Duration) -> Duration {
         wanted.min((self.ends - SETTLE / 3).saturating_sub(now))
     }
--- a/core/src/work.rs
+++ b/core/src/request_cost.rs
@@ -1,12 +1,12 @@
 //! How much work a request of each class is, beside the usual one.
 //!
-//! What a cold server is allowed is work, and a report may be a dozen times the work of a look-up. The time of an answer
-//! is its work and its wait; the mean of a class at its lowest is nearly work alone, so the lowest is kept, and forgotten
-//! slowly. Owns these figures, in s, and the cost that follows from them. It must never take a class that was not seen
-//! for a light one.
+//! What a cold server is allowed is work, and a report may be a dozen times the work of a look-up. The time
+//! of an answer is its work and its wait; the mean of a class at its lowest is nearly work alone, so the
+//! lowest is kept, and forgotten slowly. Owns these figures, in s, and the cost that follows from them. It
+//! must never take a class that was not seen for a light one.
 
-use crate::interface::Class;
-use crate::state::ClassTime;
+use crate::api::Class;
+use crate::latency_estimate::LatencyEstimate;
 
 /// Time in s in which the lowest mean of a class rises most of the way to the present one.
 const FORGET: f64 = 300.0;
@@ -17,7 +17,7 @@
 
 /// The work of each class.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Work {
+pub(crate) struct RequestCosts {
     classes: Vec<Lowest>,
     usual: f64,
 }
@@ -32,11 +32,11 @@
 
 impl Lowest {
     fn guess(class: &Class) -> Self {
-        Self { mean: ClassTime::guess(class).mean, at: 0.0, count: 0.0 }
+        Self { mean: LatencyEstimate::guess(class).mean, at: 0.0, count: 0.0 }
     }
 }
 
-impl Work {
+impl RequestCosts {
     /// A guess by what the classes aim at; the lightest counts as usual until answers tell.
     pub fn new(classes: &[Class]) -> Self {
         let classes: Vec<_> = classes.iter().map(Lowest::guess).collect();
@@ -72,29 +72,29 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::interface::{Effect, Need};
+    use crate::api::{Consistency, Idempotency};
     use std::time::Duration;
 
     fn class(aim_ms: u64) -> Class {
         Class {
-            credit: 1.0,
-            aim: Duration::from_millis(aim_ms),
-            aim_stretch: 0.0,
+            priority_weight: 1.0,
+            latency_objective: Duration::from_millis(aim_ms),
+            latency_objective_stretch: 0.0,
             deadline: Duration::from_secs(8),
-            late_value: 0.0,
-            effect: Effect::Repeatable,
-            need: Need::Eventual,
-            stream: false,
+            late_weight: 0.0,
+            idempotency: Idempotency::Idempotent,
+            consistency: Consistency::Eventual,
+            streaming: false,
         }
     }
 
     #[test]
     fn a_wait_is_no_work() {
-        let mut work = Work::new(&[class(250), class(4000)]);
+        let mut work = RequestCosts::new(&[class(250), class(4000)]);
         assert!((work.cost(1) - 16.0).abs() < 1e-9, "before any answer, the aims tell");
         let mut now = 10.0;
         // Twenty answers a second, one of them a report, for so many seconds.
-        let mut pass = |work: &mut Work, wait: f64, seconds| {
+        let mut pass = |work: &mut RequestCosts, wait: f64, seconds| {
             for n in 0..20 * seconds {
                 let heavy = n % 20 == 0;
                 now += 0.05;
--- a/core/src/decide.rs
+++ b/core/src/routing/mod.rs
@@ -5,23 +5,29 @@
 //! is refused; a read goes to the less busy of two random replicas that are fresh enough. All else in this
 //! file is an exception for when that breaks; `docs/design.md` says when each one acts.
 
+mod position_probe;
+mod snapshot;
+mod state;
+
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::estimate::{Gauge, Memory};
+use crate::api::*;
+use crate::concurrency_limit::{ConcurrencyLimit, INITIAL_LIMIT, MIN_LIMIT};
+use crate::discovery_schedule::DiscoverySchedule;
+use crate::ewma::{Ewma, EwmaConfig};
 use crate::failover::*;
-use crate::interface::*;
-use crate::pace::Pace;
-use crate::relief::Relief;
-use crate::scout::*;
-use crate::sessions::Sessions;
-use crate::state::*;
-use crate::subscription::Subscription;
-use crate::window::{Window, WINDOW_LEAST, WINDOW_START};
-use crate::work::Work;
+use crate::latency_estimate::LatencyEstimate;
+use crate::primary_read_admission::PrimaryReadAdmission;
+use crate::request_cost::RequestCosts;
+use crate::server_throughput::ServerThroughput;
+use crate::session_tokens::SessionTokenStore;
+use crate::time::secs;
+use position_probe::{probe, scout, PositionDemand, ProbeDecision};
+use state::*;
 
 // Times are in seconds throughout this file.
 const QUEUE_PER_WINDOW: f64 = 3.0; // waiting requests for each place in the group's windows
@@ -42,7 +48,7 @@
 const ROUNDED: f64 = 0.001; // s by which a commit may be told too late
 const GAIN_CLASS: f64 = 0.03; // weight of one answer in a class's mean time
 /// A gauge averages over 10 answers, forgets in 10 s, and weighs what is usual like 2 answers of its own.
-const MEMORY: Memory = Memory { most: 10.0, fade: 10.0, prior: 2.0 };
+const MEMORY: EwmaConfig = EwmaConfig { most: 10.0, fade: 10.0, prior: 2.0 };
 
 const DOUBT_MOST: f64 = 2.0; // log odds against a server from which on it is down
 const WEAK_EVIDENCE: f64 = 0.5; // weight of a loss that may be its connection's alone: two are needed
@@ -62,59 +68,59 @@
 const COLD_MARGIN: f64 = 0.7; // part of the cold budget that is used
 
 /// One gateway: fed with events, it answers with actions.
-pub struct Gateway {
+pub struct RoutingEngine {
     pub(crate) cfg: Settings,
     rng: Pcg64Mcg,
     clock: Clock,
-    subscription: Subscription,
+    subscription: DiscoverySchedule,
     pub(crate) now: f64,
     pub(crate) servers: BTreeMap<ServerId, Server>,
     out_by_hand: BTreeSet<ServerId>,
     pub(crate) groups: BTreeMap<GroupId, Group>,
-    pending: BTreeMap<RequestId, Pending>,
-    flights: BTreeMap<(RequestId, u32), Flight>,
-    times: Vec<ClassTime>,
-    meters: Vec<Meter>,
-    pub(crate) sessions: Sessions,
+    pending: BTreeMap<RequestId, OpenRequest>,
+    flights: BTreeMap<(RequestId, u32), InFlightAttempt>,
+    times: Vec<LatencyEstimate>,
+    meters: Vec<TenantMeter>,
+    pub(crate) sessions: SessionTokenStore,
     retries: f64,
     crowd: bool, // the floors of all gateways' windows together are more than a server should hold
-    pace: Pace,
-    work: Work,
-    relief: Relief,
-    in_time: Gauge,
-    refused: Gauge,
-    lost: Gauge,        // share of attempts that ended without an answer
-    forecast: Forecast, // of how long changes of primary take
-    mix: Vec<f64>,      // how often each class of reads was asked for of late
+    pace: ServerThroughput,
+    work: RequestCosts,
+    relief: PrimaryReadAdmission,
+    in_time: Ewma,
+    refused: Ewma,
+    lost: Ewma,                  // share of attempts that ended without an answer
+    forecast: FailoverDurations, // of how long changes of primary take
+    mix: Vec<f64>,               // how often each class of reads was asked for of late
 }
 
-impl Gateway {
+impl RoutingEngine {
     /// A gateway that knows nothing but its settings.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            times: settings.classes.iter().map(ClassTime::guess).collect(),
+            times: settings.classes.iter().map(LatencyEstimate::guess).collect(),
             mix: vec![0.0; settings.classes.len()],
-            meters: vec![Meter::default(); settings.tenants.len()],
+            meters: vec![TenantMeter::default(); settings.tenants.len()],
             clock: Clock::default(),
-            subscription: Subscription::default(),
-            retries: (RETRY_BURST / f64::from(settings.gateways)).max(1.0),
-            pace: Pace::new(settings.gateways),
-            work: Work::new(&settings.classes),
-            relief: Relief::default(),
-            lost: Gauge::default(),
-            refused: Gauge::default(),
-            in_time: Gauge::default(),
-            crowd: f64::from(settings.gateways) * WINDOW_LEAST > WINDOW_START,
+            subscription: DiscoverySchedule::default(),
+            retries: (RETRY_BURST / f64::from(settings.instance_count)).max(1.0),
+            pace: ServerThroughput::new(settings.instance_count),
+            work: RequestCosts::new(&settings.classes),
+            relief: PrimaryReadAdmission::default(),
+            lost: Ewma::default(),
+            refused: Ewma::default(),
+            in_time: Ewma::default(),
+            crowd: f64::from(settings.instance_count) * MIN_LIMIT > INITIAL_LIMIT,
             cfg: settings,
             servers: BTreeMap::new(),
             out_by_hand: BTreeSet::new(),
             groups: BTreeMap::new(),
-            forecast: Forecast::default(),
+            forecast: FailoverDurations::default(),
             pending: BTreeMap::new(),
             flights: BTreeMap::new(),
-            sessions: Sessions::default(),
+            sessions: SessionTokenStore::default(),
             now: 0.0,
         })
     }
@@ -135,26 +141,26 @@
 
     fn learn(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::View(view) => self.learn_view(view),
+            Event::Endpoints(view) => self.learn_view(view),
             Event::Settings(settings) => self.retune(*settings),
-            Event::Offline(server) => self.put_out(server),
-            Event::Online(server) => self.call_back(server),
+            Event::TakenOutOfService(server) => self.put_out(server),
+            Event::ReturnedToService(server) => self.call_back(server),
             Event::Request(request) => self.accept(request, actions),
-            Event::Ended(ended) => self.learn_outcome(ended, actions),
-            Event::Started { request, .. } => {
+            Event::AttemptEnded(ended) => self.learn_outcome(ended, actions),
+            Event::StreamStarted { request, .. } => {
                 self.pending.entry(request).and_modify(|p| p.streaming = true);
             }
-            Event::Probed { server, ok, report } => self.learn_probe(server, ok, report),
-            Event::Inherited(heritage) => self.inherit(*heritage),
-            Event::Told(word) => self.learn_word(word),
+            Event::HealthChecked { server, ok, load_report: report } => self.learn_probe(server, ok, report),
+            Event::SnapshotReceived(snapshot) => self.restore(*snapshot),
+            Event::PeerMessage(word) => self.learn_word(word),
             Event::Timer(TimerId(id)) => {
                 self.clock.timer = self.clock.timer.filter(|_| id != self.clock.timers)
             }
-            Event::Left(request) => {
+            Event::ClientGone(request) => {
                 self.pending.remove(&request);
                 self.call_off(request, actions);
             }
-            Event::Peer { bytes, .. } => self.learn_peer(&bytes),
+            Event::Gossip { bytes, .. } => self.learn_peer(&bytes),
         }
     }
 
@@ -164,16 +170,16 @@
             if self.cfg.classes.get(i) != Some(class) {
                 self.work.guess(i, class);
                 match self.times.get_mut(i) {
-                    Some(time) => (*time, self.mix[i]) = (ClassTime::guess(class), 0.0),
+                    Some(time) => (*time, self.mix[i]) = (LatencyEstimate::guess(class), 0.0),
                     None => {
-                        self.times.push(ClassTime::guess(class));
+                        self.times.push(LatencyEstimate::guess(class));
                         self.mix.push(0.0);
                     }
                 }
             }
         }
-        self.meters.resize(settings.tenants.len(), Meter::default());
-        self.crowd = f64::from(settings.gateways) * WINDOW_LEAST > WINDOW_START;
+        self.meters.resize(settings.tenants.len(), TenantMeter::default());
+        self.crowd = f64::from(settings.instance_count) * MIN_LIMIT > INITIAL_LIMIT;
         self.cfg = settings;
     }
 
@@ -190,31 +196,31 @@
         let Some(server) = self.servers.get_mut(&id).filter(|_| known) else { return };
         (server.out_by_hand, server.down, server.doubt) = (false, None, 0.0);
         (server.started, server.budget, server.lag) = (Some(self.now), 1.0, f64::INFINITY);
-        server.window = Window::new(self.now, 1.0 / f64::from(self.cfg.gateways));
+        server.window = ConcurrencyLimit::new(self.now, 1.0 / f64::from(self.cfg.instance_count));
     }
 
-    fn learn_view(&mut self, view: View) {
+    fn learn_view(&mut self, view: EndpointUpdate) {
         match view {
-            View::Changes(_) | View::All(_) => self.subscription.heard(self.now),
-            View::Remembered(_) => self.subscription.remembered(),
-            View::Refused => self.subscription.refused(self.now, &self.cfg, || self.rng.random()),
+            EndpointUpdate::Changes(_) | EndpointUpdate::Full(_) => self.subscription.heard(self.now),
+            EndpointUpdate::Cached(_) => self.subscription.remembered(),
+            EndpointUpdate::Failed => self.subscription.refused(self.now, &self.cfg, || self.rng.random()),
         }
         let (entries, full) = match view {
-            View::Refused => return,
-            View::Changes(entries) => (entries, false),
-            View::All(entries) | View::Remembered(entries) => (entries, true),
+            EndpointUpdate::Failed => return,
+            EndpointUpdate::Changes(entries) => (entries, false),
+            EndpointUpdate::Full(entries) | EndpointUpdate::Cached(entries) => (entries, true),
         };
-        let (now, only_draining) = (self.now, self.cfg.contract.only_draining_binds);
-        let share = 1.0 / f64::from(self.cfg.gateways);
+        let (now, only_draining) = (self.now, self.cfg.rules.removed_may_serve);
+        let share = 1.0 / f64::from(self.cfg.instance_count);
         self.servers.values_mut().for_each(|s| s.listed &= !full);
         for entry in entries {
             let server = self.servers.entry(entry.server).or_insert_with(|| Server::new(&entry, now, share));
-            server.listed = entry.health != Health::Gone;
-            let gone = entry.health == Health::Gone && (server.barred || !only_draining);
-            server.barred = gone || entry.health == Health::Draining;
-            (server.zone, server.rating) = (entry.zone, entry.rating.max(1e-3));
-            let warm_up = secs(self.cfg.contract.warm_up);
-            if let Some(start) = entry.started.map(secs).filter(|s| now - s < warm_up) {
+            server.listed = entry.state != EndpointState::Removed;
+            let gone = entry.state == EndpointState::Removed && (server.barred || !only_draining);
+            server.barred = gone || entry.state == EndpointState::Draining;
+            (server.zone, server.rating) = (entry.zone, entry.relative_capacity.max(1e-3));
+            let warm_up = secs(self.cfg.rules.warm_up);
+            if let Some(start) = entry.started_at.map(secs).filter(|s| now - s < warm_up) {
                 if server.started.is_none_or(|known| start > known) {
                     // A random part of the first place: all gateways learn of a start at once.
                     (server.started, server.budget) = (Some(start), self.rng.random::<f64>());
@@ -222,10 +228,10 @@
                 }
             }
             let group = self.groups.entry(server.group).or_default();
-            if entry.head && !server.head && !server.closed() {
+            if entry.listed_primary && !server.head && !server.closed() {
                 group.set.listed(entry.server, now, &mut self.forecast);
             }
-            server.head = entry.head;
+            server.head = entry.listed_primary;
         }
         self.servers.retain(|_, s| s.listed || only_draining || s.in_flight > 0.0);
         self.groups.values_mut().for_each(|g| g.members.clear());
@@ -246,29 +252,34 @@
         if self.pending.contains_key(&request.id) {
             return;
         }
-        let token = match (class.need, self.cfg.session_marks) {
-            (Need::Causal, SessionMarks::Brought) => request.wrote_ago.map_or(0.0, |ago| now - secs(ago)),
-            (Need::Causal, SessionMarks::Kept) => self.sessions.required(request.session.as_deref(), now),
-            (Need::Strong, _) => now,
+        let token = match (class.consistency, self.cfg.session_tokens) {
+            (Consistency::Causal, SessionTokens::FromClient) => {
+                request.last_write_age.map_or(0.0, |ago| now - secs(ago))
+            }
+            (Consistency::Causal, SessionTokens::Tracked) => {
+                self.sessions.required(request.session.as_deref(), now)
+            }
+            (Consistency::Linearizable, _) => now,
             _ => 0.0,
         };
         let mut over_share = false; // past its quota, as far as this gateway's part of the traffic tells
         if let Some(tenant) = request.tenant {
             let meter = &mut self.meters[tenant.0];
             (meter.rate, meter.at) = (meter.rate * (-(now - meter.at) / 2.0).exp() + 0.5, now);
-            over_share = meter.rate * f64::from(self.cfg.gateways) > self.cfg.tenants[tenant.0].quota_per_s;
+            over_share =
+                meter.rate * f64::from(self.cfg.instance_count) > self.cfg.tenants[tenant.0].quota_per_s;
         }
-        let burst = (RETRY_BURST / f64::from(self.cfg.gateways)).max(1.0);
+        let burst = (RETRY_BURST / f64::from(self.cfg.instance_count)).max(1.0);
         self.retries = (self.retries + RETRY_SHARE).min(burst);
         let deadline = now + secs(request.time_left);
-        let aim = (now + secs(class.aim)).min(deadline);
+        let aim = (now + secs(class.latency_objective)).min(deadline);
         let (id, group, place) = (request.id, request.group, request.class);
-        let read = class.need != Need::Write;
+        let read = class.consistency != Consistency::Write;
         let shed = read && !self.admits(place, group);
         self.groups.entry(group).or_default();
         self.pending.insert(
             id,
-            Pending::new(request, now, aim, deadline, token, over_share, self.cfg.limits.attempts),
+            OpenRequest::new(request, now, aim, deadline, token, over_share, self.cfg.limits.max_attempts),
         );
         if (shed && !self.has_calm(id)) || (read && self.crowd && self.is_placeless(id)) {
             self.finish(id, None, actions);
@@ -276,7 +287,7 @@
     }
 
     /// Whether the primary of a read's set has room for it beside the writes of all gateways.
-    fn spares(&self, p: &Pending) -> bool {
+    fn spares(&self, p: &OpenRequest) -> bool {
         let class = &self.cfg.classes[p.request.class.0];
         let late = self.groups.get(&p.request.group).map(|g| &g.late);
         late.is_none_or(|late| self.relief.spares(late, self.now, class, &self.cfg.classes, &MEMORY))
@@ -309,7 +320,7 @@
     fn admits(&mut self, class: ClassId, group: GroupId) -> bool {
         self.mix.iter_mut().for_each(|m| *m *= MIX_KEPT);
         self.mix[class.0] += 1.0;
-        let value = |c: usize| self.cfg.classes[c].credit / self.times[c].mean.max(1e-3);
+        let value = |c: usize| self.cfg.classes[c].priority_weight / self.times[c].mean.max(1e-3);
         let above = self.mix.iter().enumerate().filter(|c| value(c.0) > value(class.0)).map(|c| c.1);
         let (above, all) = (above.sum::<f64>(), self.mix.iter().sum::<f64>());
         let pass = 1.0 - self.groups.get(&group).map_or(0.0, |g| g.shed);
@@ -321,7 +332,7 @@
             return;
         }
         // Where gateways can't tell each other, a read's end moves all groups, each by what is known of it.
-        let (now, pooled) = (self.now, !self.cfg.limits.tell);
+        let (now, pooled) = (self.now, !self.cfg.limits.allow_gossip);
         self.in_time.learn(now, f64::from(u8::from(good)), &MEMORY);
         let usual = if pooled { self.in_time.read(now, 1.0, &MEMORY) } else { 1.0 };
         for (id, load) in self.groups.iter_mut().filter(|(id, _)| pooled || **id == group) {
@@ -337,15 +348,15 @@
     /// Tells some other gateways how an attempt ended. Guards against each knowing too little of a server
     /// or group that all of them crowd. Harms by its price, and where one side's trouble is told to others.
     fn tell(&mut self, id: ServerId, ratio: f64, flags: u8, actions: &mut Vec<Action>) {
-        if !(self.cfg.limits.tell && self.crowd) {
+        if !(self.cfg.limits.allow_gossip && self.crowd) {
             return;
         }
-        let bytes = Told { server: id, ratio, flags }.encode();
-        let price = self.cfg.prices.peer * bytes.len() as f64 / 256.0;
+        let bytes = GossipMessage { server: id, ratio, flags }.encode();
+        let price = self.cfg.prices.gossip * bytes.len() as f64 / 256.0;
         for _ in 0..(PEER_SPEND / price.max(1e-9)).min(PEERS_MOST) as u32 {
-            let to = self.rng.random_range(0..self.cfg.gateways);
-            if to != self.cfg.index {
-                actions.push(Action::Tell { to: Some(to), bytes: bytes.clone() });
+            let to = self.rng.random_range(0..self.cfg.instance_count);
+            if to != self.cfg.instance_index {
+                actions.push(Action::Gossip { to: Some(to), bytes: bytes.clone() });
             }
         }
     }
@@ -353,7 +364,7 @@
     /// Learns from another gateway's attempt as from an own one, but for what one side alone may see: its
     /// word takes no server down, and settles no role, position or rule.
     fn learn_peer(&mut self, bytes: &[u8]) {
-        let Some(Told { server, ratio, flags }) = Told::decode(bytes) else { return };
+        let Some(GossipMessage { server, ratio, flags }) = GossipMessage::decode(bytes) else { return };
         let Some(server) = self.servers.get_mut(&server) else { return };
         server.slowness.learn(self.now, ratio.min(10.0), &MEMORY);
         let group = server.group;
@@ -390,15 +401,15 @@
         }
     }
 
-    fn learn_report(&mut self, id: ServerId, report: Option<Report>) {
+    fn learn_report(&mut self, id: ServerId, report: Option<LoadReport>) {
         // It is as old as a primary's position in it; a replica's may be older still.
         let Some((report, position)) = report.and_then(|r| r.position.map(|p| (r, secs(p)))) else { return };
         let primary = report.primary.filter(|p| *p);
         self.learn_stand(id, position, None, (Some(position), primary));
     }
 
-    fn learn_outcome(&mut self, ended: Ended, actions: &mut Vec<Action>) {
-        let (request, complete) = (ended.request, ended.complete);
+    fn learn_outcome(&mut self, ended: AttemptEnded, actions: &mut Vec<Action>) {
+        let (request, complete) = (ended.request, ended.request_complete);
         if let Some(flight) = self.flights.remove(&(request, ended.attempt.0)) {
             self.learn_end(ended, &flight, actions);
         }
@@ -407,52 +418,58 @@
         }
     }
 
-    fn learn_end(&mut self, ended: Ended, flight: &Flight, actions: &mut Vec<Action>) {
-        let Ended { request, attempt, server: id, outcome, note, report, .. } = ended;
+    fn learn_end(&mut self, ended: AttemptEnded, flight: &InFlightAttempt, actions: &mut Vec<Action>) {
+        let AttemptEnded { request, attempt, server: id, outcome, status: note, load_report: report, .. } =
+            ended;
         let now = self.now;
-        let need = self.cfg.classes[flight.class.0].need;
-        let note = note.unwrap_or(Note { position: None, primary: None });
+        let need = self.cfg.classes[flight.class.0].consistency;
+        let note = note.unwrap_or(ServerStatus { position: None, primary: None });
         // Who turns a write away takes none, whatever it says of its role.
-        let role = if outcome == Outcome::Miss && need == Need::Write { Some(false) } else { note.primary };
+        let role = if outcome == Outcome::Misdirected && need == Consistency::Write {
+            Some(false)
+        } else {
+            note.primary
+        };
         // What this gateway stood still was nobody's time: an answer found after it counts without it.
         let (took, mean) = (now - flight.sent, self.times[flight.class.0].mean);
         let took = (took - self.clock.stood).max(took.min(mean));
         let blamed = self.blames(request, outcome);
-        let end = End { outcome, took, blamed, primary: role == Some(true) };
+        let end = AttemptResult { outcome, took, blamed, primary: role == Some(true) };
         self.learn_server(id, flight, &end, actions);
         let set = self.servers.get(&id).and_then(|s| self.groups.get_mut(&s.group));
         if let Some(group) = set.filter(|g| g.set.primary() == Some(id)) {
             let class = &self.cfg.classes[flight.class.0];
             self.relief.ended(&mut group.late, now, class, took, outcome, &MEMORY);
         }
-        let warm = |s: &&Server| outcome == Outcome::Ok && s.cold(now, &self.cfg.contract) >= 1.0;
+        let warm = |s: &&Server| outcome == Outcome::Success && s.cold(now, &self.cfg.rules) >= 1.0;
         if let Some(group) = self.servers.get(&id).filter(warm).map(|s| s.group) {
             self.pace.answered(self.whole(group) == Some(id));
             self.work.answered(flight.class.0, self.times[flight.class.0].mean, now);
         }
-        if outcome.answered() {
+        if outcome.is_response() {
             self.servers.entry(id).and_modify(|s| s.heard = now);
             self.groups.values_mut().for_each(|g| g.set.answered(id, outcome, flight.sent, took));
             // A commit is rounded up, and its server may not have got so far.
-            let up = if outcome == Outcome::Ok && need == Need::Write { ROUNDED } else { 0.0 };
+            let up = if outcome == Outcome::Success && need == Consistency::Write { ROUNDED } else { 0.0 };
             let position = note.position.map(|position| secs(position) - up);
             self.learn_stand(id, now, Some(flight.sent), (position, role));
         }
         self.learn_report(id, report);
-        let wrote = flight.session.as_ref().filter(|_| outcome == Outcome::Ok);
+        let wrote = flight.session.as_ref().filter(|_| outcome == Outcome::Success);
         if let Some((session, commit)) = wrote.zip(note.position) {
             self.sessions.wrote(session.clone(), secs(commit));
         }
-        if need == Need::Write {
-            self.learn_write_end(id, flight.sent, outcome == Outcome::Ok, actions);
+        if need == Consistency::Write {
+            self.learn_write_end(id, flight.sent, outcome == Outcome::Success, actions);
         }
-        if matches!(outcome, Outcome::Ok | Outcome::Timeout | Outcome::Full) {
-            let read = need != Need::Write;
-            let good = outcome == Outcome::Ok && took <= secs(self.cfg.classes[flight.class.0].aim);
+        if matches!(outcome, Outcome::Success | Outcome::Timeout | Outcome::Rejected) {
+            let read = need != Consistency::Write;
+            let good = outcome == Outcome::Success
+                && took <= secs(self.cfg.classes[flight.class.0].latency_objective);
             if let Some(group) = self.servers.get(&id).map(|s| s.group).filter(|_| read) {
                 self.adjust_pass(group, good);
             }
-            if outcome != Outcome::Full {
+            if outcome != Outcome::Rejected {
                 let flags = if read { TOLD_READ } else { 0 } | if good { TOLD_GOOD } else { 0 };
                 self.tell(id, took / mean.max(1e-3), flags, actions);
             }
@@ -460,7 +477,7 @@
         let Some(p) = self.pending.get_mut(&request) else { return };
         p.out = p.out.saturating_sub(1);
         match outcome {
-            Outcome::Miss => p.turned_away.push(id),
+            Outcome::Misdirected => p.turned_away.push(id),
             _ => p.failed_at = Some(id),
         }
         p.fate.ended(attempt, outcome);
@@ -474,7 +491,7 @@
     fn learn_write_end(&mut self, id: ServerId, sent: f64, ok: bool, actions: &mut Vec<Action>) {
         let Some(group) = self.servers.get(&id).map(|s| s.group) else { return };
         let Some(before) = self.groups.entry(group).or_default().set.ended(id, sent, ok) else { return };
-        let write = |p: &Pending| self.cfg.classes[p.request.class.0].need == Need::Write;
+        let write = |p: &OpenRequest| self.cfg.classes[p.request.class.0].consistency == Consistency::Write;
         let doomed = self.pending.values().filter(|p| write(p) && p.fate.is_out_at(before));
         for request in doomed.map(|p| p.request.id).collect::<Vec<_>>() {
             self.call_off(request, actions);
@@ -483,8 +500,9 @@
     }
 
     fn call_off(&self, request: RequestId, actions: &mut Vec<Action>) {
-        let out = self.flights.range((request, 0)..=(request, u32::MAX)).filter(|_| self.cfg.limits.cancel);
-        actions.extend(out.map(|(k, _)| Action::Cancel { request, attempt: Attempt(k.1) }));
+        let out =
+            self.flights.range((request, 0)..=(request, u32::MAX)).filter(|_| self.cfg.limits.allow_cancel);
+        actions.extend(out.map(|(k, _)| Action::Cancel { request, attempt: AttemptNumber(k.1) }));
     }
 
     /// Whether an end is its server's doing. Guards against requests that fail anywhere: where a tenant's
@@ -492,19 +510,30 @@
     /// Harms a tenant whose groups alone are sick: its requests get their error at once.
     fn blames(&mut self, request: RequestId, outcome: Outcome) -> bool {
         let tenant = self.pending.get(&request).and_then(|p| p.request.tenant);
-        let told = matches!(outcome, Outcome::Ok | Outcome::Error);
+        let told = matches!(outcome, Outcome::Success | Outcome::ServerError);
         let Some(tenant) = tenant.filter(|_| told) else { return true };
         let now = self.now;
-        self.meters[tenant.0].errors.learn(now, f64::from(u8::from(outcome == Outcome::Error)), &MEMORY);
-        let errors = |m: &Meter| m.errors.read(now, 0.0, &MEMORY);
+        self.meters[tenant.0].errors.learn(
+            now,
+            f64::from(u8::from(outcome == Outcome::ServerError)),
+            &MEMORY,
+        );
+        let errors = |m: &TenantMeter| m.errors.read(now, 0.0, &MEMORY);
         let others = self.meters.iter().enumerate().filter(|(i, _)| *i != tenant.0);
         let rest = others.fold((0.0, 0.1), |(e, n), (_, m)| (e + errors(m), n + 1.0));
-        outcome == Outcome::Ok || errors(&self.meters[tenant.0]) < (4.0 * rest.0 / rest.1).max(ERRORS_OWN)
+        outcome == Outcome::Success
+            || errors(&self.meters[tenant.0]) < (4.0 * rest.0 / rest.1).max(ERRORS_OWN)
     }
 
     /// What an attempt's end says of its server and of the ways there.
-    fn learn_server(&mut self, id: ServerId, flight: &Flight, end: &End, actions: &mut Vec<Action>) {
-        let (now, outcome, took, ok) = (self.now, end.outcome, end.took, end.outcome == Outcome::Ok);
+    fn learn_server(
+        &mut self,
+        id: ServerId,
+        flight: &InFlightAttempt,
+        end: &AttemptResult,
+        actions: &mut Vec<Action>,
+    ) {
+        let (now, outcome, took, ok) = (self.now, end.outcome, end.took, end.outcome == Outcome::Success);
         let Some(server) = self.servers.get_mut(&id) else { return };
         // Guards against jams that feed themselves: work given up on is often still done, and keeps its
         // place in the window for as long again. Harms where servers drop such work at once.
@@ -520,12 +549,12 @@
                 let seen = took.min(6.0 * usual); // a few costly requests don't speak for the class
                 time.dev += GAIN_CLASS * ((seen - usual).abs() - time.dev);
                 time.mean += GAIN_CLASS * (seen - usual);
-                let aim = secs(self.cfg.classes[flight.class.0].aim);
+                let aim = secs(self.cfg.classes[flight.class.0].latency_objective);
                 server.window.completed(ok && took <= 0.5 * aim);
             }
         }
-        if end.blamed && !matches!(outcome, Outcome::Cancelled | Outcome::Moot | Outcome::Miss) {
-            let failed = matches!(outcome, Outcome::Error | Outcome::Full);
+        if end.blamed && !matches!(outcome, Outcome::Cancelled | Outcome::NotSent | Outcome::Misdirected) {
+            let failed = matches!(outcome, Outcome::ServerError | Outcome::Rejected);
             server.errors.learn(now, f64::from(u8::from(failed)), &MEMORY);
         }
         let lost = match outcome {
@@ -535,11 +564,11 @@
         };
         let common: f64 = self.lost.read(now, LOST_USUAL, &MEMORY).clamp(LOST_USUAL, 0.9);
         let refused = outcome == Outcome::ConnectFailed && took < 0.5 * secs(self.cfg.limits.connect_timeout);
-        if lost || outcome.answered() {
+        if lost || outcome.is_response() {
             self.lost.learn(now, f64::from(u8::from(lost)), &MEMORY);
         }
         // One that refuses and soon answers again was short of connections; one that is dead takes longer.
-        if outcome.answered() {
+        if outcome.is_response() {
             let short = server.refused_at > 0.0 && now - server.refused_at < DEAD_LEAST;
             self.refused.learn(now, f64::from(u8::from(short)), &MEMORY);
         } else if refused {
@@ -548,26 +577,26 @@
         // Where connects are refused at once, an idle connection is given back. Guards against few busy
         // servers held by many gateways that seldom send. Harms by further handshakes.
         if server.in_flight < 1.0 && self.crowd && self.refused.read(now, 0.0, &MEMORY) > REFUSED_SHARE {
-            actions.push(Action::Close { server: id });
+            actions.push(Action::CloseIdle { server: id });
         }
-        if outcome.answered() {
+        if outcome.is_response() {
             server.doubt = 0.0;
             if let Some(down) = server.down.take() {
                 // Dead for long enough to start anew, it is cold though the list tells late: unless it is
                 // still the primary, or most attempts fail, which is the way there.
-                let least = if self.cfg.limits.probes { DEAD_LEAST } else { 2.0 * DEAD_LEAST };
-                let dead = (down.dead || !self.cfg.limits.probes) && now - down.since > least;
+                let least = if self.cfg.limits.allow_health_checks { DEAD_LEAST } else { 2.0 * DEAD_LEAST };
+                let dead = (down.dead || !self.cfg.limits.allow_health_checks) && now - down.since > least;
                 if dead && !end.primary && common < 0.5 {
                     (server.started, server.budget) = (Some(now), 0.0);
-                    server.window = Window::new(now, 1.0 / f64::from(self.cfg.gateways));
+                    server.window = ConcurrencyLimit::new(now, 1.0 / f64::from(self.cfg.instance_count));
                     actions.push(Action::Log(format!("server {} answers again", id.0)));
                 }
             }
         }
         let short = outcome == Outcome::ConnectFailed && now - server.heard < 0.5 * TRIAL_FIRST;
-        if short || outcome == Outcome::Full {
+        if short || outcome == Outcome::Rejected {
             server.hold_until = now + (0.1 / (1.0 - server.errors.read(now, 0.0, &MEMORY))).min(1.0);
-            server.window.max = (server.window.max - 1.0).max(WINDOW_LEAST);
+            server.window.max = (server.window.max - 1.0).max(MIN_LIMIT);
         } else if lost {
             // Speaks against its server the more, the rarer such ends are. Guards against dead, hung and
             // cut off servers where few requests tell, and against blaming one for what ails all. A broken
@@ -582,13 +611,13 @@
             if let Some(down) = &mut server.down {
                 down.trial_at = down.trial_at.max(now + down.pause);
             } else if server.doubt > DOUBT_MOST {
-                server.down = Some(Down::soon(now, outcome != Outcome::Timeout));
+                server.down = Some(DownState::soon(now, outcome != Outcome::Timeout));
                 actions.push(Action::Log(format!("server {} gives no answers", id.0)));
             }
         }
     }
 
-    fn learn_probe(&mut self, id: ServerId, ok: bool, report: Option<Report>) {
+    fn learn_probe(&mut self, id: ServerId, ok: bool, report: Option<LoadReport>) {
         let (now, Some(server)) = (self.now, self.servers.get_mut(&id)) else { return };
         server.probing = false;
         if let Some(down) = &mut server.down {
@@ -603,7 +632,7 @@
 
     fn follow_list(&mut self, actions: &mut Vec<Action>) {
         // Where the list must be asked for: subscribe, and take a missing answer for a failure.
-        let subscribe = self.cfg.discovery == Discovery::Subscribe;
+        let subscribe = self.cfg.discovery == DiscoveryMode::Subscribe;
         if subscribe && self.subscription.asks(self.now, &self.cfg, || self.rng.random()) {
             actions.push(Action::Watch { on: true });
         }
@@ -616,7 +645,7 @@
             (group.waiting, group.writes_waiting) = (0, 0);
         }
         for p in self.pending.values().filter(|p| p.out == 0) {
-            let write = self.cfg.classes[p.request.class.0].need == Need::Write;
+            let write = self.cfg.classes[p.request.class.0].consistency == Consistency::Write;
             let group = self.groups.entry(p.request.group).or_default();
             (group.waiting, group.writes_waiting) =
                 (group.waiting + 1, group.writes_waiting + usize::from(write));
@@ -634,7 +663,7 @@
             self.servers.entry(flight.server).and_modify(|s| s.oldest = s.oldest.min(flight.sent));
         }
         let pace = self.pace();
-        let contract = &self.cfg.contract;
+        let contract = &self.cfg.rules;
         for (&id, server) in &mut self.servers {
             let cold = server.cold(now, contract);
             if server.down.is_some() || cold < 1.0 {
@@ -643,12 +672,17 @@
             let waiting = self.groups.get(&server.group).map_or(0, |g| g.waiting);
             server.window.period(now, server.in_flight, waiting as f64);
             let rate = COLD_MARGIN * contract.overload_factor * cold * pace * server.rating;
-            let most = (rate * secs(contract.overload_for) * 0.5).max(COLD_SAVED);
+            let most = (rate * secs(contract.overload_duration) * 0.5).max(COLD_SAVED);
             server.budget = (server.budget + rate * self.clock.elapsed).min(most);
             let trial = server.down.as_ref().is_some_and(|d| now >= d.trial_at && !d.probed);
-            if trial && self.cfg.limits.probes && !server.probing && server.listed && !server.out_by_hand {
+            if trial
+                && self.cfg.limits.allow_health_checks
+                && !server.probing
+                && server.listed
+                && !server.out_by_hand
+            {
                 server.probing = true;
-                actions.push(Action::Probe { server: id });
+                actions.push(Action::HealthCheck { server: id });
             }
         }
     }
@@ -662,7 +696,7 @@
     /// Answers a second that this gateway gets from a warm server of rating 1: over all gateways that is what
     /// one manages, however few are taken to be up.
     fn pace(&mut self) -> f64 {
-        let warm = |s: &&Server| !s.closed() && s.cold(self.now, &self.cfg.contract) >= 1.0;
+        let warm = |s: &&Server| !s.closed() && s.cold(self.now, &self.cfg.rules) >= 1.0;
         let rated: f64 = self.servers.values().filter(warm).map(|s| s.rating).sum();
         let primaries = self.groups.keys().filter_map(|g| self.servers.get(&self.whole(*g)?));
         let primaries: f64 = primaries.filter(warm).map(|s| s.rating).sum();
@@ -672,7 +706,7 @@
 
     /// Looks at each group's primary: its silence, beside what is usual there and what it owes.
     fn watch_primaries(&mut self, actions: &mut Vec<Action>) {
-        let (now, times) = (self.now, self.cfg.failover.patience);
+        let (now, times) = (self.now, self.cfg.failover.suspicion_factor);
         let slowest = self.times.iter().max_by(|a, b| a.mean.total_cmp(&b.mean));
         for (id, Group { set, writes_waiting: waiting, .. }) in &mut self.groups {
             let server = set.watched().and_then(|watched| Some((watched, self.servers.get(&watched)?)));
@@ -680,9 +714,12 @@
             let owed = self.flights.values().filter(|f| f.server == watched && set.is_owed(f.sent));
             let (owed, oldest) = owed
                 .fold((0, None), |(n, first), f| (n + 1, Some(first.map_or(f.sent, |t: f64| t.min(f.sent)))));
-            let (heard, down, cold) = (server.heard, server.down.is_some(), &self.cfg.contract);
-            let patience = Patience { usual: time.mean, slow: 1.0 / server.cold(now, cold), times, owed };
-            if let Some(phase) = set.watch(now, &Sight { heard, oldest, down, patience, waiting: *waiting }) {
+            let (heard, down, cold) = (server.heard, server.down.is_some(), &self.cfg.rules);
+            let patience =
+                SilenceThreshold { usual: time.mean, slow: 1.0 / server.cold(now, cold), times, owed };
+            if let Some(phase) =
+                set.watch(now, &PrimaryObservation { heard, oldest, down, patience, waiting: *waiting })
+            {
                 actions.push(Action::Log(format!("group {} is {phase}; {waiting} writes wait", id.0)));
             }
         }
@@ -692,13 +729,13 @@
         let mut order: Vec<(f64, f64, RequestId)> =
             self.pending.values().filter(|p| p.out == 0 && !p.streaming).map(|p| self.rank(p)).collect();
         order.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.total_cmp(&b.1)).then(a.2.cmp(&b.2)));
-        let (mut queued, mut holding) = (BTreeMap::<GroupId, f64>::new(), Holding::default());
+        let (mut queued, mut holding) = (BTreeMap::<GroupId, f64>::new(), BufferUsage::default());
         for (_, _, id) in order {
             let Some(p) = self.pending.get(&id) else { continue };
-            let (group, bytes) = (p.request.group, p.request.bytes);
-            let write = self.cfg.classes[p.request.class.0].need == Need::Write;
+            let (group, bytes) = (p.request.group, p.request.statement_bytes);
+            let write = self.cfg.classes[p.request.class.0].consistency == Consistency::Write;
             let stay = self.stay(p).filter(|_| write);
-            let refused = stay.and_then(Stay::refused);
+            let refused = stay.and_then(BufferDecision::refused);
             if refused.is_some() || !self.may_send(p) || self.hopeless(p) {
                 self.groups.entry(group).or_default().shed_at = self.now;
                 self.finish(id, refused, actions);
@@ -712,7 +749,7 @@
             let length = queued.entry(group).or_default();
             *length += f64::from(u8::from(stay.is_none()));
             let windows = self.members(group).filter(|(_, s)| !s.closed()).map(|(_, s)| s.window.max);
-            let room = QUEUE_PER_WINDOW * windows.sum::<f64>().max(WINDOW_START);
+            let room = QUEUE_PER_WINDOW * windows.sum::<f64>().max(INITIAL_LIMIT);
             let held = stay.is_none() || holding.admits(group, bytes, &self.cfg.failover);
             if *length > room || !held {
                 self.finish(id, None, actions);
@@ -720,79 +757,79 @@
         }
     }
 
-    fn rank(&self, p: &Pending) -> (f64, f64, RequestId) {
+    fn rank(&self, p: &OpenRequest) -> (f64, f64, RequestId) {
         let class = &self.cfg.classes[p.request.class.0];
         let time = self.times[p.request.class.0].mean.max(1e-3);
         let late = self.now + 0.5 * time > p.aim;
-        let share = if p.over_share { self.cfg.over_share_worth } else { 1.0 };
-        let worth = class.credit * share * if late { class.late_value } else { 1.0 };
+        let share = if p.over_share { self.cfg.over_quota_weight } else { 1.0 };
+        let worth = class.priority_weight * share * if late { class.late_weight } else { 1.0 };
         // Guards against serving all just too late: where reads wait in vain, the youngest has time left.
         let shed = self.groups.get(&p.request.group).map_or(0.0, |g| g.shed_at);
-        let youngest = class.need != Need::Write && self.now - shed < PRESSED;
+        let youngest = class.consistency != Consistency::Write && self.now - shed < PRESSED;
         let turn = if youngest { -p.arrived } else { p.arrived };
         // What a change of primary held goes out by its deadline.
-        let held = |g: &Group| class.need == Need::Write && g.set.releases();
+        let held = |g: &Group| class.consistency == Consistency::Write && g.set.releases();
         let held = self.groups.get(&p.request.group).is_some_and(held);
         (worth / time, if held { p.deadline } else { turn }, p.request.id)
     }
 
-    fn hopeless(&self, p: &Pending) -> bool {
+    fn hopeless(&self, p: &OpenRequest) -> bool {
         let class = &self.cfg.classes[p.request.class.0];
-        let until = if class.late_value > 0.0 { p.deadline } else { p.aim };
+        let until = if class.late_weight > 0.0 { p.deadline } else { p.aim };
         // The estimate never shuts a class out by itself: a class that is never sent teaches nothing again.
         let time = &self.times[p.request.class.0];
-        let mean = time.mean.min(0.8 * secs(class.aim).min(p.deadline - p.arrived));
-        self.now + time.needed(mean, class.effect) >= until || self.unplaced(p)
+        let mean = time.mean.min(0.8 * secs(class.latency_objective).min(p.deadline - p.arrived));
+        self.now + time.needed(mean, class.idempotency) >= until || self.unplaced(p)
     }
 
     /// A read where reads have just waited in vain, for near half its time. Guards against keeping its client
     /// from asking again: of such reads the youngest go ahead. Harms clients that never ask again.
-    fn unplaced(&self, p: &Pending) -> bool {
-        let read = self.cfg.classes[p.request.class.0].need != Need::Write;
+    fn unplaced(&self, p: &OpenRequest) -> bool {
+        let read = self.cfg.classes[p.request.class.0].consistency != Consistency::Write;
         let shed = self.groups.get(&p.request.group).map_or(0.0, |g| g.shed_at);
         let pressed = read && p.attempts == 0 && self.now - shed < PRESSED;
         pressed && self.now >= p.arrived + PLACED_WITHIN * (p.deadline - p.arrived)
     }
 
     /// Whether a write waits on where its group takes none; nothing where it takes some, or only pauses.
-    fn stay(&self, p: &Pending) -> Option<Stay> {
+    fn stay(&self, p: &OpenRequest) -> Option<BufferDecision> {
         let outlook = self.groups.get(&p.request.group)?.set.outlook(self.now, &self.forecast)?;
         let takes = 0.8 * self.times[p.request.class.0].mean.min(p.deadline - p.arrived);
         let (arrived, deadline, reached) = (p.arrived, p.deadline, !p.turned_away.is_empty());
-        let hold = Hold { arrived, deadline, takes, reached, outlook };
+        let hold = BufferedWrite { arrived, deadline, takes, reached, outlook };
         Some(hold.decide(self.now, &self.cfg.failover))
     }
 
-    fn may_send(&self, p: &Pending) -> bool {
+    fn may_send(&self, p: &OpenRequest) -> bool {
         let class = &self.cfg.classes[p.request.class.0];
-        let again = match (p.fate.ran(), class.effect) {
+        let again = match (p.fate.ran(), class.idempotency) {
             (None, _) => true,
-            (Some(_), Effect::Repeatable) => self.retries >= 1.0,
-            (Some((first, _)), Effect::Keyed { window, .. }) => self.now + 0.01 < first + secs(window),
-            (Some(_), Effect::Once) => false,
+            (Some(_), Idempotency::Idempotent) => self.retries >= 1.0,
+            (Some((first, _)), Idempotency::WithKey { window, .. }) => self.now + 0.01 < first + secs(window),
+            (Some(_), Idempotency::NonIdempotent) => false,
         };
         again && p.attempts < p.most_attempts && self.now < p.deadline
     }
 
     /// Rules 2 to 5, just before a send: whether this server may have this request now.
-    fn permitted(&self, p: &Pending, id: ServerId, server: &Server) -> bool {
+    fn permitted(&self, p: &OpenRequest, id: ServerId, server: &Server) -> bool {
         let class = &self.cfg.classes[p.request.class.0];
-        let zoned = matches!(class.effect, Effect::Keyed { scope: DedupScope::Zone, .. });
+        let zoned = matches!(class.idempotency, Idempotency::WithKey { scope: KeyScope::Zone, .. });
         let first = p.fate.ran().and_then(|(_, first)| self.servers.get(&first));
         let scope = !zoned || p.fate.ran().is_none() || first.is_some_and(|f| f.zone == server.zone);
         let cost = self.work.cost(p.request.class.0);
-        let cold = server.cold(self.now, &self.cfg.contract) >= 1.0 || server.budget >= cost;
+        let cold = server.cold(self.now, &self.cfg.rules) >= 1.0 || server.budget >= cost;
         let primary = self.groups.get(&server.group).and_then(|g| g.set.primary()) == Some(id);
-        let current = self.cfg.checks != Checks::Silent
-            || class.need == Need::Write
+        let current = self.cfg.stale_read_policy != StaleReadPolicy::AnswerStale
+            || class.consistency == Consistency::Write
             || (primary && server.replica_at.is_none())
             || server.position >= self.required(p);
         server.group == p.request.group && !server.closed() && scope && cold && current
     }
 
-    fn required(&self, p: &Pending) -> f64 {
-        match self.cfg.classes[p.request.class.0].need {
-            Need::Bounded(age) => self.now - secs(age),
+    fn required(&self, p: &OpenRequest) -> f64 {
+        match self.cfg.classes[p.request.class.0].consistency {
+            Consistency::BoundedStaleness(age) => self.now - secs(age),
             _ => p.token,
         }
     }
@@ -812,7 +849,7 @@
                 return None;
             }
             let first = p.attempts == 0 && p.most_attempts > 2 && set.phase() == Phase::Steady;
-            let wanted = Wanted::new(&self.cfg, self.crowd, now).filter(|_| first);
+            let wanted = PositionDemand::new(&self.cfg, self.crowd, now).filter(|_| first);
             let replicas = self.members(p.request.group).filter(|m| m.0 != primary);
             let may = |id, s: &Server| !set.is_deposed(id) && s.has_room(now) && self.permitted(p, id, s);
             let asked = wanted.and_then(|wanted| scout(replicas, wanted, now, may, id.0));
@@ -841,12 +878,13 @@
             self.members(p.request.group).filter(may).partition(|(_, s)| s.down.is_none());
         // A server that is down gets one fresh read as a trial when its time has come, or any read soon
         // where no member of the group is up.
-        let due = |d: &Down| {
-            let ready = p.attempts == 0 && now >= d.trial_at && (d.probed || !self.cfg.limits.probes);
+        let due = |d: &DownState| {
+            let ready =
+                p.attempts == 0 && now >= d.trial_at && (d.probed || !self.cfg.limits.allow_health_checks);
             ready || (up.is_empty() && now >= d.trial_at - d.pause + TRIAL_FIRST)
         };
         let due: Vec<_> = down.iter().filter(|(_, s)| s.down.as_ref().is_some_and(due)).collect();
-        if class.effect == Effect::Repeatable && !due.is_empty() {
+        if class.idempotency == Idempotency::Idempotent && !due.is_empty() {
             let i = due[draw % due.len()].0;
             let timeout = (self.times[p.request.class.0].mean * 3.0).min(p.deadline - now);
             let rate = self.pace.total(&MEMORY);
@@ -856,15 +894,17 @@
             return Some((i, timeout));
         }
         // A silent primary gets a read, to see whether it answers.
-        let canary = group.set.canary(now).filter(|_| class.effect == Effect::Repeatable && p.attempts == 0);
+        let canary =
+            group.set.canary(now).filter(|_| class.idempotency == Idempotency::Idempotent && p.attempts == 0);
         let canary = up.iter().find(|(i, s)| canary == Some(*i) && s.has_room(now)).copied();
         let busy = |s: &Server| self.busy(s, p);
         // Where replicas check, one is taken to be as far behind as when it last told: a wrong guess costs
         // a miss. Guards against all reads of a gateway that seldom hears ending at one member.
-        let guess = self.cfg.checks != Checks::Silent;
+        let guess = self.cfg.stale_read_policy != StaleReadPolicy::AnswerStale;
         let fits = |s: &Server| s.position >= required || (guess && now - s.lag >= required);
         let primary = group.set.primary();
-        let replica = |s: &(ServerId, &Server)| class.need != Need::Strong && primary != Some(s.0);
+        let replica =
+            |s: &(ServerId, &Server)| class.consistency != Consistency::Linearizable && primary != Some(s.0);
         let fresh: Vec<_> = up.iter().filter(|s| replica(s) && fits(s.1)).collect();
         let mut open: Vec<_> = fresh.iter().filter(|(_, s)| s.has_room(now)).collect();
         if open.len() > 1 {
@@ -881,8 +921,11 @@
             chosen = open.iter().find(|s| !guess && unheard(s.1)).map(|s| ***s).or(chosen);
         }
         // What any member may serve goes where others' reads can't, and keeps that one from catching up.
-        let spent = |s: &(ServerId, &Server)| s.1.lag > SPENT.0 && busy(s.1) < SPENT.1 * secs(class.aim);
-        let spent = open.iter().filter(|s| !self.crowd && class.need == Need::Eventual && spent(s));
+        let spent = |s: &(ServerId, &Server)| {
+            s.1.lag > SPENT.0 && busy(s.1) < SPENT.1 * secs(class.latency_objective)
+        };
+        let spent =
+            open.iter().filter(|s| !self.crowd && class.consistency == Consistency::Eventual && spent(s));
         chosen = spent.max_by(|a, b| a.1.lag.total_cmp(&b.1.lag)).map(|s| ***s).or(chosen);
         if chosen.is_none() && fresh.is_empty() && guess {
             let ahead = up.iter().filter(|s| replica(s) && s.1.has_room(now) && now - s.1.heard > 1.0);
@@ -900,41 +943,42 @@
             let spare = !self.crowd || (s.slowness_at(now) < SPILL && self.spares(p));
             spare && s.has_room(now) && turn && s.in_flight < most
         });
-        let warm = |s: &Server| s.cold(now, &self.cfg.contract) >= 1.0; // the cold warm up by work
+        let warm = |s: &Server| s.cold(now, &self.cfg.rules) >= 1.0; // the cold warm up by work
         let far = |s: &Server, c: &Server| warm(c) && SPILL * busy(s) < busy(c);
         let relief = primary.filter(|(_, s)| chosen.is_none_or(|c| far(s, c.1)));
         let choice = canary.or(relief.copied()).or(chosen).map(|(i, s)| (i, self.timeout(p, s)));
-        if let Probing::Ask(server, _) = probing {
+        if let ProbeDecision::Ask(server, _) = probing {
             let s = self.servers.get_mut(&server)?;
             (s.probing, s.asked) = (true, now);
             self.pending.get_mut(&id)?.asked = true;
-            actions.push(Action::Probe { server });
+            actions.push(Action::HealthCheck { server });
         }
-        choice.filter(|_| !matches!(probing, Probing::Waits | Probing::Ask(_, true)))
+        choice.filter(|_| !matches!(probing, ProbeDecision::Waits | ProbeDecision::Ask(_, true)))
     }
 
     /// How long a further request would take there, with the price of another zone.
-    fn busy(&self, s: &Server, p: &Pending) -> f64 {
+    fn busy(&self, s: &Server, p: &OpenRequest) -> f64 {
         let mine = self.times[p.request.class.0].mean;
-        let cold = s.cold(self.now, &self.cfg.contract);
+        let cold = s.cold(self.now, &self.cfg.rules);
         let overdue =
             if s.oldest.is_finite() { (self.now - s.oldest.max(s.heard)) / (2.0 * mine) } else { 0.0 };
         let slowness = s.slowness_at(self.now).max(overdue).max(1.0) / cold;
         let sure = (1.0 - s.errors.read(self.now, 0.0, &MEMORY)).max(0.05).powi(3);
         let crossing = if s.zone == self.cfg.zone { 0.0 } else { self.cfg.prices.cross_zone };
-        (s.load + mine) * slowness / sure + 2.0 * crossing * secs(self.cfg.classes[p.request.class.0].aim)
+        (s.load + mine) * slowness / sure
+            + 2.0 * crossing * secs(self.cfg.classes[p.request.class.0].latency_objective)
     }
 
     /// A time-out beyond which an answer is unlikely to come, where the request could then go elsewhere.
-    fn timeout(&self, p: &Pending, server: &Server) -> f64 {
+    fn timeout(&self, p: &OpenRequest, server: &Server) -> f64 {
         let left = p.deadline - self.now;
         let class = &self.cfg.classes[p.request.class.0];
         let time = &self.times[p.request.class.0];
         let enough = (time.mean + 6.0 * time.dev) * server.slowness_at(self.now).clamp(1.0, 3.0);
         let shedding = self.groups.get(&server.group).is_some_and(|g| g.shed > 0.05);
-        match class.effect {
-            Effect::Once => left,
-            _ if p.attempts > 1 || self.retries < 1.0 || shedding || class.stream => left,
+        match class.idempotency {
+            Idempotency::NonIdempotent => left,
+            _ if p.attempts > 1 || self.retries < 1.0 || shedding || class.streaming => left,
             _ => enough.min(left),
         }
     }
@@ -947,48 +991,48 @@
         server.load += expected;
         server.oldest = server.oldest.min(now);
         server.window.peak = server.window.peak.max(server.in_flight);
-        if server.cold(now, &self.cfg.contract) < 1.0 {
+        if server.cold(now, &self.cfg.rules) < 1.0 {
             server.budget -= self.work.cost(p.request.class.0);
         }
         if p.fate.ran().is_some() {
             self.retries -= 1.0;
         }
         p.fate.sent(p.attempts, to, now);
-        let write = self.cfg.classes[p.request.class.0].need == Need::Write;
+        let write = self.cfg.classes[p.request.class.0].consistency == Consistency::Write;
         self.groups.entry(p.request.group).and_modify(|g| g.set.took_place(to, write, now));
-        let kept = write && self.cfg.session_marks == SessionMarks::Kept;
+        let kept = write && self.cfg.session_tokens == SessionTokens::Tracked;
         let session = p.request.session.clone().filter(|_| kept);
-        let flight = Flight { server: to, class: p.request.class, session, sent: now, expected };
+        let flight = InFlightAttempt { server: to, class: p.request.class, session, sent: now, expected };
         self.flights.insert((id, p.attempts), flight);
         p.attempts += 1;
         p.out += 1;
         let timeout = Duration::from_secs_f64(timeout.max(0.001));
-        actions.push(Action::Send { request: id, server: to, timeout });
+        actions.push(Action::Forward { request: id, server: to, timeout });
     }
 
     /// Gives the final answer, at once; `back`: in so many s its group is expected to take writes again.
     fn finish(&mut self, id: RequestId, back: Option<f64>, actions: &mut Vec<Action>) {
         let Some(p) = self.pending.remove(&id) else { return };
-        if p.fate.verdict(self.cfg.classes[p.request.class.0].effect) == Verdict::Unknown {
+        if p.fate.verdict(self.cfg.classes[p.request.class.0].idempotency) == RetrySafety::Unknown {
             return actions.push(Action::Fail { request: id });
         }
         // What no late answer can earn is better not asked again soon; the rest is worth a second try.
-        let (late, limits) = (self.cfg.classes[p.request.class.0].late_value, &self.cfg.limits);
+        let (late, limits) = (self.cfg.classes[p.request.class.0].late_weight, &self.cfg.limits);
         let usual = limits.max_retry_after.mul_f64(if late > 0.0 { 0.5 } else { 1.0 });
         let hint = back.map_or(usual, |back| hint(back, limits.max_retry_after));
-        actions.push(Action::Refuse { request: id, retry_after: limits.retry_after.then_some(hint) });
+        actions.push(Action::Reject { request: id, retry_after: limits.send_retry_after.then_some(hint) });
     }
 
     fn wake(&mut self, actions: &mut Vec<Action>) {
         let waiting = self.pending.values().any(|p| p.out == 0);
-        let soon = if waiting { 2.0 * secs(self.cfg.tick).max(0.005) } else { JUDGE_EVERY };
+        let soon = if waiting { 2.0 * secs(self.cfg.min_step_interval).max(0.005) } else { JUDGE_EVERY };
         let after = if self.pending.is_empty() { 0.2 } else { soon };
         let at = self.now + after;
         if self.clock.timer.is_none_or(|t| t > at + 0.001 || t < self.now) {
             self.clock.timers += 1;
             self.clock.timer = Some(at);
             let (after, id) = (Duration::from_secs_f64(after), TimerId(self.clock.timers));
-            actions.push(Action::Timer { after, id });
+            actions.push(Action::SetTimer { after, id });
         }
     }
 }
--- a/core/src/state.rs
+++ b/core/src/routing/state.rs
@@ -1,16 +1,12 @@
 //! What the decision module remembers: plain data, times in seconds. What is done with it is in `decide.rs`.
 
-use std::time::Duration;
-
-use crate::estimate::Gauge;
-use crate::failover::{Fate, Set};
-use crate::interface::{
-    Class, ClassId, Contract, Effect, Entry, GroupId, Outcome, Request, ServerId, ZoneId,
-};
-use crate::window::Window;
+use crate::api::{ClassId, Endpoint, GroupId, Outcome, Request, ServerId, ServiceRules, ZoneId};
+use crate::concurrency_limit::ConcurrencyLimit;
+use crate::ewma::Ewma;
+use crate::failover::{AttemptLog, ReplicaSet};
 
 /// A server that gives no answers: what is known of its state, and when it is tried again.
-pub(crate) struct Down {
+pub(crate) struct DownState {
     pub since: f64,
     pub trial_at: f64,
     pub pause: f64,
@@ -23,7 +19,7 @@
 /// Time in s until a server that is down gets a trial.
 pub(crate) const TRIAL_FIRST: f64 = 0.3;
 
-impl Down {
+impl DownState {
     /// Its first trial comes soon.
     pub fn soon(now: f64, dead: bool) -> Self {
         Self { since: now, trial_at: now + TRIAL_FIRST, pause: TRIAL_FIRST, probed: false, dead }
@@ -53,8 +49,8 @@
     pub oldest: f64,
     /// Attempts given up on that may still be worked on there: until when, and their expected time.
     pub ghosts: Vec<(f64, f64)>,
-    pub slowness: Gauge,
-    pub errors: Gauge,
+    pub slowness: Ewma,
+    pub errors: Ewma,
     pub hold_until: f64,
     /// When it last refused a connection.
     pub refused_at: f64,
@@ -63,30 +59,30 @@
     pub asked: f64,
     /// Evidence that it gives no answers, as log odds.
     pub doubt: f64,
-    pub down: Option<Down>,
+    pub down: Option<DownState>,
     pub started: Option<f64>,
     pub budget: f64,
-    pub window: Window,
+    pub window: ConcurrencyLimit,
 }
 
 #[derive(Default)]
 pub(crate) struct Group {
     /// How many of its reads of late were answered in time, and the share of reads that is turned away.
-    pub in_time: Gauge,
+    pub in_time: Ewma,
     pub shed: f64,
     /// Share of its primary's answers that came late.
-    pub late: Gauge,
+    pub late: Ewma,
     /// In id order.
     pub members: Vec<ServerId>,
     /// Who its primary is, and the change that is under way.
-    pub set: Set,
+    pub set: ReplicaSet,
     pub writes_waiting: usize,
     /// When a request last waited here in vain.
     pub shed_at: f64,
     pub waiting: usize,
 }
 
-pub(crate) struct Pending {
+pub(crate) struct OpenRequest {
     pub request: Request,
     pub arrived: f64,
     pub aim: f64,
@@ -98,7 +94,7 @@
     pub most_attempts: u32,
     pub out: u32,
     /// What has become of its attempts.
-    pub fate: Fate,
+    pub fate: AttemptLog,
     pub turned_away: Vec<ServerId>,
     pub failed_at: Option<ServerId>,
     pub over_share: bool,
@@ -108,7 +104,7 @@
 }
 
 /// How an attempt ended.
-pub(crate) struct End {
+pub(crate) struct AttemptResult {
     pub outcome: Outcome,
     pub took: f64,
     /// It is the server's doing.
@@ -117,7 +113,7 @@
     pub primary: bool,
 }
 
-impl Pending {
+impl OpenRequest {
     pub fn new(
         request: Request,
         arrived: f64,
@@ -135,7 +131,7 @@
             attempts: 0,
             most_attempts,
             out: 0,
-            fate: Fate::default(),
+            fate: AttemptLog::default(),
             turned_away: Vec::new(),
             failed_at: None,
             over_share,
@@ -146,7 +142,7 @@
     }
 }
 
-pub(crate) struct Flight {
+pub(crate) struct InFlightAttempt {
     pub server: ServerId,
     pub class: ClassId,
     /// Whose write it is, where this proxy keeps marks.
@@ -155,27 +151,9 @@
     pub expected: f64,
 }
 
-pub(crate) struct ClassTime {
-    pub mean: f64,
-    pub dev: f64,
-}
-
-impl ClassTime {
-    /// Time that must be left for a request that takes `time`, so that it is worth sending. What may run only once
-    /// needs some more: where its answer came too late nobody could say whether it ran.
-    pub fn needed(&self, time: f64, effect: Effect) -> f64 {
-        0.8 * time + if effect == Effect::Once { 0.2 * time + 2.0 * self.dev.min(time) } else { 0.0 }
-    }
-
-    /// What is taken for a class's time before any answer.
-    pub fn guess(class: &Class) -> Self {
-        Self { mean: secs(class.aim) / 4.0, dev: secs(class.aim) / 8.0 }
-    }
-}
-
 #[derive(Default, Clone)]
-pub(crate) struct Meter {
-    pub errors: Gauge,
+pub(crate) struct TenantMeter {
+    pub errors: Ewma,
     pub rate: f64,
     pub at: f64,
 }
@@ -192,14 +170,14 @@
 }
 
 /// What one gateway tells another of an attempt.
-pub(crate) struct Told {
+pub(crate) struct GossipMessage {
     pub server: ServerId,
     /// Its time by the usual time of its class.
     pub ratio: f64,
     pub flags: u8,
 }
 
-impl Told {
+impl GossipMessage {
     /// The server's id, low byte first, the ratio in eighths, the flags.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = self.server.0.to_le_bytes().to_vec();
@@ -217,16 +195,16 @@
 
 impl Server {
     /// One that was just listed; `share` is the part of its work that comes through this gateway.
-    pub fn new(entry: &Entry, now: f64, share: f64) -> Self {
-        let window = Window::new(now, share);
-        let Entry { zone, group, .. } = *entry;
+    pub fn new(entry: &Endpoint, now: f64, share: f64) -> Self {
+        let window = ConcurrencyLimit::new(now, share);
+        let Endpoint { zone, group, .. } = *entry;
         Self { zone, group, budget: 1.0, oldest: f64::INFINITY, window, ..Self::default() }
     }
 
     /// The share of its capacity that it has at least.
-    pub fn cold(&self, now: f64, contract: &Contract) -> f64 {
+    pub fn cold(&self, now: f64, contract: &ServiceRules) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        contract.capacity_after(now - started).max(0.01)
+        contract.min_capacity_share(now - started).max(0.01)
     }
 
     /// Nothing new may go there: the list says so, or the operators do.
@@ -252,8 +230,3 @@
         }
     }
 }
-
-/// A time in seconds.
-pub(crate) fn secs(time: Duration) -> f64 {
-    time.as_secs_f64()
-}
--- a/core/src/pace.rs
+++ b/core/src/server_throughput.rs
@@ -1,12 +1,13 @@
 //! What a warm server manages, as far as this gateway's own answers tell.
 //!
-//! Each gateway sees its own part of a server's answers, so what it allows a cold server by that adds up, over all of
-//! them, to what one server does. Servers are not all as busy: where reads find few replicas, a primary serves
-//! several times what a replica does, and no less than that is what a server of its size can do. Owns the count of
-//! answers of all warm servers, and of the primaries of whole groups among them; the busier kind counts. It must never
-//! count a cold server, one that may not be sent to, or a primary that gets more because others are taken to be down.
+//! Each gateway sees its own part of a server's answers, so what it allows a cold server by that adds up,
+//! over all of them, to what one server does. Servers are not all as busy: where reads find few replicas, a
+//! primary serves several times what a replica does, and no less than that is what a server of its size can
+//! do. Owns the count of answers of all warm servers, and of the primaries of whole groups among them; the
+//! busier kind counts. It must never count a cold server, one that may not be sent to, or a primary that gets
+//! more because others are taken to be down.
 
-use crate::estimate::Memory;
+use crate::ewma::EwmaConfig;
 
 /// Answers a second of a warm server, over all gateways, before any was seen.
 const USUAL: f64 = 2.0;
@@ -30,12 +31,12 @@
 
 /// The answers of warm servers.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Pace {
+pub(crate) struct ServerThroughput {
     all: Count,
     primaries: Count,
 }
 
-impl Pace {
+impl ServerThroughput {
     /// The pace of one of so many gateways that has seen nothing.
     pub fn new(gateways: u32) -> Self {
         let usual = Count { answers: USUAL / f64::from(gateways), seconds: 1.0 };
@@ -49,7 +50,7 @@
     }
 
     /// Time passed with these ratings warm: of all, and of the primaries of whole groups among them.
-    pub fn pass(&mut self, elapsed: f64, (all, primaries): (f64, f64), memory: &Memory) {
+    pub fn pass(&mut self, elapsed: f64, (all, primaries): (f64, f64), memory: &EwmaConfig) {
         let fade = (-elapsed / memory.fade).exp();
         self.all.pass(fade, elapsed * all);
         self.primaries.pass(fade, elapsed * primaries);
@@ -61,7 +62,7 @@
     }
 
     /// Answers a second of all.
-    pub fn total(&self, memory: &Memory) -> f64 {
+    pub fn total(&self, memory: &EwmaConfig) -> f64 {
         self.all.answers / memory.fade // what has not faded yet came in about that time
     }
 }
@@ -70,11 +71,11 @@
 mod tests {
     use super::*;
 
-    const MEMORY: Memory = Memory { most: 10.0, fade: 10.0, prior: 2.0 };
+    const MEMORY: EwmaConfig = EwmaConfig { most: 10.0, fade: 10.0, prior: 2.0 };
 
     #[test]
     fn the_busier_kind_of_server_tells_what_one_manages() {
-        let mut pace = Pace::new(100);
+        let mut pace = ServerThroughput::new(100);
         assert!((pace.per_server() - 0.02).abs() < 1e-9);
         // For 60 s: each second 3 answers of three primaries, and 2 of nine replicas.
         for n in 0..300 {
--- a/core/src/sessions.rs
+++ b/core/src/session_tokens.rs
@@ -1,12 +1,13 @@
 //! What sessions have written, where this proxy is the one to remember it.
 //!
-//! A read of a session must see what the session has written. Where its reads don't bring the commit of its last write,
-//! the proxy keeps it as the session's *mark* until every server has passed it. Marks are forgotten, since memory is
-//! bounded, but never the promise: what was forgotten raises the *floor*, and a session without a mark counts as
-//! having written at the floor. So a server that was not there while the others passed a mark (a new one, one that
-//! comes back, one that the operators had out) gets no session read before it tells that it has passed the floor too.
-//! A process starts with its floor at its start, for it can't know what was written before. While another process of
-//! the same proxy serves as well and its marks can't be heard, every session may have written just now.
+//! A read of a session must see what the session has written. Where its reads don't bring the commit of its
+//! last write, the proxy keeps it as the session's *mark* until every server has passed it. Marks are
+//! forgotten, since memory is bounded, but never the promise: what was forgotten raises the *floor*, and a
+//! session without a mark counts as having written at the floor. So a server that was not there while the
+//! others passed a mark (a new one, one that comes back, one that the operators had out) gets no session read
+//! before it tells that it has passed the floor too. A process starts with its floor at its start, for it
+//! can't know what was written before. While another process of the same proxy serves as well and its marks
+//! can't be heard, every session may have written just now.
 //!
 //! Owns marks and floor. It must never lower what a read must see, nor hold more than its bound in bytes.
 
@@ -18,7 +19,7 @@
 
 /// Marks and floor; times are positions in s.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub(crate) struct Sessions {
+pub(crate) struct SessionTokenStore {
     marks: BTreeMap<String, f64>,
     bytes: usize,
     /// When this process began to serve, unless what was written before was handed over.
@@ -27,7 +28,7 @@
     blind: bool,
 }
 
-impl Sessions {
+impl SessionTokenStore {
     /// A process begins to serve; whatever was written before is unknown.
     pub fn begin(&mut self, now: f64) {
         self.start.get_or_insert(now);
@@ -64,8 +65,8 @@
         mark.max(self.floor().min(now))
     }
 
-    /// All servers that may be read from have passed a position: what was committed by then matters no more to any of
-    /// them, but would to one that comes later.
+    /// All servers that may be read from have passed a position: what was committed by then matters no more
+    /// to any of them, but would to one that comes later.
     pub fn passed(&mut self, position: f64) {
         let (mut floor, mut bytes) = (self.floor, self.bytes);
         self.marks.retain(|session, commit| {
@@ -87,14 +88,15 @@
         self.passed(median);
     }
 
-    /// Another process's floor takes the place of this one's start: what was written before is known. Without one,
-    /// every session may have written just now.
+    /// Another process's floor takes the place of this one's start: what was written before is known. Without
+    /// one, every session may have written just now.
     pub fn inherit(&mut self, floor: Option<f64>, now: f64) {
         let floor = floor.filter(|floor| floor.is_finite()).unwrap_or(now).min(now);
         (self.start, self.floor) = (Some(0.0), self.floor.max(floor));
     }
 
-    /// Whether another process serves whose marks can't be heard. What it acknowledged meanwhile stays unknown.
+    /// Whether another process serves whose marks can't be heard. What it acknowledged meanwhile stays
+    /// unknown.
     pub fn set_blind(&mut self, blind: bool, now: f64) {
         if std::mem::replace(&mut self.blind, blind) {
             self.floor = self.floor.max(now);
@@ -127,7 +129,7 @@
 
     #[test]
     fn what_was_forgotten_still_binds_who_comes_later() {
-        let mut sessions = Sessions::default();
+        let mut sessions = SessionTokenStore::default();
         sessions.begin(10.0);
         assert_eq!(sessions.required(Some("a"), 11.0), 10.0, "a process can't know what was written before");
         sessions.begin(20.0);
@@ -143,7 +145,7 @@
 
     #[test]
     fn marks_that_cannot_be_heard_count_as_written_just_now() {
-        let mut sessions = Sessions::default();
+        let mut sessions = SessionTokenStore::default();
         sessions.begin(10.0);
         sessions.wrote("a".into(), 11.0);
         sessions.set_blind(true, 12.0);
@@ -156,7 +158,7 @@
 
     #[test]
     fn while_in_doubt_every_session_may_have_written_just_now() {
-        let mut sessions = Sessions::default();
+        let mut sessions = SessionTokenStore::default();
         sessions.begin(10.0);
         sessions.wrote("a".into(), 11.0);
         sessions.doubt(12.5);
@@ -167,7 +169,7 @@
 
     #[test]
     fn a_flood_of_sessions_keeps_to_its_bytes_and_forgets_the_oldest() {
-        let mut sessions = Sessions::default();
+        let mut sessions = SessionTokenStore::default();
         let most = BYTES_MOST / (MARK_BYTES + 8) + 100;
         for n in 0..most {
             sessions.wrote(format!("{n:08}"), n as f64);
--- a/core/src/estimate.rs
+++ b/core/src/throughput_fit.rs
@@ -1,13 +1,13 @@
-//! Arithmetic of estimates: a fitted parabola and a fading mean. What they mean is in `decide.rs`.
+//! A parabola fitted to throughput over concurrency.
 
 /// Least squares with fading memory on a + b m + c m².
 #[derive(Debug)]
-pub struct Fit {
+pub struct ThroughputFit {
     theta: [f64; 3],
     cov: [[f64; 3]; 3],
 }
 
-impl Default for Fit {
+impl Default for ThroughputFit {
     fn default() -> Self {
         Self {
             theta: [0.0; 3],
@@ -16,7 +16,7 @@
     }
 }
 
-impl Fit {
+impl ThroughputFit {
     /// Learns that `m` in flight gave `throughput`; `forget` is what is left of the memory after each lesson.
     pub fn learn(&mut self, m: f64, throughput: f64, forget: f64) {
         let x = [1.0, m / 10.0, m * m / 100.0]; // scaled, so that the three columns are of like size
@@ -38,41 +38,3 @@
         (c < -1e-9 && b > 0.0).then(|| 10.0 * -b / (2.0 * c))
     }
 }
-
-/// How a [`Gauge`] weighs what it is told.
-#[derive(Debug)]
-pub struct Memory {
-    /// Values that it averages over at most.
-    pub most: f64,
-    /// Time in s in which its evidence loses most of its weight.
-    pub fade: f64,
-    /// Values of its own that what is usual weighs like.
-    pub prior: f64,
-}
-
-/// A mean over recent values, and how many of them it rests on.
-#[derive(Debug, Default, Clone)]
-pub struct Gauge {
-    mean: f64,
-    weight: f64,
-    at: f64,
-}
-
-impl Gauge {
-    fn weight(&self, now: f64, memory: &Memory) -> f64 {
-        self.weight * (-(now - self.at).max(0.0) / memory.fade).exp()
-    }
-
-    /// Learns a value, at a time in seconds.
-    pub fn learn(&mut self, now: f64, value: f64, memory: &Memory) {
-        self.weight = (self.weight(now, memory) + 1.0).min(memory.most);
-        self.mean += (value - self.mean) / self.weight;
-        self.at = now;
-    }
-
-    /// The mean, drawn to `usual` where it has seen little of late.
-    pub fn read(&self, now: f64, usual: f64, memory: &Memory) -> f64 {
-        let weight = self.weight(now, memory);
-        (weight * self.mean + memory.prior * usual) / (weight + memory.prior)
-    }
-}
