--- a/peers/src/fleet/check.rs
+++ b/peers/src/fleet/check.rs
@@ -6,7 +6,7 @@
 
 use std::collections::HashMap;
 
-use pipittack_core::interface::{Class, DedupScope, Effect, Need, Outcome, Settings};
+use pipittack_core::api::{Class, Consistency, Idempotency, KeyScope, Outcome, Settings};
 
 /// A rule that was broken, at a time, in words.
 #[derive(Debug, Clone, PartialEq)]
@@ -105,10 +105,10 @@
         brought: Option<f64>,
         (now, deadline): (f64, f64),
     ) {
-        let need = self.settings.classes[class].need;
+        let need = self.settings.classes[class].consistency;
         let mark = match need {
-            Need::Strong => now,
-            Need::Causal => {
+            Consistency::Linearizable => now,
+            Consistency::Causal => {
                 let kept = self.marks.get(&(proxy, session)).copied().unwrap_or(0.0);
                 brought.unwrap_or(0.0).max(kept)
             }
@@ -155,18 +155,20 @@
         if taken.ended && !taken.left {
             fault(Rule::Lost, "sent after its end");
         }
-        if taken.sends >= self.settings.limits.attempts {
+        if taken.sends >= self.settings.limits.max_attempts {
             fault(Rule::Attempts, "one attempt too many");
         }
-        if !taken.out.is_empty() && !self.settings.limits.second_copies {
+        if !taken.out.is_empty() && !self.settings.limits.allow_hedging {
             fault(Rule::Doubled, "a second copy");
         }
         // What is still out may run.
         let out = taken.out.values().next().map(|first| (now, *first));
-        match (class.effect, taken.may_have_run.or(out)) {
-            (Effect::Once, Some(_)) => fault(Rule::Doubled, "sent again though it may have run"),
-            (Effect::Keyed { scope, window }, Some((first, at))) => {
-                let elsewhere = scope == DedupScope::Zone && self.zones.get(at) != self.zones.get(server);
+        match (class.idempotency, taken.may_have_run.or(out)) {
+            (Idempotency::NonIdempotent, Some(_)) => {
+                fault(Rule::Doubled, "sent again though it may have run")
+            }
+            (Idempotency::WithKey { scope, window }, Some((first, at))) => {
+                let elsewhere = scope == KeyScope::Zone && self.zones.get(at) != self.zones.get(server);
                 if elsewhere || now > first + window.as_secs_f64() {
                     fault(Rule::Doubled, "sent again where its repeat is not discarded");
                 }
@@ -183,7 +185,7 @@
     /// An attempt's query was written to its server.
     pub fn written(&mut self, id: u64, server: usize, now: f64) {
         let Some(taken) = self.requests.get(&id) else { return };
-        let grace = self.settings.contract.stop_within.as_secs_f64() + SLACK;
+        let grace = self.settings.rules.drain_grace_period.as_secs_f64() + SLACK;
         if self.told.get(&(taken.proxy, server)).is_some_and(|told| now > told + grace) {
             self.breaks(now, Rule::Drained, format!("request {id} to server {server}: sent past the grace"));
         }
@@ -193,10 +195,10 @@
     /// know better.
     pub fn read(&mut self, id: u64, sent: f64, position: f64, excused: bool, now: f64) {
         let Some(taken) = self.requests.get(&id) else { return };
-        let needed = match self.settings.classes[taken.class].need {
-            Need::Bounded(age) => sent - age.as_secs_f64(),
-            Need::Causal | Need::Strong => taken.mark,
-            Need::Write | Need::Eventual => return,
+        let needed = match self.settings.classes[taken.class].consistency {
+            Consistency::BoundedStaleness(age) => sent - age.as_secs_f64(),
+            Consistency::Causal | Consistency::Linearizable => taken.mark,
+            Consistency::Write | Consistency::Eventual => return,
         };
         if position < needed && !excused {
             let what =
@@ -209,7 +211,7 @@
     pub fn ran(&mut self, id: u64, class: usize, now: f64) {
         let times = self.ran.entry(id).or_default();
         *times += 1;
-        if *times > 1 && self.settings.classes[class].effect == Effect::Once {
+        if *times > 1 && self.settings.classes[class].idempotency == Idempotency::NonIdempotent {
             self.breaks(now, Rule::Doubled, format!("request {id} ran twice"));
         }
     }
@@ -218,7 +220,7 @@
     pub fn attempt_ended(&mut self, id: u64, attempt: u32, outcome: Outcome, sent: f64) {
         let Some(taken) = self.requests.get_mut(&id) else { return };
         let Some(server) = taken.out.remove(&attempt) else { return };
-        if !outcome.never_ran() {
+        if !outcome.rules_out_execution() {
             taken.may_have_run.get_or_insert((sent, server));
         }
     }
@@ -241,14 +243,14 @@
     /// A request got its final answer; `refused` if that promises that it may be asked again.
     pub fn answered(&mut self, id: u64, refused: bool, now: f64) {
         let Some(taken) = self.requests.get_mut(&id) else { return };
-        let late = now > taken.deadline + self.settings.contract.answer_slack.as_secs_f64() + SLACK;
+        let late = now > taken.deadline + self.settings.rules.answer_grace_period.as_secs_f64() + SLACK;
         let ran = taken.may_have_run.is_some() || !taken.out.is_empty();
-        let effect = self.settings.classes[taken.class].effect;
+        let effect = self.settings.classes[taken.class].idempotency;
         // Where every server drops the repeat, or it may be repeated anyway, a refusal is harmless.
         let harmless = match effect {
-            Effect::Repeatable => true,
-            Effect::Keyed { scope, .. } => scope == DedupScope::All || !ran,
-            Effect::Once => !ran,
+            Idempotency::Idempotent => true,
+            Idempotency::WithKey { scope, .. } => scope == KeyScope::All || !ran,
+            Idempotency::NonIdempotent => !ran,
         };
         let (twice, waited) = (taken.ended, now - taken.arrived);
         taken.ended = true;
@@ -272,7 +274,7 @@
 
     /// All is over: what was taken long ago and got no answer is lost.
     pub fn end(&mut self, now: f64) {
-        let slack = self.settings.contract.answer_slack.as_secs_f64() + SLACK;
+        let slack = self.settings.rules.answer_grace_period.as_secs_f64() + SLACK;
         let lost: Vec<_> =
             self.requests.iter().filter(|(_, t)| !t.ended && now > t.deadline + slack).collect();
         let mut lost: Vec<_> = lost.into_iter().map(|(id, t)| (*id, t.arrived, t.proxy)).collect();
@@ -301,8 +303,8 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use pipittack_core::failover::Tuning;
-    use pipittack_core::interface::*;
+    use pipittack_core::api::FailoverSettings;
+    use pipittack_core::api::*;
     use std::time::Duration;
 
     const WRITE: usize = 0;
@@ -311,52 +313,61 @@
     fn checker() -> Checker {
         let ms = Duration::from_millis;
         let class = |effect, need| Class {
-            credit: 1.0,
-            aim: ms(500),
-            aim_stretch: 0.0,
+            priority_weight: 1.0,
+            latency_objective: ms(500),
+            latency_objective_stretch: 0.0,
             deadline: ms(2000),
-            late_value: 0.0,
-            effect,
-            need,
-            stream: false,
+            late_weight: 0.0,
+            idempotency: effect,
+            consistency: need,
+            streaming: false,
         };
         Checker::new(Settings {
-            index: 0,
-            gateways: 1,
+            instance_index: 0,
+            instance_count: 1,
             zone: ZoneId(0),
-            tick: ms(5),
-            classes: vec![class(Effect::Once, Need::Write), class(Effect::Repeatable, Need::Causal)],
+            min_step_interval: ms(5),
+            classes: vec![
+                class(Idempotency::NonIdempotent, Consistency::Write),
+                class(Idempotency::Idempotent, Consistency::Causal),
+            ],
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            checks: Checks::Silent,
-            positions: true,
-            session_marks: SessionMarks::Kept,
-            role_column: RoleColumn::Static,
-            reports: Reports::Silent,
-            discovery: Discovery::Subscribe,
+            over_quota_weight: 1.0,
+            stale_read_policy: StaleReadPolicy::AnswerStale,
+            responses_carry_position: true,
+            session_tokens: SessionTokens::Tracked,
+            listed_role: ListedRole::Static,
+            load_reports: LoadReports::Never,
+            discovery: DiscoveryMode::Subscribe,
             limits: Limits {
-                attempts: 2,
-                cancel: true,
-                tell: false,
-                probes: true,
-                second_copies: false,
-                retry_after: true,
+                max_attempts: 2,
+                allow_cancel: true,
+                allow_gossip: false,
+                allow_health_checks: true,
+                allow_hedging: false,
+                send_retry_after: true,
                 max_retry_after: ms(500),
                 connect_timeout: ms(200),
-                streams_per_connection: 1,
+                max_streams_per_connection: 1,
             },
-            contract: Contract {
-                answer_slack: ms(50),
-                ask_every: ms(5000),
-                cold_share: 0.2,
+            rules: ServiceRules {
+                answer_grace_period: ms(50),
+                poll_interval: ms(5000),
+                initial_capacity_share: 0.2,
                 warm_up: ms(10_000),
                 overload_factor: 2.0,
-                overload_for: ms(1000),
-                stop_within: ms(1000),
-                only_draining_binds: false,
+                overload_duration: ms(1000),
+                drain_grace_period: ms(1000),
+                removed_may_serve: false,
+            },
+            prices: Prices {
+                cross_zone: 0.0,
+                health_check: 0.0,
+                gossip: 0.0,
+                wasted_work: 0.0,
+                late_failure: 0.0,
             },
-            prices: Prices { cross_zone: 0.0, probe: 0.0, peer: 0.0, waste: 0.0, late_fail: 0.0 },
-            failover: Tuning::default(),
+            failover: FailoverSettings::default(),
         })
     }
 
@@ -406,7 +417,7 @@
             }
         };
         assert_eq!(
-            (broken(WRITE, again(Outcome::Full)), broken(WRITE, again(Outcome::Reset))),
+            (broken(WRITE, again(Outcome::Rejected)), broken(WRITE, again(Outcome::Reset))),
             (vec![], vec![Rule::Doubled])
         );
         assert_eq!(broken(READ, again(Outcome::Reset)), []);
@@ -416,13 +427,13 @@
             [Rule::Doubled]
         );
         let thrice = |c: &mut Checker| {
-            again(Outcome::Full)(c);
-            c.attempt_ended(1, 1, Outcome::Full, 1.2);
+            again(Outcome::Rejected)(c);
+            c.attempt_ended(1, 1, Outcome::Rejected, 1.2);
         };
         let four = |c: &mut Checker| {
             (0..3).for_each(|n| {
                 c.sent(1, 4, 1.1);
-                c.attempt_ended(1, n, Outcome::Full, 1.1);
+                c.attempt_ended(1, n, Outcome::Rejected, 1.1);
             });
             served(c);
         };
--- a/peers/src/fleet/live/clients.rs
+++ b/peers/src/fleet/live/clients.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::time::Duration;
 
-use pipittack_core::interface::*;
+use pipittack_core::api::*;
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
 
@@ -147,14 +147,14 @@
         world.requests += 1;
         let id = world.requests;
         let class = &world.plan.settings.classes[wish.class.0];
-        let brought = world.plan.settings.session_marks == SessionMarks::Brought;
-        let mark = wish.mark.filter(|_| brought && class.need == Need::Causal);
+        let brought = world.plan.settings.session_tokens == SessionTokens::FromClient;
+        let mark = wish.mark.filter(|_| brought && class.consistency == Consistency::Causal);
         let after = mark.map_or(String::new(), |mark| format!(",after={:.0}", clock.unix_ms(mark).ceil()));
         let left = ((wish.until - clock.now()) * 1e3).max(1.0);
         let retry = if wish.tries > 1 { ",r=1" } else { "" };
         let (name, set, key) = (class_name(wish.class), wish.set, wish.session);
         let comment = format!("/* id={id:x},c={name},d={left:.0},cluster={set}{after}{retry} */");
-        let text = if class.need == Need::Write {
+        let text = if class.consistency == Consistency::Write {
             format!(r"INSERT INTO objects (oid, body) VALUES ('{key:x}', '\x00') RETURNING body {comment}")
         } else {
             format!("SELECT body FROM objects WHERE oid = '{key:x}' {comment}")
--- a/peers/src/fleet/live/processes.rs
+++ b/peers/src/fleet/live/processes.rs
@@ -10,7 +10,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use pipittack_core::interface::*;
+use pipittack_core::api::*;
 use rustix::process::{kill_process, Pid, Signal};
 use serde_json::json;
 use tokio::task::{spawn_blocking, spawn_local};
@@ -196,15 +196,15 @@
         let now = world.clock.now();
         world.report.starts.push(Start { at: now - START, ..Start::default() });
         let settings = Settings {
-            index: proxy as u32,
-            gateways: world.plan.proxies as u32,
+            instance_index: proxy as u32,
+            instance_count: world.plan.proxies as u32,
             zone: ZoneId(world.zones[proxy]),
             ..world.plan.settings.clone()
         };
         let known = world.memory[proxy].map(|version| {
             let entries = world.site.list.whole(version);
             for entry in &entries {
-                if let Some(started) = entry.started {
+                if let Some(started) = entry.started_at {
                     world.starts.insert((proxy, entry.server.0 as usize), started.as_secs_f64());
                 }
             }
--- a/peers/src/fleet/live/servers.rs
+++ b/peers/src/fleet/live/servers.rs
@@ -5,7 +5,7 @@
 
 use std::io;
 
-use pipittack_core::interface::*;
+use pipittack_core::api::*;
 use tokio::net::TcpStream;
 use tokio::sync::watch;
 use tokio::task::spawn_local;
@@ -271,7 +271,7 @@
 /// What a server says.
 struct Said {
     body: Vec<u8>,
-    note: Note,
+    note: ServerStatus,
     position_unix_ms: Option<f64>,
     /// Which request it was an attempt of, and how it ended.
     attempt: Option<(u64, Outcome)>,
@@ -311,7 +311,7 @@
             let what = format!("server {server} got a statement that no client sent: {text}");
             world.checker.breaks(clock.now(), Rule::Lost, what);
         });
-        let note = Note { position: None, primary: None };
+        let note = ServerStatus { position: None, primary: None };
         return Some(Said { body: error("08P01"), note, position_unix_ms: None, attempt: None });
     };
     let sent = clock.now();
@@ -320,7 +320,7 @@
         let told_so = world.denied.get(&(proxy, server)).is_some_and(|at| at + KNOWN_AFTER_S < sent);
         let excused = s.was_primary && !told_so;
         world.report.attempts += 1;
-        let write = world.plan.settings.classes[class.0].need == Need::Write;
+        let write = world.plan.settings.classes[class.0].consistency == Consistency::Write;
         world.report.reads_at_primaries += usize::from(!write && world.site.is_primary(server));
         world.checker.sent(id, server, sent);
         world.checker.written(id, server, sent);
@@ -331,7 +331,7 @@
     });
     let way = Talk::new(&shared, proxy, server);
     way.pass(1.0).await;
-    let said = |outcome: Outcome, body: Vec<u8>, note: Option<Note>| {
+    let said = |outcome: Outcome, body: Vec<u8>, note: Option<ServerStatus>| {
         shared.with(|world| {
             world.report.ended(outcome);
             let note = note.unwrap_or_else(|| world.site.note(server, world.clock.now()));
@@ -341,8 +341,8 @@
     };
     match taken {
         Taken::Nothing => None,
-        Taken::Miss => said(Outcome::Miss, error("25006"), None),
-        Taken::Full => said(Outcome::Full, error("53300"), None),
+        Taken::Miss => said(Outcome::Misdirected, error("25006"), None),
+        Taken::Full => said(Outcome::Rejected, error("53300"), None),
         Taken::Fell(told) => {
             let mut effects = Vec::new();
             shared.with(|world| {
@@ -361,7 +361,7 @@
             let work = Work { shared: shared.clone(), server, id, class, work_s, sent, excused };
             let (outcome, note) = spawn_local(work.run(begins, ends)).await.ok().flatten()?;
             let value = format!("{id:x}");
-            let body = if outcome == Outcome::Ok { row(value.as_bytes()) } else { error("XX000") };
+            let body = if outcome == Outcome::Success { row(value.as_bytes()) } else { error("XX000") };
             said(outcome, body, Some(note))
         }
     }
@@ -379,7 +379,7 @@
 
 impl Work {
     /// Works on a request; nothing where its server dies or stands still before it is done.
-    async fn run(self, begins: f64, ends: f64) -> Option<(Outcome, Note)> {
+    async fn run(self, begins: f64, ends: f64) -> Option<(Outcome, ServerStatus)> {
         let (clock, shared) = (self.shared.clock(), &self.shared);
         let life = shared.with(|world| world.site.servers[self.server].machine.life);
         let works = || {
@@ -405,8 +405,8 @@
         shared.with(|world| {
             let now = clock.now();
             let done = world.site.finish(self.server, self.class, now);
-            let write = world.plan.settings.classes[self.class.0].need == Need::Write;
-            if write && done.outcome == Outcome::Ok {
+            let write = world.plan.settings.classes[self.class.0].consistency == Consistency::Write;
+            if write && done.outcome == Outcome::Success {
                 world.checker.ran(self.id, self.class.0, now);
                 if let Some(commit) = done.note.position {
                     world.commits.insert(self.id, commit.as_secs_f64());
@@ -427,7 +427,7 @@
         (machine.state == State::Up).then(|| machine.work(clock.now(), work))
     })?;
     clock.until(done).await;
-    let note = Note { position: None, primary: None };
+    let note = ServerStatus { position: None, primary: None };
     let body = shared.with(|world| {
         let age = world.plan.report_s * rand::Rng::random::<f64>(&mut world.rng);
         let report = world.site.report(server, age, clock.now());
--- a/peers/src/fleet/live/service.rs
+++ b/peers/src/fleet/live/service.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::time::Duration;
 
-use pipittack_core::interface::*;
+use pipittack_core::api::*;
 use serde_json::{json, Value};
 use tokio::net::TcpStream;
 use tokio::task::spawn_local;
@@ -108,8 +108,8 @@
         };
         for entry in &entries {
             let server = entry.server.0 as usize;
-            world.checker.listed(proxy, server, entry.health == Health::Healthy, now);
-            if let Some(started) = entry.started {
+            world.checker.listed(proxy, server, entry.state == EndpointState::Healthy, now);
+            if let Some(started) = entry.started_at {
                 world.starts.insert((proxy, server), started.as_secs_f64());
             }
         }
@@ -119,12 +119,12 @@
 }
 
 /// A listing in the words of the protocol, as one proxy gets it.
-pub fn listing(world: &super::World, proxy: usize, entries: &[Entry], all: bool, version: usize) -> Value {
-    let roles = world.plan.settings.role_column != RoleColumn::Silent;
+pub fn listing(world: &super::World, proxy: usize, entries: &[Endpoint], all: bool, version: usize) -> Value {
+    let roles = world.plan.settings.listed_role != ListedRole::Absent;
     let unix_ms = |at| world.clock.unix_ms(at);
     let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let endpoint =
-        |entry: &Entry| world.endpoints.get(&(proxy, entry.server.0 as usize)).copied().unwrap_or(nowhere);
+        |entry: &Endpoint| world.endpoints.get(&(proxy, entry.server.0 as usize)).copied().unwrap_or(nowhere);
     let targets: Vec<_> = entries.iter().map(|e| target(e, endpoint(e), unix_ms, roles)).collect();
     json!({ "rev": version + 1, "all": all, "targets": targets })
 }
--- a/peers/src/fleet/load.rs
+++ b/peers/src/fleet/load.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use pipittack_core::interface::{Class, ClassId, Effect, Need, Settings};
+use pipittack_core::api::{Class, ClassId, Consistency, Idempotency, Settings};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
@@ -112,14 +112,15 @@
         };
         let (kind, class) = (&self.habits.kinds[place], &settings.classes[place]);
         let work_s = kind.work_s * -self.rng.random::<f64>().max(1e-6).ln();
-        let followed = if class.need == Need::Causal && self.rng.random::<f64>() < self.habits.follows {
-            let (gap, rng) = (self.habits.gap_s, &mut self.rng);
-            self.wrote[proxy].retain(|wrote| now - wrote.at < 3.0 * gap);
-            let count = self.wrote[proxy].len();
-            (count > 0).then(|| self.wrote[proxy][rng.random_range(0..count)])
-        } else {
-            None
-        };
+        let followed =
+            if class.consistency == Consistency::Causal && self.rng.random::<f64>() < self.habits.follows {
+                let (gap, rng) = (self.habits.gap_s, &mut self.rng);
+                self.wrote[proxy].retain(|wrote| now - wrote.at < 3.0 * gap);
+                let count = self.wrote[proxy].len();
+                (count > 0).then(|| self.wrote[proxy][rng.random_range(0..count)])
+            } else {
+                None
+            };
         let (session, set, mark) = match followed {
             Some(wrote) => (wrote.session, wrote.set, Some(wrote.commit)),
             None => {
@@ -145,7 +146,7 @@
         refused: Option<Option<Duration>>,
         now: f64,
     ) -> Option<f64> {
-        let may = refused.is_some() || class.effect == Effect::Repeatable;
+        let may = refused.is_some() || class.idempotency == Idempotency::Idempotent;
         let pause = refused.flatten().map_or(self.habits.pause_s, |told| told.as_secs_f64());
         let at = now + pause;
         (may && wish.tries < self.habits.retries && at < wish.until).then_some(at)
--- a/peers/src/fleet/plan.rs
+++ b/peers/src/fleet/plan.rs
@@ -3,7 +3,7 @@
 //! Owns the words in which a trial is described, for gateways that are stepped and for processes alike, and who is meant
 //! by a share of them. It must never hold anything that is found out only while it is played.
 
-use pipittack_core::interface::Settings;
+use pipittack_core::api::Settings;
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 
--- a/peers/src/fleet/report.rs
+++ b/peers/src/fleet/report.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use pipittack_core::interface::{Class, Outcome};
+use pipittack_core::api::{Class, Outcome};
 use serde::Serialize;
 
 use super::load::Wish;
@@ -78,19 +78,19 @@
 
     /// A client asks for something for the first time, so many s into the trial.
     pub fn asked(&mut self, wish: &Wish, class: &Class, at: f64) {
-        self.offered += class.credit;
-        self.classes[wish.class.0].0 += class.credit;
+        self.offered += class.priority_weight;
+        self.classes[wish.class.0].0 += class.priority_weight;
         let second = at.max(0.0) as usize;
         if self.seconds.len() <= second {
             self.seconds.resize(second + 1, (0.0, 0.0));
         }
-        self.seconds[second].0 += class.credit;
+        self.seconds[second].0 += class.priority_weight;
     }
 
     /// It is served at `now`; `at` is when it was asked, in s of the trial.
     pub fn served(&mut self, wish: &Wish, class: &Class, now: f64, at: f64) {
-        let in_time = now <= wish.asked + class.aim.as_secs_f64();
-        let worth = class.credit * if in_time { 1.0 } else { class.late_value };
+        let in_time = now <= wish.asked + class.latency_objective.as_secs_f64();
+        let worth = class.priority_weight * if in_time { 1.0 } else { class.late_weight };
         self.served += worth;
         self.classes[wish.class.0].1 += worth;
         if let Some(second) = self.seconds.get_mut(at.max(0.0) as usize) {
--- a/peers/src/fleet/site.rs
+++ b/peers/src/fleet/site.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use pipittack_core::interface::*;
+use pipittack_core::api::*;
 
 use super::copies::Copies;
 use super::directory::Directory;
@@ -64,7 +64,7 @@
     /// Served, or an error where its server had been deposed.
     pub outcome: Outcome,
     /// What the answer says of the server; of a write that went through, its commit.
-    pub note: Note,
+    pub note: ServerStatus,
 }
 
 /// The site.
@@ -161,28 +161,29 @@
     }
 
     /// What a server says of itself.
-    pub fn note(&mut self, server: usize, now: f64) -> Note {
+    pub fn note(&mut self, server: usize, now: f64) -> ServerStatus {
         let (set, place) = (self.servers[server].set, self.servers[server].place);
         let primary = self.copies[set].primary() == Some(place);
-        let position = self.plan.settings.positions.then(|| time(self.copies[set].told(place, now)));
-        Note { position, primary: Some(primary) }
+        let position =
+            self.plan.settings.responses_carry_position.then(|| time(self.copies[set].told(place, now)));
+        ServerStatus { position, primary: Some(primary) }
     }
 
     /// What a probe brings back that was seen so many s ago, where servers report on themselves.
-    pub fn report(&mut self, server: usize, age: f64, now: f64) -> Option<Report> {
-        if self.plan.settings.reports == Reports::Silent {
+    pub fn report(&mut self, server: usize, age: f64, now: f64) -> Option<LoadReport> {
+        if self.plan.settings.load_reports == LoadReports::Never {
             return None;
         }
         let (set, place) = (self.servers[server].set, self.servers[server].place);
         let primary = self.copies[set].primary() == Some(place);
         // What a replica had some time ago is no more than what it has now, less that time.
         let position = self.copies[set].told(place, now) - age;
-        Some(Report { position: Some(time(position)), primary: Some(primary), ..Report::default() })
+        Some(LoadReport { position: Some(time(position)), primary: Some(primary), ..LoadReport::default() })
     }
 
     /// A request reaches a server, from one who was told of its last start or was not.
     pub fn take(&mut self, server: usize, class: ClassId, work_s: f64, told: bool, now: f64) -> Taken {
-        let write = self.plan.settings.classes[class.0].need == Need::Write;
+        let write = self.plan.settings.classes[class.0].consistency == Consistency::Write;
         let primary = self.is_primary(server);
         let s = &mut self.servers[server];
         if s.machine.state != State::Up {
@@ -221,41 +222,41 @@
 
     /// A server has done it.
     pub fn finish(&mut self, server: usize, class: ClassId, now: f64) -> Done {
-        let write = self.plan.settings.classes[class.0].need == Need::Write;
+        let write = self.plan.settings.classes[class.0].consistency == Consistency::Write;
         let mut note = self.note(server, now);
         if !write {
-            return Done { outcome: Outcome::Ok, note };
+            return Done { outcome: Outcome::Success, note };
         }
         if !self.is_primary(server) {
-            return Done { outcome: Outcome::Error, note };
+            return Done { outcome: Outcome::ServerError, note };
         }
         self.copies[self.servers[server].set].commit(now);
         note.position = Some(time((now * 1e3).ceil() / 1e3));
-        Done { outcome: Outcome::Ok, note }
+        Done { outcome: Outcome::Success, note }
     }
 
     /// A server's entry as it stands.
-    pub fn entry(&self, server: usize) -> Entry {
+    pub fn entry(&self, server: usize) -> Endpoint {
         let s = &self.servers[server];
-        let head = match self.plan.settings.role_column {
-            RoleColumn::Static => s.place == 0,
-            RoleColumn::Trailing => self.is_primary(server),
-            RoleColumn::Silent => false,
+        let head = match self.plan.settings.listed_role {
+            ListedRole::Static => s.place == 0,
+            ListedRole::Delayed => self.is_primary(server),
+            ListedRole::Absent => false,
         };
         let health = match (s.gone, s.drains) {
-            (true, _) => Health::Gone,
-            (_, true) => Health::Draining,
-            _ => Health::Healthy,
+            (true, _) => EndpointState::Removed,
+            (_, true) => EndpointState::Draining,
+            _ => EndpointState::Healthy,
         };
-        Entry {
+        Endpoint {
             server: ServerId(server as u32),
             zone: ZoneId(s.zone),
-            kind: KindId(0),
+            machine_kind: MachineKindId(0),
             group: GroupId(s.set as u64),
-            head,
-            health,
-            rating: 1.0,
-            started: s.machine.started.map(time),
+            listed_primary: head,
+            state: health,
+            relative_capacity: 1.0,
+            started_at: s.machine.started.map(time),
         }
     }
 
@@ -378,7 +379,7 @@
         let chosen = self.servers.iter().position(|s| s.set == set && s.place == place);
         let chosen = chosen.expect("it was found among them");
         self.servers[chosen].was_primary = true;
-        if self.plan.settings.role_column == RoleColumn::Trailing {
+        if self.plan.settings.listed_role == ListedRole::Delayed {
             self.changed(chosen, now, effects);
         }
     }
--- a/peers/src/fleet/stepper/troubles.rs
+++ b/peers/src/fleet/stepper/troubles.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns the way from a trouble's words to the models. It must never touch a gateway but by what a process would be told.
 
-use pipittack_core::interface::*;
+use pipittack_core::api::*;
 
 use super::super::links::{Far, Fault};
 use super::super::plan::{End, Trouble};
@@ -42,7 +42,7 @@
                 out.retain(|server| !self.site.servers[*server].gone && !self.by_hand.contains(server));
                 for server in &out {
                     self.by_hand.push(*server);
-                    self.ordered(*server, Event::Offline(ServerId(*server as u32)));
+                    self.ordered(*server, Event::TakenOutOfService(ServerId(*server as u32)));
                 }
                 self.at(now + for_s, Happens::Over(trouble, out));
             }
@@ -141,7 +141,7 @@
         for process in 0..self.processes.len() {
             self.tell(process, event.clone());
         }
-        let back = matches!(event, Event::Online(_));
+        let back = matches!(event, Event::ReturnedToService(_));
         for proxy in 0..self.plan.proxies {
             self.checker.listed(proxy, server, back, self.now);
         }
@@ -172,7 +172,7 @@
                     // It was restarted meanwhile.
                     self.site.restart(one, now, &mut effects);
                     self.by_hand.retain(|server| *server != one);
-                    self.ordered(one, Event::Online(ServerId(one as u32)));
+                    self.ordered(one, Event::ReturnedToService(ServerId(one as u32)));
                 }
                 _ => {}
             }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod operators;
 pub mod settings;
 
-pub use pipittack_core::{estimate, interface, Gateway};
+pub use pipittack_core::{api, ewma, RoutingEngine};
 
 /// The README's example, compiled as a test.
 #[cfg(doctest)]
--- a/src/main.rs
+++ b/src/main.rs
@@ -15,7 +15,7 @@
 
 use clap::{Parser, Subcommand};
 use log::LevelFilter;
-use pipittack::interface::{ClassId, Settings};
+use pipittack::api::{ClassId, Settings};
 use pipittack::net::buffers::Pool;
 use pipittack::net::clients::{self, Clients};
 use pipittack::net::discovery::{self, Lister, SharedLister};
@@ -292,7 +292,7 @@
                     log::info!(
                         "configuration read again: {} classes, {} attempts; discovery is {place} {}",
                         settings.classes.len(),
-                        settings.limits.attempts,
+                        settings.limits.max_attempts,
                         new.discovery
                     );
                     config = new;
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -13,7 +13,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pipittack_core::farewell::{Farewell, Phase, Standing};
+use pipittack_core::graceful_shutdown::{GracefulShutdown, IdleState, ShutdownPhase};
 use socket2::SockRef;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{watch, Notify};
@@ -26,7 +26,7 @@
 use super::parcel::Successor;
 use super::pg::{self, Severity, Startup};
 use super::servers::{Answer, PgExchange, Query};
-use crate::interface::*;
+use crate::api::*;
 
 /// Time within which a new client must have sent its startup packet, and any client the rest of a message
 /// that it has begun. Whoever can't be served is owed an end 3 s after connecting.
@@ -136,7 +136,7 @@
     looked: Cell<Instant>,
     woke: Cell<(Instant, Duration)>,
     /// How this process ends, once it was told to.
-    farewell: RefCell<Option<Farewell>>,
+    farewell: RefCell<Option<GracefulShutdown>>,
     /// Something has happened that may bring that end closer.
     nearer: Notify,
     door: watch::Sender<Door>,
@@ -158,7 +158,7 @@
     /// The same, and nobody listens.
     Closed,
     /// The time is up.
-    Ended,
+    AttemptEnded,
 }
 
 /// Since when connections have stood without an open request, and their numbers.
@@ -268,7 +268,8 @@
     pub async fn farewell(&self) {
         let side = &*self.0;
         let clock = side.exchange.clock();
-        let farewell = Farewell::new(clock.now(), side.exchange.longest(), side.served.get(), side.stood());
+        let farewell =
+            GracefulShutdown::new(clock.now(), side.exchange.longest(), side.served.get(), side.stood());
         let ends = clock.instant(farewell.ends());
         side.farewell.replace(Some(farewell));
         loop {
@@ -282,10 +283,10 @@
                 (farewell.phase(now), farewell.next(now))
             };
             match phase {
-                Phase::Notice => {}
-                Phase::Leaving => self.shut_to(Door::Leaving),
-                Phase::Closing => self.shut_to(Door::Closed),
-                Phase::Ended => break,
+                ShutdownPhase::Notice => {}
+                ShutdownPhase::Leaving => self.shut_to(Door::Leaving),
+                ShutdownPhase::Closing => self.shut_to(Door::Closed),
+                ShutdownPhase::AttemptEnded => break,
             }
             tokio::select! {
                 () = nearer => {}
@@ -294,7 +295,7 @@
         }
         // Those that have ended may still have to read their last answers.
         let _ = timeout_at(ends, self.gone()).await;
-        self.shut_to(Door::Ended);
+        self.shut_to(Door::AttemptEnded);
         let _ = timeout(LAST_WORD, self.gone()).await;
     }
 
@@ -538,7 +539,7 @@
     }
 
     /// Waits until a connection may end that stands so and came at `came`.
-    async fn lets_go(&self, standing: Standing, stage: Stage, came: Duration) {
+    async fn lets_go(&self, standing: IdleState, stage: Stage, came: Duration) {
         let mut door = self.door.subscribe();
         loop {
             let now = *door.borrow_and_update();
@@ -751,18 +752,18 @@
     /// message that keeps its place for good.
     async fn more(&mut self, late: Option<Instant>) -> io::Result<bool> {
         let standing = match self.stage {
-            _ if !self.inbound.bytes().is_empty() => Standing::Begun,
-            Stage::Started if self.unasked.is_none() => Standing::Between,
-            _ => Standing::Silent,
+            _ if !self.inbound.bytes().is_empty() => IdleState::Begun,
+            Stage::Started if self.unasked.is_none() => IdleState::Between,
+            _ => IdleState::Silent,
         };
-        let hurries = self.hurried && standing == Standing::Silent;
+        let hurries = self.hurried && standing == IdleState::Silent;
         let asks_by = hurries.then(|| self.side.exchange.clock().instant(self.came) + ANSWERED_WITHIN);
         let late = late.into_iter().chain(asks_by).min();
         let goes = tokio::select! {
             biased;
             read = self.inbound.fill() => return Ok(read? > 0),
-            () = self.side.lets_go(standing, self.stage, self.came), if standing != Standing::Begun => true,
-            () = self.unwanted.notified(), if standing != Standing::Begun => true,
+            () = self.side.lets_go(standing, self.stage, self.came), if standing != IdleState::Begun => true,
+            () = self.unwanted.notified(), if standing != IdleState::Begun => true,
             () = sleep_until(late.unwrap_or_else(Instant::now)), if late.is_some() => false,
         };
         if goes {
@@ -774,7 +775,7 @@
             self.leaves = true;
             return Ok(false);
         }
-        if standing == Standing::Begun {
+        if standing == IdleState::Begun {
             self.expel("08P01", "a message was not complete in time").await?;
         } else if hurries && self.stage == Stage::Started {
             self.reply(|out| pg::error(out, Severity::Fatal, "53300", TOO_MANY, None)).await?;
@@ -902,7 +903,7 @@
             return self.reject("42601", "the statement names no known class").await;
         };
         // What a data server would turn away or close on costs a connection there, or passes for its fault.
-        if statement.write != (class.need == Need::Write) {
+        if statement.write != (class.consistency == Consistency::Write) {
             return self.reject("42601", "reads and writes have classes of their own").await;
         }
         if !self.side.exchange.knows(GroupId(statement.group)) {
@@ -929,7 +930,8 @@
             time_left: self.side.time_left(statement.wait.min(class.deadline).saturating_sub(came.elapsed())),
             retry: statement.retry,
             bytes: message.len() as u64,
-            session: matches!(class.need, Need::Write | Need::Causal).then_some(statement.key),
+            session: matches!(class.consistency, Consistency::Write | Consistency::Causal)
+                .then_some(statement.key),
             after_unix_ms: statement.after,
         };
         self.unasked = None;
@@ -942,7 +944,7 @@
         let answer = tokio::select! {
             biased;
             answer = &mut answer => answer,
-            _ = door.wait_for(|door| *door == Door::Ended) => {
+            _ = door.wait_for(|door| *door == Door::AttemptEnded) => {
                 self.side.exchange.left(request);
                 return self.expel("57P01", "the proxy is shutting down").await;
             }
