--- a/src/net/discovery.rs
+++ b/src/net/discovery.rs
@@ -24,7 +24,7 @@
 use super::buffers::{write_all, Pool};
 use super::exchange::{Ask, Clock};
 use super::servers::PgExchange;
-use crate::interface::*;
+use crate::api::*;
 use crate::listing::{Listing, Target};
 use crate::settings::Names;
 
@@ -62,7 +62,7 @@
 pub type SharedLister = Rc<RefCell<Lister>>;
 
 /// A view, and the addresses of the servers in it.
-pub type Listed = (View, Vec<(ServerId, SocketAddr)>);
+pub type Listed = (EndpointUpdate, Vec<(ServerId, SocketAddr)>);
 
 impl Lister {
     /// One that has seen no list yet.
@@ -98,31 +98,31 @@
             }
             let server = self.id(&target.uid);
             addresses.push((server, target.endpoint));
-            entries.push(Entry {
+            entries.push(Endpoint {
                 server,
                 zone: self.names.zone(&target.az),
-                kind: self.names.kind(&target.model),
+                machine_kind: self.names.kind(&target.model),
                 group: GroupId(target.pod_group),
-                head: target.mode.as_deref() == Some("read-write"),
-                health: match target.state.as_str() {
-                    "Ready" => Health::Healthy,
-                    GONE => Health::Gone,
-                    _ => Health::Draining, // nothing new goes to a server in a state that is not known
+                listed_primary: target.mode.as_deref() == Some("read-write"),
+                state: match target.state.as_str() {
+                    "Ready" => EndpointState::Healthy,
+                    GONE => EndpointState::Removed,
+                    _ => EndpointState::Draining, // nothing new goes to a server in a state that is not known
                 },
-                rating: target.capacity_hint.unwrap_or(1.0),
-                started: Some(target.boot_ms).filter(|ms| *ms > 0.0).map(|ms| self.clock.of_unix_ms(ms)),
+                relative_capacity: target.capacity_hint.unwrap_or(1.0),
+                started_at: Some(target.boot_ms).filter(|ms| *ms > 0.0).map(|ms| self.clock.of_unix_ms(ms)),
             });
         }
         // Names of servers that are gone would only pile up; until the next news they can still be told.
-        self.leaving.extend(entries.iter().filter(|e| e.health == Health::Gone).map(|e| e.server));
+        self.leaving.extend(entries.iter().filter(|e| e.state == EndpointState::Removed).map(|e| e.server));
         if all {
             let named: BTreeSet<_> = entries.iter().map(|e| e.server).collect();
             self.leaving.extend(self.ids.keys().filter(|id| !named.contains(id)));
         }
         let view = match (remembered, all) {
-            (true, _) => View::Remembered(entries),
-            (false, true) => View::All(entries),
-            (false, false) => View::Changes(entries),
+            (true, _) => EndpointUpdate::Cached(entries),
+            (false, true) => EndpointUpdate::Full(entries),
+            (false, false) => EndpointUpdate::Changes(entries),
         };
         Some((view, addresses))
     }
@@ -214,7 +214,7 @@
             let result = call(service, watches, &exchange, &lister).await;
             if let Err(e) = result {
                 log::warn!("discovery {}: {e}", if watches { "watch ended" } else { "call failed" });
-                exchange.listed(View::Refused, []);
+                exchange.listed(EndpointUpdate::Failed, []);
             }
         };
         out = Some((ask, tokio::task::spawn_local(call)));
@@ -233,7 +233,7 @@
             Some(listing) => lister.borrow_mut().read(listing, false),
             None => {
                 lister.borrow_mut().live = true;
-                Some((View::Changes(Vec::new()), Vec::new()))
+                Some((EndpointUpdate::Changes(Vec::new()), Vec::new()))
             }
         };
         let (view, addresses) = listed.ok_or_else(|| io::Error::other("the list's version went back"))?;
--- a/src/net/exchange.rs
+++ b/src/net/exchange.rs
@@ -17,10 +17,10 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::Instant;
 
-use pipittack_core::heritage::{Heritage, Word};
+use pipittack_core::api::{PeerMessage, StateSnapshot};
 
-use crate::interface::*;
-use crate::Gateway;
+use crate::api::*;
+use crate::RoutingEngine;
 
 /// The one clock: Unix time, read once and advanced by the monotonic one. Its zero lies an hour before the
 /// start, so that its seconds are small enough to be exact.
@@ -83,7 +83,7 @@
 }
 
 /// Names an attempt.
-pub type Key = (RequestId, Attempt);
+pub type Key = (RequestId, AttemptNumber);
 
 /// What the side of the data servers is to do.
 #[derive(Debug)]
@@ -138,9 +138,9 @@
     /// The outcome.
     pub outcome: Outcome,
     /// What the answer said of its server.
-    pub note: Option<Note>,
+    pub note: Option<ServerStatus>,
     /// The load report that came with it.
-    pub report: Option<Report>,
+    pub report: Option<LoadReport>,
     /// The answer, where the outcome is [`Outcome::Ok`].
     pub answer: Option<A>,
 }
@@ -155,11 +155,11 @@
 /// The other process of this proxy, while there are two.
 pub trait Twin {
     /// Tells it a word. What it could not be told counts there as unknown once this returns.
-    fn tell(&self, word: &Word);
+    fn tell(&self, word: &PeerMessage);
     /// Tells it that there will be nothing more to tell.
     fn end(&self);
     /// All that it has told by now.
-    fn hear(&self) -> Vec<Word>;
+    fn hear(&self) -> Vec<PeerMessage>;
 }
 
 /// Who waits for the answer to a request.
@@ -212,7 +212,7 @@
 }
 
 struct Books<Q, A> {
-    gateway: Gateway,
+    gateway: RoutingEngine,
     /// The classes of all requests that are open, those of the settings in force included.
     classes: Vec<Class>,
     /// Attempts at the most, for requests that come now.
@@ -240,14 +240,15 @@
 impl<Q, A> Books<Q, A> {
     /// Notes what the list names, and gives the servers that it has dropped. Guards against growing with
     /// every server that ever was: what the list dropped must go everywhere.
-    fn note(&mut self, view: &View, keeps_gone: bool) -> impl Iterator<Item = ServerId> {
+    fn note(&mut self, view: &EndpointUpdate, keeps_gone: bool) -> impl Iterator<Item = ServerId> {
         let (entries, whole) = match view {
-            View::All(entries) | View::Remembered(entries) => (&entries[..], true),
-            View::Changes(entries) => (&entries[..], false),
-            View::Refused => (&[][..], false),
+            EndpointUpdate::Full(entries) | EndpointUpdate::Cached(entries) => (&entries[..], true),
+            EndpointUpdate::Changes(entries) => (&entries[..], false),
+            EndpointUpdate::Failed => (&[][..], false),
         };
         self.groups.extend(entries.iter().map(|e| e.group));
-        let (gone, present): (Vec<_>, Vec<_>) = entries.iter().partition(|e| e.health == Health::Gone);
+        let (gone, present): (Vec<_>, Vec<_>) =
+            entries.iter().partition(|e| e.state == EndpointState::Removed);
         let present: BTreeSet<_> = present.iter().map(|e| e.server).collect();
         let mut dropped: Vec<_> = gone.iter().map(|e| e.server).collect();
         if whole {
@@ -255,7 +256,7 @@
         }
         self.servers.extend(present);
         for entry in entries {
-            if entry.health == Health::Draining {
+            if entry.state == EndpointState::Draining {
                 self.draining.insert(entry.server);
             } else {
                 self.draining.remove(&entry.server);
@@ -297,12 +298,12 @@
 impl<Q, A> Exchange<Q, A> {
     /// An exchange around a new decision module.
     pub fn new(settings: Settings, seed: u64, clock: Clock) -> Result<Parts<Q, A>, SettingsError> {
-        let (tick, keeps_gone) = (settings.tick, settings.contract.only_draining_binds);
+        let (tick, keeps_gone) = (settings.min_step_interval, settings.rules.removed_may_serve);
         let books = Books {
             classes: settings.classes.clone(),
-            most_attempts: settings.limits.attempts,
-            keeps_marks: settings.session_marks == SessionMarks::Kept,
-            gateway: Gateway::new(settings, seed)?,
+            most_attempts: settings.limits.max_attempts,
+            keeps_marks: settings.session_tokens == SessionTokens::Tracked,
+            gateway: RoutingEngine::new(settings, seed)?,
             events: Vec::new(),
             actions: Vec::new(),
             stepped: clock.now(),
@@ -335,12 +336,13 @@
         let mut books = self.0.books.borrow_mut();
         books.requests += 1;
         let id = RequestId(books.requests);
-        let need = books.classes.get(call.class.0).map(|class| class.need);
+        let need = books.classes.get(call.class.0).map(|class| class.consistency);
         let bound = match need {
-            Some(Need::Bounded(age)) => Some(age),
+            Some(Consistency::BoundedStaleness(age)) => Some(age),
             _ => None,
         };
-        let writes = call.session.as_deref().filter(|_| books.keeps_marks && need == Some(Need::Write));
+        let writes =
+            call.session.as_deref().filter(|_| books.keeps_marks && need == Some(Consistency::Write));
         let writes = writes.map(Rc::from);
         let deadline = now + call.time_left;
         let (class, query, most_attempts) = (call.class, Rc::new(query), books.most_attempts);
@@ -355,11 +357,11 @@
             group: call.group,
             tenant: None,
             time_left: call.time_left,
-            retry: call.retry,
-            bytes: call.bytes,
-            cost: None,
+            is_retry: call.retry,
+            statement_bytes: call.bytes,
+            expected_work: None,
             session: call.session,
-            wrote_ago,
+            last_write_age: wrote_ago,
         }));
         self.0.news.notify_one();
         (id, answer)
@@ -369,7 +371,7 @@
     pub fn left(&self, request: RequestId) {
         let mut books = self.0.books.borrow_mut();
         if books.open.remove(&request).is_some() {
-            books.events.push(Event::Left(request));
+            books.events.push(Event::ClientGone(request));
             self.0.news.notify_one();
         }
     }
@@ -401,43 +403,47 @@
             self.heard(out.server, note);
         }
         // A commit is told before its client can act on it.
-        let commit = ending.note.and_then(|note| note.position).filter(|_| ending.outcome == Outcome::Ok);
+        let commit =
+            ending.note.and_then(|note| note.position).filter(|_| ending.outcome == Outcome::Success);
         if let (Some(session), Some(commit), Some(twin)) = (&out.writes, commit, &*self.0.twin.borrow()) {
-            twin.tell(&Word::Wrote { session: session.to_string(), commit: commit.as_secs_f64() });
+            twin.tell(&PeerMessage::SessionWrite {
+                session: session.to_string(),
+                commit: commit.as_secs_f64(),
+            });
         }
         let mut books = self.0.books.borrow_mut();
         // The first answer goes to the client at once, and ends the request.
-        if let Some(answer) = ending.answer.filter(|_| ending.outcome == Outcome::Ok) {
+        if let Some(answer) = ending.answer.filter(|_| ending.outcome == Outcome::Success) {
             if let Some(open) = books.open.remove(&key.0) {
                 let _ = open.done.send(Final::Served(answer));
             }
         }
         let complete = !books.open.contains_key(&key.0);
-        books.events.push(Event::Ended(Ended {
+        books.events.push(Event::AttemptEnded(AttemptEnded {
             request: key.0,
             attempt: key.1,
             server: out.server,
             outcome: ending.outcome,
-            rtt: now.saturating_sub(out.sent),
-            complete,
-            note: ending.note,
-            report: ending.report,
+            round_trip: now.saturating_sub(out.sent),
+            request_complete: complete,
+            status: ending.note,
+            load_report: ending.report,
         }));
         self.0.news.notify_one();
     }
 
     /// A server told where it stands beside an answer that had ended before.
-    pub fn told(&self, server: ServerId, note: Option<Note>) {
-        let Some(Note { position, primary }) = note else { return };
-        self.heard(server, Note { position, primary });
-        self.tell(Event::Probed {
+    pub fn told(&self, server: ServerId, note: Option<ServerStatus>) {
+        let Some(ServerStatus { position, primary }) = note else { return };
+        self.heard(server, ServerStatus { position, primary });
+        self.tell(Event::HealthChecked {
             server,
             ok: true,
-            report: Some(Report { position, primary, ..Report::default() }),
+            load_report: Some(LoadReport { position, primary, ..LoadReport::default() }),
         });
     }
 
-    fn heard(&self, server: ServerId, note: Note) {
+    fn heard(&self, server: ServerId, note: ServerStatus) {
         let mut books = self.0.books.borrow_mut();
         let known = books.positions.get(&server).copied().flatten();
         let replica = note.primary == Some(false);
@@ -446,13 +452,13 @@
 
     /// What another process of this proxy must know, what happened since the last step included: a client may have its
     /// answer before the module has heard of it.
-    pub fn heritage(&self) -> Heritage {
+    pub fn heritage(&self) -> StateSnapshot {
         self.step();
-        self.0.books.borrow().gateway.heritage()
+        self.0.books.borrow().gateway.snapshot()
     }
 
     /// Takes over what another process of this proxy knew, on a clock of that zero in Unix milliseconds.
-    pub fn inherit(&self, mut heritage: Heritage, zero_unix_ms: f64) {
+    pub fn inherit(&self, mut heritage: StateSnapshot, zero_unix_ms: f64) {
         heritage.shift((zero_unix_ms - self.0.clock.zero_unix_ms()) / 1e3);
         let mut books = self.0.books.borrow_mut();
         for stood in heritage.servers.iter().filter(|stood| !stood.primary) {
@@ -460,17 +466,17 @@
             let position = position.filter(|at| *at <= self.0.clock.now());
             books.positions.entry(ServerId(stood.server)).or_insert(position);
         }
-        books.events.push(Event::Inherited(Box::new(heritage)));
+        books.events.push(Event::SnapshotReceived(Box::new(heritage)));
         self.0.news.notify_one();
     }
 
     /// A probe ended.
-    pub fn probed(&self, server: ServerId, ok: bool, report: Option<Report>) {
-        self.tell(Event::Probed { server, ok, report });
+    pub fn probed(&self, server: ServerId, ok: bool, report: Option<LoadReport>) {
+        self.tell(Event::HealthChecked { server, ok, load_report: report });
     }
 
     /// Discovery brought news of the list, with the addresses of the servers in it.
-    pub fn listed(&self, view: View, addresses: impl IntoIterator<Item = (ServerId, SocketAddr)>) {
+    pub fn listed(&self, view: EndpointUpdate, addresses: impl IntoIterator<Item = (ServerId, SocketAddr)>) {
         for (server, address) in addresses {
             let _ = self.0.orders.send(Order::Address(server, address));
         }
@@ -478,11 +484,14 @@
         for server in &dropped {
             let _ = self.0.orders.send(Order::Forget(*server));
         }
-        if let (Some(twin), View::Changes(entries) | View::All(entries)) = (&*self.0.twin.borrow(), &view) {
-            let drains = entries.iter().filter(|entry| entry.health != Health::Healthy).map(|e| e.server);
-            drains.chain(dropped).for_each(|server| twin.tell(&Word::Withdrawn(server)));
+        if let (Some(twin), EndpointUpdate::Changes(entries) | EndpointUpdate::Full(entries)) =
+            (&*self.0.twin.borrow(), &view)
+        {
+            let drains =
+                entries.iter().filter(|entry| entry.state != EndpointState::Healthy).map(|e| e.server);
+            drains.chain(dropped).for_each(|server| twin.tell(&PeerMessage::ServerWithdrawn(server)));
         }
-        self.tell(Event::View(view));
+        self.tell(Event::Endpoints(view));
     }
 
     /// Another process of this proxy serves as well, and is told what happens here.
@@ -500,15 +509,15 @@
 
     /// Another process of this proxy serves as well, and what happens there can't be heard.
     pub fn blind(&self) {
-        self.tell(Event::Told(Word::Blind(true)));
+        self.tell(Event::PeerMessage(PeerMessage::PeerUnreachable(true)));
     }
 
     /// The other process is gone.
     pub fn part(&self) {
         let twin = self.0.twin.take();
         let words = twin.map(|twin| twin.hear()).unwrap_or_default();
-        self.0.books.borrow_mut().events.extend(words.into_iter().map(Event::Told));
-        self.tell(Event::Told(Word::Blind(false)));
+        self.0.books.borrow_mut().events.extend(words.into_iter().map(Event::PeerMessage));
+        self.tell(Event::PeerMessage(PeerMessage::PeerUnreachable(false)));
     }
 
     /// Has the module stepped.
@@ -529,7 +538,7 @@
         } else {
             self.0.books.borrow_mut().out_by_hand.remove(&server);
         }
-        self.tell(if out { Event::Offline(server) } else { Event::Online(server) });
+        self.tell(if out { Event::TakenOutOfService(server) } else { Event::ReturnedToService(server) });
     }
 
     /// Takes new settings for requests that come from now on. Of their classes, those in `kept` are what they
@@ -551,8 +560,8 @@
             }
             ids.push(id);
         }
-        books.most_attempts = settings.limits.attempts;
-        books.keeps_marks = settings.session_marks == SessionMarks::Kept;
+        books.most_attempts = settings.limits.max_attempts;
+        books.keeps_marks = settings.session_tokens == SessionTokens::Tracked;
         let settings = Settings { classes: books.classes.clone(), ..settings };
         books.events.push(Event::Settings(Box::new(settings)));
         self.0.news.notify_one();
@@ -603,10 +612,10 @@
         // What the other process was told before a request came here comes before it, and so does what it may have been.
         let mut words = self.0.twin.borrow().as_ref().map(|twin| twin.hear()).unwrap_or_default();
         if now.saturating_sub(books.stepped) > STOOD_STILL {
-            words.push(Word::Doubt(DOUBTS_FOR));
+            words.push(PeerMessage::ProcessPaused(DOUBTS_FOR));
         }
         books.stepped = now;
-        books.events.splice(0..0, words.into_iter().map(Event::Told));
+        books.events.splice(0..0, words.into_iter().map(Event::PeerMessage));
         while let Some((at, id)) = books.timers.first().copied().filter(|(at, _)| *at <= now) {
             books.timers.remove(&(at, id));
             books.events.push(Event::Timer(id));
@@ -621,46 +630,46 @@
 
     fn carry_out(&self, now: Duration, action: Action, books: &mut Books<Q, A>) {
         let order = match action {
-            Action::Send { request, server, timeout } => {
+            Action::Forward { request, server, timeout } => {
                 return self.send(now, (request, server, timeout), books);
             }
-            Action::Refuse { request, retry_after } => {
+            Action::Reject { request, retry_after } => {
                 return Self::finish(now, request, Final::Refused(retry_after), books);
             }
             Action::Fail { request } => return Self::finish(now, request, Final::Failed, books),
             Action::Cancel { request, attempt } => {
                 let key = (request, attempt);
                 let Some(out) = books.out.remove(&key) else { return };
-                books.events.push(Event::Ended(Ended {
+                books.events.push(Event::AttemptEnded(AttemptEnded {
                     request,
                     attempt,
                     server: out.server,
                     outcome: Outcome::Cancelled,
-                    rtt: now.saturating_sub(out.sent),
-                    complete: !books.open.contains_key(&request),
-                    note: None,
-                    report: None,
+                    round_trip: now.saturating_sub(out.sent),
+                    request_complete: !books.open.contains_key(&request),
+                    status: None,
+                    load_report: None,
                 }));
                 self.0.news.notify_one();
                 Order::Cancel(key)
             }
-            Action::Probe { server } => Order::Probe(server),
-            Action::Close { server } => Order::Close(server),
+            Action::HealthCheck { server } => Order::Probe(server),
+            Action::CloseIdle { server } => Order::Close(server),
             Action::Watch { on } => {
                 let _ = self.0.asks.send(Ask::Watch(on));
                 return;
             }
-            Action::Fetch => {
+            Action::Poll => {
                 let _ = self.0.asks.send(Ask::Fetch);
                 return;
             }
-            Action::Timer { after, id } => {
+            Action::SetTimer { after, id } => {
                 books.timers.insert((now + after, id));
                 return;
             }
             Action::Log(text) => return log::info!("module: {text}"),
             // Proxies share nothing here; a message to a peer has nowhere to go.
-            Action::Tell { .. } => return,
+            Action::Gossip { .. } => return,
         };
         let _ = self.0.orders.send(order);
     }
@@ -683,19 +692,19 @@
         books: &mut Books<Q, A>,
     ) {
         let Some(open) = books.open.get_mut(&request) else { return };
-        let key = (request, Attempt(open.attempts));
+        let key = (request, AttemptNumber(open.attempts));
         open.attempts += 1;
         let until = (now + timeout).min(open.deadline);
         if key.1 .0 >= open.most_attempts || until <= now {
-            books.events.push(Event::Ended(Ended {
+            books.events.push(Event::AttemptEnded(AttemptEnded {
                 request,
                 attempt: key.1,
                 server,
-                outcome: Outcome::Moot,
-                rtt: Duration::ZERO,
-                complete: false,
-                note: None,
-                report: None,
+                outcome: Outcome::NotSent,
+                round_trip: Duration::ZERO,
+                request_complete: false,
+                status: None,
+                load_report: None,
             }));
             return self.0.news.notify_one();
         }
--- a/src/net/parcel.rs
+++ b/src/net/parcel.rs
@@ -12,8 +12,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pipittack_core::failover::News;
-use pipittack_core::heritage::{Heritage, Stood};
+use pipittack_core::api::ReplicaSetSnapshot;
+use pipittack_core::api::{ServerSnapshot, StateSnapshot};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -121,12 +121,17 @@
     /// The names that servers have in the list, by the numbers in what follows.
     pub names: Vec<(u32, String)>,
     /// What the decisions stand on.
-    pub heritage: Heritage,
+    pub heritage: StateSnapshot,
 }
 
 impl State {
     /// What is told by a process of this build.
-    pub fn new(zero_unix_ms: f64, listing: Listing, names: Vec<(u32, String)>, heritage: Heritage) -> Self {
+    pub fn new(
+        zero_unix_ms: f64,
+        listing: Listing,
+        names: Vec<(u32, String)>,
+        heritage: StateSnapshot,
+    ) -> Self {
         Self { version: VERSION, zero_unix_ms, listing: Some(listing), names, heritage }
     }
 
@@ -362,20 +367,20 @@
     /// In Unix milliseconds; for a primary, when this was said.
     position_ms: f64,
     #[serde(default)]
-    news: News,
+    news: ReplicaSetSnapshot,
 }
 
 impl EarlyStand {
     /// It knew nothing of sessions, and of a primary only that it was one when last heard.
-    fn stood(&self) -> Stood {
+    fn stood(&self) -> ServerSnapshot {
         let at = self.position_ms / 1e3;
-        Stood {
+        ServerSnapshot {
             server: self.server,
             position: Some(at).filter(|at| !self.primary && *at > 0.0),
-            heard: at,
+            last_response: at,
             primary: self.primary,
-            news: self.news,
-            ..Stood::default()
+            replica_set: self.news,
+            ..ServerSnapshot::default()
         }
     }
 }
@@ -392,7 +397,7 @@
     }
     let stands: Vec<EarlyStand> = serde_json::from_slice(&read_exactly(&stream, length as usize).await?)?;
     let servers = stands.iter().map(EarlyStand::stood).collect();
-    let heritage = Heritage { servers, ..Heritage::default() };
+    let heritage = StateSnapshot { servers, ..StateSnapshot::default() };
     let state = State { heritage, ..State::default() };
     let (places, state, stream) = (Some(places as usize), Some(state), Rc::new(stream));
     Ok((fd, Inheritance { places, state, words: None, stream }))
--- a/src/net/parcel/tests.rs
+++ b/src/net/parcel/tests.rs
@@ -4,8 +4,8 @@
 use std::mem::MaybeUninit;
 use std::os::fd::AsFd;
 
-use pipittack_core::failover::{Change, News};
-use pipittack_core::heritage::{Heritage, Stood};
+use pipittack_core::api::{FailoverKind, ReplicaSetSnapshot};
+use pipittack_core::api::{ServerSnapshot, StateSnapshot};
 use rstest::rstest;
 use rustix::net::{sendmsg, SendAncillaryBuffer, SendAncillaryMessage, SendFlags};
 use tokio::io::AsyncReadExt;
@@ -124,21 +124,29 @@
     Listing { rev: 41, all: true, targets: vec![primary, plain] }
 }
 
-fn routing_snapshot() -> Heritage {
-    let full = Stood {
+fn routing_snapshot() -> StateSnapshot {
+    let full = ServerSnapshot {
         server: 7,
         position: Some(99.25),
-        heard: 100.5,
+        last_response: 100.5,
         primary: true,
         replica_at: Some(12.0),
         started: Some(3.5),
-        budget: 0.125,
-        window: Some(32.0),
+        warm_up_budget: 0.125,
+        concurrency_limit: Some(32.0),
         down: Some((98.0, true)),
-        news: News { epoch: 3, deposed: true, change: Some((Change::Unplanned, 1.5)) },
+        replica_set: ReplicaSetSnapshot {
+            epoch: 3,
+            deposed: true,
+            failover: Some((FailoverKind::Unplanned, 1.5)),
+        },
     };
-    let bare = Stood { server: 4_000_000_000, ..Stood::default() };
-    Heritage { floor: Some(90.75), marks: vec![("basket-7".to_owned(), 99.0)], servers: vec![full, bare] }
+    let bare = ServerSnapshot { server: 4_000_000_000, ..ServerSnapshot::default() };
+    StateSnapshot {
+        session_floor: Some(90.75),
+        session_tokens: vec![("basket-7".to_owned(), 99.0)],
+        servers: vec![full, bare],
+    }
 }
 
 fn snapshot() -> State {
@@ -262,15 +270,21 @@
     assert_eq!(state, State { heritage: early_routing_snapshot(), ..State::default() });
 }
 
-fn early_routing_snapshot() -> Heritage {
+fn early_routing_snapshot() -> StateSnapshot {
     let at = 1_767_225_600.5;
-    let news = News { epoch: 4, deposed: false, change: Some((Change::Planned, 0.25)) };
+    let news = ReplicaSetSnapshot { epoch: 4, deposed: false, failover: Some((FailoverKind::Planned, 0.25)) };
     let servers = vec![
-        Stood { server: 7, heard: at, primary: true, ..Stood::default() },
-        Stood { server: 8, position: Some(at), heard: at, news, ..Stood::default() },
-        Stood { server: 9, ..Stood::default() },
+        ServerSnapshot { server: 7, last_response: at, primary: true, ..ServerSnapshot::default() },
+        ServerSnapshot {
+            server: 8,
+            position: Some(at),
+            last_response: at,
+            replica_set: news,
+            ..ServerSnapshot::default()
+        },
+        ServerSnapshot { server: 9, ..ServerSnapshot::default() },
     ];
-    Heritage { servers, ..Heritage::default() }
+    StateSnapshot { servers, ..StateSnapshot::default() }
 }
 
 #[tokio::test]
--- a/src/net/servers.rs
+++ b/src/net/servers.rs
@@ -22,8 +22,8 @@
 use super::buffers::{write_all, Chain, Pool, Room};
 use super::exchange::{Clock, Ending, Exchange, Key, Order, Send};
 use super::pg;
-use crate::estimate::{Gauge, Memory};
-use crate::interface::*;
+use crate::api::*;
+use crate::ewma::{Ewma, EwmaConfig};
 
 /// The user and database that data servers are asked for; they welcome any.
 const LOGIN: (&str, &str) = ("worker", "catalog");
@@ -52,15 +52,15 @@
 /// How much more often than young ones older connections may break at their next query.
 const WORN: (f64, f64) = (2.0, 0.1);
 /// A share of breaks averages over 60 queries, forgets in 20 s, and weighs what is usual like 3 of its own.
-const BREAKS: Memory = Memory { most: 60.0, fade: 20.0, prior: 3.0 };
+const BREAKS: EwmaConfig = EwmaConfig { most: 60.0, fade: 20.0, prior: 3.0 };
 
 /// How connections that were kept have fared at their next query, by how long they had stood idle. Guards
 /// against peers, or machines on the way, that drop a connection much sooner than the settings say, and tell
 /// so by a reset when the query is on its way. Harms by handshakes where the resets had another cause.
 #[derive(Default)]
 pub struct Wear {
-    young: Gauge,
-    old: [Gauge; AGES],
+    young: Ewma,
+    old: [Ewma; AGES],
 }
 
 impl Wear {
@@ -78,7 +78,7 @@
     /// The idle time from which on a connection had better not be used again, if there is one.
     pub fn most(&self, now: f64) -> Option<Duration> {
         let usual = self.young.read(now, 0.0, &BREAKS);
-        let worn = |gauge: &Gauge| gauge.read(now, usual, &BREAKS) > WORN.0 * usual + WORN.1;
+        let worn = |gauge: &Ewma| gauge.read(now, usual, &BREAKS) > WORN.0 * usual + WORN.1;
         self.old.iter().position(worn).map(|age| YOUNG * (1 << age))
     }
 }
@@ -223,8 +223,9 @@
             sockets,
             connect_timeout: settings.limits.connect_timeout,
             conn_idle: conn_idle.mul_f64(IDLE_SHARE),
-            probe_reports: settings.reports == Reports::Pull,
-            begun_within: Some(settings.contract.stop_within.mul_f64(BEGUN_SHARE)).filter(|at| !at.is_zero()),
+            probe_reports: settings.load_reports == LoadReports::OnHealthCheck,
+            begun_within: Some(settings.rules.drain_grace_period.mul_f64(BEGUN_SHARE))
+                .filter(|at| !at.is_zero()),
         }
     }
 }
@@ -413,7 +414,7 @@
                 log::debug!("attempt at server {}: {e}", send.server.0);
                 match stage.get() {
                     // It ran and its server is up: only what came back can't be used.
-                    Stage::Written if e.kind() == io::ErrorKind::InvalidData => Outcome::Error,
+                    Stage::Written if e.kind() == io::ErrorKind::InvalidData => Outcome::ServerError,
                     Stage::Written => Outcome::Reset,
                     _ => Outcome::ConnectFailed,
                 }
@@ -421,7 +422,7 @@
             Err(_) => match stage.get() {
                 Stage::Written => Outcome::Timeout,
                 Stage::Connects => Outcome::ConnectFailed, // what was not written whole was not begun
-                Stage::Waits => Outcome::Moot,
+                Stage::Waits => Outcome::NotSent,
             },
         };
         Ending::without_answer(outcome)
@@ -442,7 +443,7 @@
         let stale = begun_by.into_iter().chain(send.fresh_until).any(|until| Instant::now() >= until);
         if stale || !self.exchange.may_write(send.key, send.server) {
             self.give_back(send.server, connection);
-            return Ok(Ending::without_answer(Outcome::Moot));
+            return Ok(Ending::without_answer(Outcome::NotSent));
         }
         let left = send.until.saturating_duration_since(Instant::now());
         let stood = connection.idle_since.elapsed();
@@ -477,10 +478,10 @@
         let Reply { bytes, value: messages, .. } = reply;
         let rest = Rest { side: self.clone(), server, connection, left, reply: rest, complete: false };
         let answer = Some(Answer { bytes, messages, rest: Some(rest) });
-        Ending { answer, ..Ending::without_answer(Outcome::Ok) }
+        Ending { answer, ..Ending::without_answer(Outcome::Success) }
     }
 
-    async fn probe(&self, server: ServerId) -> (bool, Option<Report>) {
+    async fn probe(&self, server: ServerId) -> (bool, Option<LoadReport>) {
         let text = if self.options.borrow().probe_reports { "SHOW stats" } else { "SELECT 1" };
         let ask = async {
             let Checkout::Ready(connection) = self.checkout(server, &Cell::new(Stage::Waits)).await? else {
@@ -552,7 +553,7 @@
             None if reply.reusable() => {
                 Checkout::Ready(Connection { stream, address, idle_since: Instant::now(), _place: place })
             }
-            Some(code) if &code == b"53300" => Checkout::Rejected(Outcome::Full),
+            Some(code) if &code == b"53300" => Checkout::Rejected(Outcome::Rejected),
             _ => Checkout::Rejected(Outcome::ConnectFailed),
         })
     }
@@ -777,26 +778,26 @@
     /// What it means for the attempt.
     fn ending(self, clock: Clock) -> Ending<Answer> {
         let outcome = match self.code.as_ref() {
-            None if self.served() => Outcome::Ok,
-            Some(b"25006" | b"72000") => Outcome::Miss,
-            Some(b"53300") => Outcome::Full,
-            _ => Outcome::Error,
+            None if self.served() => Outcome::Success,
+            Some(b"25006" | b"72000") => Outcome::Misdirected,
+            Some(b"53300") => Outcome::Rejected,
+            _ => Outcome::ServerError,
         };
         let note = self.note(clock);
         let report = self.stats.as_deref().map(|text| report(text, clock));
-        let value = Some(self.value).filter(|value| value.len() == 3 && outcome == Outcome::Ok);
+        let value = Some(self.value).filter(|value| value.len() == 3 && outcome == Outcome::Success);
         let answer = value.map(|messages| Answer { bytes: self.bytes, messages, rest: None });
         Ending { outcome, note, report, answer }
     }
 
     /// What it says of its server.
-    fn note(&self, clock: Clock) -> Option<Note> {
+    fn note(&self, clock: Clock) -> Option<ServerStatus> {
         let position = self.position_ms.and_then(|ms| position(ms, clock));
         let heard = position.is_some() || self.primary.is_some();
-        heard.then_some(Note { position, primary: self.primary })
+        heard.then_some(ServerStatus { position, primary: self.primary })
     }
 
-    fn probe_report(&self, clock: Clock) -> Option<Report> {
+    fn probe_report(&self, clock: Clock) -> Option<LoadReport> {
         let mut row = Vec::new();
         let at = self.value.get(1)?;
         self.bytes.copy(at.start + 5..at.end, &mut row);
@@ -810,14 +811,14 @@
     Some(clock.of_unix_ms(ms)).filter(|at| *at <= clock.now() + AHEAD_MOST)
 }
 
-fn report(text: &str, clock: Clock) -> Report {
-    let mut report = Report::default();
+fn report(text: &str, clock: Clock) -> LoadReport {
+    let mut report = LoadReport::default();
     for (name, value) in pg::load_report(text) {
         match name {
             "x0" => report.position = position(value * 1e3 - REPORT_ROUNDED, clock),
             "x1" => report.primary = Some(value == 1.0),
             "busy_reqs" | "inflight" => report.in_flight = Some(value),
-            "pending" | "queue" => report.waiting = Some(value),
+            "pending" | "queue" => report.queued = Some(value),
             _ => {}
         }
     }
--- a/src/net/twin.rs
+++ b/src/net/twin.rs
@@ -11,7 +11,7 @@
 use std::os::fd::{AsFd, OwnedFd};
 use std::rc::Rc;
 
-use pipittack_core::heritage::Word;
+use pipittack_core::api::PeerMessage;
 use rustix::io::Errno;
 use rustix::net::{
     recv, send, shutdown, socketpair, AddressFamily, RecvFlags, SendFlags, Shutdown, SocketFlags, SocketType,
@@ -91,13 +91,13 @@
         }
     }
 
-    fn word(&self, bytes: &[u8]) -> Option<Word> {
+    fn word(&self, bytes: &[u8]) -> Option<PeerMessage> {
         match serde_json::from_slice(bytes).ok()? {
             Said::Wrote { session, commit_ms } => {
                 let commit = self.clock.of_unix_ms(commit_ms).as_secs_f64();
-                Some(Word::Wrote { session, commit })
+                Some(PeerMessage::SessionWrite { session, commit })
             }
-            Said::Withdrawn { uid } => Some(Word::Withdrawn(self.lister.borrow().number(&uid))),
+            Said::Withdrawn { uid } => Some(PeerMessage::ServerWithdrawn(self.lister.borrow().number(&uid))),
             Said::Over => {
                 self.silent.set(true);
                 None
@@ -107,18 +107,18 @@
 }
 
 impl Twin for Channel {
-    fn tell(&self, word: &Word) {
+    fn tell(&self, word: &PeerMessage) {
         match word {
-            Word::Wrote { session, commit } => {
+            PeerMessage::SessionWrite { session, commit } => {
                 let commit = std::time::Duration::try_from_secs_f64(*commit).unwrap_or_default();
                 self.say(&Said::Wrote { session: session.clone(), commit_ms: self.clock.unix_ms(commit) });
             }
-            Word::Withdrawn(server) => {
+            PeerMessage::ServerWithdrawn(server) => {
                 if let Some(uid) = self.lister.borrow().name(*server) {
                     self.say(&Said::Withdrawn { uid: uid.to_owned() });
                 }
             }
-            Word::Blind(_) | Word::Doubt(_) => {} // it finds that out by itself
+            PeerMessage::PeerUnreachable(_) | PeerMessage::ProcessPaused(_) => {} // it finds that out by itself
         }
     }
 
@@ -126,7 +126,7 @@
         self.say(&Said::Over);
     }
 
-    fn hear(&self) -> Vec<Word> {
+    fn hear(&self) -> Vec<PeerMessage> {
         let mut words = Vec::new();
         while !self.silent.get() {
             let mut buffer = self.buffer.borrow_mut();
@@ -146,7 +146,7 @@
             }
             // Its end, or something that can't be read: what was acknowledged there is unknown from now on.
             self.silent.set(true);
-            words.push(Word::Blind(true));
+            words.push(PeerMessage::PeerUnreachable(true));
         }
         let nothing_left = || Err::<(), _>(io::ErrorKind::WouldBlock.into());
         let _ = self.fd.try_io(Interest::READABLE, nothing_left);
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -7,13 +7,13 @@
 
 use lexpr::datum::{Datum, Ref};
 use lexpr::Parser;
-use pipittack_core::failover::Tuning;
+use pipittack_core::api::FailoverSettings;
 
 /// What the operators have set.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Operators {
     /// `(failover ...)`: changes of primary.
-    pub failover: Tuning,
+    pub failover: FailoverSettings,
 }
 
 /// Faults of a file, each with its line and column and with what was expected there.
@@ -111,8 +111,8 @@
     }
 }
 
-fn failover(notes: &mut Notes<'_>, form: Ref<'_>, items: &[Ref<'_>]) -> Tuning {
-    let mut tuning = Tuning::default();
+fn failover(notes: &mut Notes<'_>, form: Ref<'_>, items: &[Ref<'_>]) -> FailoverSettings {
+    let mut tuning = FailoverSettings::default();
     let before = notes.faults.len();
     let mut seen: Vec<&str> = Vec::new();
     for item in items {
@@ -126,25 +126,25 @@
         let whole = number >= 1.0 && number.fract() == 0.0 && number <= 1e15;
         match word {
             "hold-count" | "hold-bytes" if !whole => notes.expected(*item, "a whole number of 1 or more"),
-            "hold-count" => tuning.hold_count = number as usize,
-            "hold-bytes" => tuning.hold_bytes = number as u64,
-            "hold-share" => tuning.hold_share = number,
-            "patience" => tuning.patience = number,
-            "refuse-under" => tuning.refuse_under = number,
-            "hold-over" => tuning.hold_over = number,
+            "hold-count" => tuning.max_buffered_writes = number as usize,
+            "hold-bytes" => tuning.max_buffered_bytes = number as u64,
+            "hold-share" => tuning.max_share_per_set = number,
+            "patience" => tuning.suspicion_factor = number,
+            "refuse-under" => tuning.min_recovery_chance = number,
+            "hold-over" => tuning.min_late_recovery_chance = number,
             _ => {
                 let names = "hold-count, hold-bytes, hold-share, patience, refuse-under or hold-over";
                 notes.expected(*item, names);
             }
         }
-        if let Some((name, expected)) = tuning.fault().filter(|(name, _)| *name == word) {
-            notes.expected(*item, &format!("{expected} for {name}"));
-            tuning = Tuning::default();
+        if let Some(invalid) = tuning.validate().err().filter(|invalid| invalid.name == word) {
+            notes.expected(*item, &format!("{} for {}", invalid.expected, invalid.name));
+            tuning = FailoverSettings::default();
         }
     }
     if notes.faults.len() == before {
-        if let Some((name, expected)) = tuning.fault() {
-            notes.expected(form, &format!("{expected} for {name}"));
+        if let Err(invalid) = tuning.validate() {
+            notes.expected(form, &format!("{} for {}", invalid.expected, invalid.name));
         }
     }
     tuning
@@ -164,7 +164,12 @@
     #[test]
     fn what_is_set_counts() {
         let text = "(failover (hold-count 7) (patience 2) ; a comment\n (hold-over 0.25))";
-        let expected = Tuning { hold_count: 7, patience: 2.0, hold_over: 0.25, ..Tuning::default() };
+        let expected = FailoverSettings {
+            max_buffered_writes: 7,
+            suspicion_factor: 2.0,
+            min_late_recovery_chance: 0.25,
+            ..FailoverSettings::default()
+        };
         assert_eq!(Operators::read("f", text), Ok(Operators { failover: expected }));
     }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -10,9 +10,9 @@
 use serde::Deserialize;
 use serde_json::Value;
 
-use pipittack_core::failover::Tuning;
+use pipittack_core::api::FailoverSettings;
 
-use crate::interface::*;
+use crate::api::*;
 
 /// Settings that can't be read; says in a sentence what is wrong.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -93,8 +93,8 @@
     }
 
     /// The machine kind of a name; a new name gets the next number.
-    pub fn kind(&mut self, name: &str) -> KindId {
-        KindId(intern(&mut self.kinds, name))
+    pub fn kind(&mut self, name: &str) -> MachineKindId {
+        MachineKindId(intern(&mut self.kinds, name))
     }
 }
 
@@ -156,13 +156,13 @@
 fn class(object: &Object, place: usize, domain: &Object) -> Parsed<Class> {
     let window = object.time("WindowMs")?;
     let effect = match object.text("Effect") {
-        "repeatable" => Effect::Repeatable,
-        "once" => Effect::Once,
-        "by_key" => Effect::Keyed {
+        "repeatable" => Idempotency::Idempotent,
+        "once" => Idempotency::NonIdempotent,
+        "by_key" => Idempotency::WithKey {
             scope: match object.text("DedupScope") {
-                "all" => DedupScope::All,
-                "zone" => DedupScope::Zone,
-                "cell" => DedupScope::Group,
+                "all" => KeyScope::All,
+                "zone" => KeyScope::Zone,
+                "cell" => KeyScope::Group,
                 other => return Err(format!("unknown DedupScope {other}").into()),
             },
             window,
@@ -170,25 +170,28 @@
         other => return Err(format!("unknown Effect {other}").into()),
     };
     let need = match domain.list("NeedsByClass").get(place).and_then(Value::as_str) {
-        Some("mutate") => Need::Write,
-        Some("strong") => Need::Strong,
-        Some("causal") => Need::Causal,
+        Some("mutate") => Consistency::Write,
+        Some("strong") => Consistency::Linearizable,
+        Some("causal") => Consistency::Causal,
         Some("lag_bound") => {
             let age = domain.list("MaxAgeMs").get(place).and_then(Value::as_f64);
-            Need::Bounded(millis(age.ok_or_else(|| "MaxAgeMs is missing".to_owned())?, "MaxAgeMs")?)
+            Consistency::BoundedStaleness(millis(
+                age.ok_or_else(|| "MaxAgeMs is missing".to_owned())?,
+                "MaxAgeMs",
+            )?)
         }
-        Some("eventual") => Need::Eventual,
+        Some("eventual") => Consistency::Eventual,
         other => return Err(format!("unknown need {}", other.unwrap_or("(absent)")).into()),
     };
     Ok(Class {
-        credit: object.num("Credit", 1.0)?,
-        aim: object.time("OnTimeMs")?,
-        aim_stretch: object.num("AimStretch", 0.0)?,
+        priority_weight: object.num("Credit", 1.0)?,
+        latency_objective: object.time("OnTimeMs")?,
+        latency_objective_stretch: object.num("AimStretch", 0.0)?,
         deadline: object.time("DeadlineMs")?,
-        late_value: object.num("LateValue", 0.0)?,
-        effect,
-        need,
-        stream: object.flag("Stream")?,
+        late_weight: object.num("LateValue", 0.0)?,
+        idempotency: effect,
+        consistency: need,
+        streaming: object.flag("Stream")?,
     })
 }
 
@@ -202,76 +205,76 @@
     let classes = top.list("Classes").iter().enumerate();
     let tenants = top.list("Tenants").iter().map(Object);
     let settings = Settings {
-        index: top.whole("Index", 0)?,
-        gateways: top.whole("GroupSize", 1)?,
+        instance_index: top.whole("Index", 0)?,
+        instance_count: top.whole("GroupSize", 1)?,
         zone: names.zone(top.text("Zone")),
-        tick: top.time("TickMs")?,
+        min_step_interval: top.time("TickMs")?,
         classes: classes.map(|(i, c)| class(&Object(c), i, &domain)).collect::<Parsed<_>>()?,
         tenants: tenants
             .map(|t| Ok(Tenant { quota_per_s: t.num("QuotaPerS", 0.0)?, share: t.num("Share", 0.0)? }))
             .collect::<Parsed<_>>()?,
-        over_share_worth: top.num("OverShareWorth", 1.0)?,
-        checks: match domain.text("ServerChecks") {
-            "silent" => Checks::Silent,
-            "bounce" => Checks::Bounce,
-            "await" => Checks::Await(domain.time("HoldsForMs")?),
+        over_quota_weight: top.num("OverShareWorth", 1.0)?,
+        stale_read_policy: match domain.text("ServerChecks") {
+            "silent" => StaleReadPolicy::AnswerStale,
+            "bounce" => StaleReadPolicy::Decline,
+            "await" => StaleReadPolicy::WaitThenDecline(domain.time("HoldsForMs")?),
             other => return Err(format!("unknown ServerChecks {other}").into()),
         },
-        positions: domain.flag("Positions")?,
-        session_marks: match domain.text("SessionMarks") {
-            "brought" => SessionMarks::Brought,
-            "kept" => SessionMarks::Kept,
+        responses_carry_position: domain.flag("Positions")?,
+        session_tokens: match domain.text("SessionMarks") {
+            "brought" => SessionTokens::FromClient,
+            "kept" => SessionTokens::Tracked,
             other => return Err(format!("unknown SessionMarks {other}").into()),
         },
-        role_column: match domain.text("ShowsRole") {
-            "trailing" => RoleColumn::Trailing,
-            "static" => RoleColumn::Static,
-            _ => RoleColumn::Silent,
+        listed_role: match domain.text("ShowsRole") {
+            "trailing" => ListedRole::Delayed,
+            "static" => ListedRole::Static,
+            _ => ListedRole::Absent,
         },
-        reports: match report.text("How") {
-            "piggyback" => Reports::Piggyback,
-            "pull" => Reports::Pull,
-            _ => Reports::Silent,
+        load_reports: match report.text("How") {
+            "piggyback" => LoadReports::Piggyback,
+            "pull" => LoadReports::OnHealthCheck,
+            _ => LoadReports::Never,
         },
         discovery: match top.text("Discovery") {
-            "subscribe" => Discovery::Subscribe,
-            _ => Discovery::Automatic,
+            "subscribe" => DiscoveryMode::Subscribe,
+            _ => DiscoveryMode::Push,
         },
         limits: Limits {
-            attempts: limits.whole("AttemptsCap", 1)?,
-            cancel: limits.flag("MayCancel")?,
-            tell: limits.flag("MayTell")?,
-            probes: limits.flag("Probes")?,
-            second_copies: limits.flag("SecondCopies")?,
-            retry_after: limits.flag("RetryAfter")?,
+            max_attempts: limits.whole("AttemptsCap", 1)?,
+            allow_cancel: limits.flag("MayCancel")?,
+            allow_gossip: limits.flag("MayTell")?,
+            allow_health_checks: limits.flag("Probes")?,
+            allow_hedging: limits.flag("SecondCopies")?,
+            send_retry_after: limits.flag("RetryAfter")?,
             max_retry_after: limits.time("MaxRetryAfterMs")?,
             connect_timeout: limits.time("ConnectTimeoutMs")?,
-            streams_per_connection: limits.whole("StreamsPerConn", 1)?,
+            max_streams_per_connection: limits.whole("StreamsPerConn", 1)?,
         },
-        contract: Contract {
-            answer_slack: contract.time("AnswerSlackMs")?,
-            ask_every: contract.time("AskEveryMs")?,
-            cold_share: contract.num("ColdShare", 1.0)?,
+        rules: ServiceRules {
+            answer_grace_period: contract.time("AnswerSlackMs")?,
+            poll_interval: contract.time("AskEveryMs")?,
+            initial_capacity_share: contract.num("ColdShare", 1.0)?,
             warm_up: contract.time("WarmUpMs")?,
             overload_factor: contract.num("OverloadFactor", 1.0)?,
-            overload_for: contract.time("OverloadForMs")?,
-            stop_within: contract.time("StopSendingWithinMs")?,
-            only_draining_binds: contract.flag("OnlyDrainingBinds")?,
+            overload_duration: contract.time("OverloadForMs")?,
+            drain_grace_period: contract.time("StopSendingWithinMs")?,
+            removed_may_serve: contract.flag("OnlyDrainingBinds")?,
         },
         prices: Prices {
             cross_zone: prices.num("CrossZone", 0.0)?,
-            probe: prices.num("Probe", 0.0)?,
-            peer: prices.num("Peer", 0.0)?,
-            waste: prices.num("Waste", 0.0)?,
-            late_fail: prices.num("LateFail", 0.0)?,
+            health_check: prices.num("Probe", 0.0)?,
+            gossip: prices.num("Peer", 0.0)?,
+            wasted_work: prices.num("Waste", 0.0)?,
+            late_failure: prices.num("LateFail", 0.0)?,
         },
-        failover: Tuning::default(),
+        failover: FailoverSettings::default(),
     };
     let columns = report.list("Columns").iter().filter_map(Value::as_str).map(str::to_owned).collect();
     let env = Env {
         names,
         zero_ms: domain.num("ZeroMs", 0.0)?,
-        positions: settings.positions,
+        positions: settings.responses_carry_position,
         columns,
         conn_idle: limits.time("ConnIdleMs")?,
     };
