--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use pipittack_peers::script::{listing, DataServer, Discovery, Say};
+use pipittack_testkit::script::{listing, DataServer, Discovery, Say};
 
 fn main() -> std::io::Result<()> {
     let path = std::env::args().nth(1).unwrap_or_else(|| "toy.json".into());
--- a/src/bin/pipittack-benchlink/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -10,13 +10,13 @@
 
 use parse::Line;
 use pipittack::api::{Action, Endpoint, Event};
-use pipittack::settings::{self, Env};
+use pipittack::settings::{self, ConnectionSettings};
 use pipittack::RoutingEngine;
 
 /// An instance: its gateway, the names of its settings, and its events of the present batch.
 struct Instance {
     gateway: RoutingEngine,
-    env: Env,
+    env: ConnectionSettings,
     events: Vec<Event>,
 }
 
@@ -121,7 +121,7 @@
     match run(io::stdin().lock(), &mut out) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("pipittack-benchlink: {fault}");
+            eprintln!("simulator-adapter: {fault}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/pipittack-benchlink/parse.rs
+++ b/src/bin/simulator-adapter/parse.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pipittack::api::*;
-use pipittack::settings::{Env, Names};
+use pipittack::settings::{ConnectionSettings, NameTable};
 use serde_json::Value;
 
 /// A message of a batch.
@@ -101,7 +101,7 @@
 }
 
 /// The entries of a numbered list.
-pub fn entries(items: &Value, names: &mut Names) -> Parsed<Vec<Endpoint>> {
+pub fn entries(items: &Value, names: &mut NameTable) -> Parsed<Vec<Endpoint>> {
     let items = items.as_array().ok_or("Items is not an array")?;
     items
         .iter()
@@ -154,7 +154,7 @@
     })
 }
 
-fn note(values: &[Value], place: usize, env: &Env) -> Parsed<Option<ServerStatus>> {
+fn note(values: &[Value], place: usize, env: &ConnectionSettings) -> Parsed<Option<ServerStatus>> {
     if at(values, place).is_none() {
         return Ok(None);
     }
@@ -168,14 +168,17 @@
         2 => Some(false),
         _ => None,
     };
-    Ok(Some(ServerStatus { position: position.filter(|_| env.positions || primary == Some(true)), primary }))
+    Ok(Some(ServerStatus {
+        position: position.filter(|_| env.responses_carry_position || primary == Some(true)),
+        primary,
+    }))
 }
 
-fn report(values: &[Value], place: usize, env: &Env) -> Parsed<Option<LoadReport>> {
+fn report(values: &[Value], place: usize, env: &ConnectionSettings) -> Parsed<Option<LoadReport>> {
     let Some(row) = at(values, place) else { return Ok(None) };
     let row = row.as_array().ok_or("Gauge is not an array")?;
     let mut report = LoadReport::default();
-    for (place, column) in env.columns.iter().enumerate() {
+    for (place, column) in env.load_report_columns.iter().enumerate() {
         let Some(value) = opt_num(row, place, column)? else { continue };
         match column.as_str() {
             "x0" => report.position = Some(millis(env.zero_ms + value * 1e3, "x0")?),
@@ -189,7 +192,7 @@
 }
 
 /// An event of an instance.
-pub fn event(name: &str, values: &[Value], env: &Env) -> Parsed<Event> {
+pub fn event(name: &str, values: &[Value], env: &ConnectionSettings) -> Parsed<Event> {
     let request = || int(values, 1, "Job").map(RequestId);
     Ok(match name {
         "CALL" => {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,9 +5,9 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod listing;
+pub mod endpoint_list;
 pub mod net;
-pub mod operators;
+pub mod operator_settings;
 pub mod settings;
 
 pub use pipittack_core::{api, ewma, RoutingEngine};
--- a/src/main.rs
+++ b/src/main.rs
@@ -16,16 +16,16 @@
 use clap::{Parser, Subcommand};
 use log::LevelFilter;
 use pipittack::api::{ClassId, Settings};
-use pipittack::net::buffers::Pool;
-use pipittack::net::clients::{self, Clients};
-use pipittack::net::discovery::{self, Lister, SharedLister};
-use pipittack::net::exchange::{Clock, Exchange, Order};
-use pipittack::net::handover::{self, Shares};
-use pipittack::net::ops::{self, Bans, Control};
-use pipittack::net::parcel::{self, Before, Greeting};
-use pipittack::net::servers::{self, PgExchange};
-use pipittack::operators::Operators;
-use pipittack::settings::{Config, Env, Malformed, SOCKETS_LEAST};
+use pipittack::net::admin::{self, AdminApi, OutOfServiceList};
+use pipittack::net::buffers::BufferPool;
+use pipittack::net::client::{self, ClientService};
+use pipittack::net::discovery::{self, EndpointRegistry, SharedEndpointRegistry};
+use pipittack::net::driver::{Clock, Driver, ServerCommand};
+use pipittack::net::hot_restart::frame::{self, Hello, PredecessorStatus};
+use pipittack::net::hot_restart::handover::{self, SharedResources};
+use pipittack::net::server::{self, PgDriver};
+use pipittack::operator_settings::OperatorSettings;
+use pipittack::settings::{Config, ConfigError, ConnectionSettings, MIN_SOCKETS};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::watch;
 use tokio::task::{spawn_local, LocalSet};
@@ -85,20 +85,20 @@
 }
 
 impl ConfigFile {
-    fn read(&self) -> Result<(Config, Settings, Env), String> {
+    fn read(&self) -> Result<(Config, Settings, ConnectionSettings), String> {
         self.read_by(Config::read)
     }
 
     /// Reads both files; what is wrong in either is told, and then nothing of them counts.
     fn read_by(
         &self,
-        read: impl FnOnce(&str) -> Result<(Config, Settings, Env), Malformed>,
-    ) -> Result<(Config, Settings, Env), String> {
+        read: impl FnOnce(&str) -> Result<(Config, Settings, ConnectionSettings), ConfigError>,
+    ) -> Result<(Config, Settings, ConnectionSettings), String> {
         let fault = |e: &dyn std::fmt::Display| format!("{}: {e}", self.path.display());
         let text = std::fs::read_to_string(&self.path).map_err(|e| fault(&e));
         let config = text.and_then(|text| read(&text).map_err(|e| fault(&e)));
-        match (config, Operators::load(self.operators.as_deref())) {
-            (Ok((config, settings, env)), Ok(Operators { failover })) => {
+        match (config, OperatorSettings::load(self.operators.as_deref())) {
+            (Ok((config, settings, env)), Ok(OperatorSettings { failover })) => {
                 Ok((config, Settings { failover, ..settings }, env))
             }
             (Err(fault), Ok(_)) | (Ok(_), Err(fault)) => Err(fault),
@@ -170,11 +170,11 @@
 
 async fn serve(
     start: &Start,
-    (mut config, settings, env): (Config, Settings, Env),
+    (mut config, settings, env): (Config, Settings, ConnectionSettings),
     mut signals: Signals,
 ) -> Result<(), String> {
     let (clock, born) = (Clock::start(), Instant::now());
-    let pool = Pool::new((config.limits.memory_mb as f64 * 1e6 * BUFFER_SHARE) as usize);
+    let pool = BufferPool::new((config.limits.memory_mb as f64 * 1e6 * BUFFER_SHARE) as usize);
     let seed = config.seed().map_err(|e| e.to_string())?;
     let sockets = sockets(config.limits.sockets)?;
     let part = |share: f64| (sockets as f64 * share) as usize;
@@ -184,28 +184,29 @@
         let name = format!("pipittack-{}-{}.{ending}", config.name, config.listen);
         start.state_dir.as_ref().map(|dir| dir.join(name))
     };
-    let (path, greeting) = (kept("2.sock"), Greeting::of(&config.name));
+    let (path, greeting) = (kept("2.sock"), Hello::new(&config.name));
     let before = match (&path, kept("sock")) {
-        (Some(path), Some(early)) => parcel::inherit(path, &early, &greeting).await,
-        _ => Before::Nobody,
+        (Some(path), Some(early)) => frame::inherit(path, &early, &greeting).await,
+        _ => PredecessorStatus::NotRunning,
     };
     let listen =
-        || clients::listen(config.listen).map_err(|e| format!("can't listen at {}: {e}", config.listen));
+        || client::listen(config.listen).map_err(|e| format!("can't listen at {}: {e}", config.listen));
     let (listener, mut heritage, deaf) = match before {
-        Before::Hands(listener, heritage) => (listener, Some(heritage), None),
-        Before::Deaf(stream) => (listen()?, None, Some(stream)),
-        Before::Nobody => (listen()?, None, None),
+        PredecessorStatus::HandsOver(listener, heritage) => (listener, Some(heritage), None),
+        PredecessorStatus::Unresponsive(stream) => (listen()?, None, Some(stream)),
+        PredecessorStatus::NotRunning => (listen()?, None, None),
     };
     let ops = match start.ops.or(config.ops) {
-        Some(at) => Some(ops::listen(at).await.map_err(|e| format!("can't listen at {at}: {e}"))?),
+        Some(at) => Some(admin::listen(at).await.map_err(|e| format!("can't listen at {at}: {e}"))?),
         None => None,
     };
     let address = listener.local_addr().map_err(|e| format!("can't listen: {e}"))?;
 
-    let to_servers = servers::Options::new(&settings, env.conn_idle, sockets - part(CLIENT_SHARE.0));
-    let to_clients = clients::Options {
-        clients: part(CLIENT_SHARE.1),
-        usual: part(CLIENT_SHARE.0),
+    let to_servers =
+        server::ServerOptions::new(&settings, env.server_idle_timeout, sockets - part(CLIENT_SHARE.0));
+    let to_clients = client::ClientOptions {
+        max_clients: part(CLIENT_SHARE.1),
+        usual_clients: part(CLIENT_SHARE.0),
         sockets,
         classes: env
             .names
@@ -216,40 +217,43 @@
             .map(|(name, (i, class))| (name, (ClassId(i), class)))
             .collect(),
     };
-    let (exchange, orders, asks) =
-        Exchange::new(settings, seed, clock).map_err(|e| format!("settings: {e}"))?;
-    let lister = Rc::new(RefCell::new(Lister::new(env.names, clock)));
-    let clients = Clients::new(exchange.clone(), to_clients, pool.clone());
-    let control = Rc::new(Control {
-        exchange: exchange.clone(),
-        lister: lister.clone(),
+    let (driver, orders, asks) = Driver::new(settings, seed, clock).map_err(|e| format!("settings: {e}"))?;
+    let registry = Rc::new(RefCell::new(EndpointRegistry::new(env.names, clock)));
+    let clients = ClientService::new(driver.clone(), to_clients, pool.clone());
+    let control = Rc::new(AdminApi {
+        driver: driver.clone(),
+        registry: registry.clone(),
         clients: clients.clone(),
-        bans: Bans::new(kept("json")),
+        out_of_service: OutOfServiceList::new(kept("json")),
         ready: Cell::new(false),
     });
-    control.look();
+    control.sync_file();
     // The process before this one has it from the service, the configuration only as of some earlier time.
-    let handed = heritage.as_mut().and_then(|heritage| heritage.state.as_mut()?.listing.take());
+    let handed = heritage.as_mut().and_then(|heritage| heritage.state.as_mut()?.endpoint_list.take());
     if let Some(known) = handed.or(config.known.take()) {
-        if let Some((view, addresses)) = lister.borrow_mut().read(known, true) {
-            exchange.listed(view, addresses);
+        if let Some((view, addresses)) = registry.borrow_mut().apply(known, true) {
+            driver.endpoints_updated(view, addresses);
         }
     }
-    spawn_local(servers::run(exchange.clone(), orders, to_servers, pool.clone()));
+    spawn_local(server::run(driver.clone(), orders, to_servers, pool.clone()));
     let (moved, service) = watch::channel(config.discovery);
-    spawn_local(discovery::run(exchange.clone(), asks, service, lister.clone()));
-    exchange.step();
+    spawn_local(discovery::run(driver.clone(), asks, service, registry.clone()));
+    driver.step();
     let followed = control.clone();
-    spawn_local(async move { followed.follow().await });
+    spawn_local(async move { followed.follow_file().await });
     if let Some(listener) = ops {
         let at = listener.local_addr().map_err(|e| format!("can't listen: {e}"))?;
         log::info!("calls are answered at {at}");
-        spawn_local(ops::run(listener, control.clone(), pool.clone()));
+        spawn_local(admin::run(listener, control.clone(), pool.clone()));
     }
-    let driver = exchange.clone();
-    spawn_local(async move { driver.run().await });
-    let shares =
-        Shares { clients: clients.clone(), exchange: exchange.clone(), pool, lister: lister.clone() };
+    let stepping = driver.clone();
+    spawn_local(async move { stepping.run().await });
+    let shares = SharedResources {
+        clients: clients.clone(),
+        driver: driver.clone(),
+        pool,
+        registry: registry.clone(),
+    };
     let shares = Rc::new(shares);
     let holds = match path {
         Some(path) => {
@@ -263,18 +267,18 @@
         let listed_by = born + LISTED_WITHIN;
         // A successor lets the other process serve until it can do so itself.
         if let Some(mut heritage) = heritage {
-            heritage.join(&shares);
-            let _ = timeout_at(listed_by, opened.listed()).await;
-            heritage.enter(&shares).await;
+            heritage.connect_peer(&shares);
+            let _ = timeout_at(listed_by, opened.wait_for_endpoints()).await;
+            heritage.take_over(&shares).await;
             opened.ready.set(true);
-            spawn_local(async move { heritage.follow(&shares).await });
+            spawn_local(async move { heritage.receive_clients(&shares).await });
         } else {
             if let Some(stream) = deaf {
                 let shares = shares.clone();
-                spawn_local(async move { shares.outlast(stream).await });
+                spawn_local(async move { shares.serve_until_gone(stream).await });
             }
             spawn_local(async move {
-                let _ = timeout_at(listed_by, opened.listed()).await;
+                let _ = timeout_at(listed_by, opened.wait_for_endpoints()).await;
                 opened.ready.set(true);
             });
         }
@@ -286,7 +290,7 @@
         tokio::select! {
             _ = signals.terminate.recv() => break,
             _ = signals.interrupt.recv() => break,
-            _ = signals.hangup.recv() => match start.file.read_by(|text| config.reread(text)) {
+            _ = signals.hangup.recv() => match start.file.read_by(|text| config.read_replacement(text)) {
                 Ok((new, settings, env)) => {
                     let place = if new.discovery == config.discovery { "still at" } else { "now at" };
                     log::info!(
@@ -297,16 +301,16 @@
                     );
                     config = new;
                     moved.send_if_modified(|at| std::mem::replace(at, config.discovery) != config.discovery);
-                    retune((settings, env), &clients, &exchange, &lister);
+                    retune((settings, env), &clients, &driver, &registry);
                 }
                 Err(fault) => log::warn!("configuration kept as it was: {fault}"),
             },
         }
     }
-    log::info!("told to end; {} requests open", exchange.open_requests());
-    clients.farewell().await;
-    exchange.end();
-    match exchange.open_requests() {
+    log::info!("told to end; {} requests open", driver.requests_in_flight());
+    clients.shut_down().await;
+    driver.close_peer();
+    match driver.requests_in_flight() {
         0 => {}
         open => log::warn!("ended with {open} requests open"),
     }
@@ -315,15 +319,15 @@
 
 /// Has all parts go by new settings. What the process listens at and its limits are for the next start.
 fn retune(
-    (mut settings, env): (Settings, Env),
-    clients: &Clients,
-    exchange: &PgExchange,
-    lister: &SharedLister,
+    (mut settings, env): (Settings, ConnectionSettings),
+    clients: &ClientService,
+    driver: &PgDriver,
+    registry: &SharedEndpointRegistry,
 ) {
     // The list's zones keep the numbers that they have.
-    settings.zone = lister.borrow_mut().zone(env.names.zone_name(settings.zone).unwrap_or_default());
-    exchange.order(Order::Retune(Box::new(settings.clone()), env.conn_idle));
-    clients.retune(settings, env.names.classes());
+    settings.zone = registry.borrow_mut().zone(env.names.zone_name(settings.zone).unwrap_or_default());
+    driver.command(ServerCommand::Reconfigure(Box::new(settings.clone()), env.server_idle_timeout));
+    clients.reconfigure(settings, env.names.classes());
 }
 
 /// The sockets that are for clients and data servers: what the configuration grants, as far as the system
@@ -331,8 +335,8 @@
 fn sockets(granted: usize) -> Result<usize, String> {
     let got = rlimit::increase_nofile_limit(granted as u64).map_err(|e| format!("no descriptors: {e}"))?;
     let sockets = granted.min(usize::try_from(got).unwrap_or(granted));
-    if sockets < SOCKETS_LEAST {
-        return Err(format!("the system grants {sockets} descriptors, and {SOCKETS_LEAST} are needed"));
+    if sockets < MIN_SOCKETS {
+        return Err(format!("the system grants {sockets} descriptors, and {MIN_SOCKETS} are needed"));
     }
     Ok(sockets - RESERVE)
 }
--- a/src/net/ops.rs
+++ b/src/net/admin/mod.rs
@@ -23,10 +23,10 @@
 use winnow::prelude::*;
 use winnow::token::{literal, take_till, take_while};
 
-use super::buffers::{self, write_all, Pool};
-use super::clients::Clients;
-use super::discovery::SharedLister;
-use super::servers::PgExchange;
+use crate::net::buffers::{self, write_all, BufferPool};
+use crate::net::client::ClientService;
+use crate::net::discovery::SharedEndpointRegistry;
+use crate::net::server::PgDriver;
 
 /// Calls at the same time; a further one ends the one that has been there longest.
 const CALLS_MOST: usize = 8;
@@ -39,7 +39,7 @@
 
 /// What a caller asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminCall {
     /// Whether this process is ready to serve.
     Ready,
     /// Leave a server out.
@@ -57,7 +57,7 @@
 
 /// Reads the head of a call, up to the empty line at its end: what is asked for, or the status that says what
 /// is wrong with it.
-pub fn call(mut head: &[u8]) -> Result<Call, Status> {
+pub fn call(mut head: &[u8]) -> Result<AdminCall, Status> {
     let token = || take_while::<_, _, ContextError>(1.., |c: u8| c.is_ascii_graphic() && c != b':');
     let target = take_till(1.., |c: u8| c.is_ascii_whitespace());
     let version = delimited(literal("HTTP/"), (digit1, literal("."), digit1).take(), crlf);
@@ -71,19 +71,19 @@
     }
     let target = std::str::from_utf8(target).map_err(|_| 400u16)?;
     let path = target.split_once('?').map_or(target, |(path, _)| path);
-    let server = |id: &str, call: fn(String) -> Call| {
+    let server = |id: &str, call: fn(String) -> AdminCall| {
         let id = percent_encoding::percent_decode_str(id).decode_utf8().map_err(|_| 400u16)?;
-        Ok::<Call, Status>(call(id.into_owned()))
+        Ok::<AdminCall, Status>(call(id.into_owned()))
     };
     let (wanted, call) = match path.strip_prefix("/control/").unwrap_or("") {
-        "ready" => (&b"GET"[..], Call::Ready),
-        "out-of-service" => (&b"POST"[..], Call::OutOfService),
-        "in-service" => (&b"POST"[..], Call::InService),
+        "ready" => (&b"GET"[..], AdminCall::Ready),
+        "out-of-service" => (&b"POST"[..], AdminCall::OutOfService),
+        "in-service" => (&b"POST"[..], AdminCall::InService),
         rest => {
             let id = rest.strip_prefix("data-servers/").and_then(|r| r.rsplit_once('/'));
             match id.filter(|(id, _)| !id.is_empty() && !id.contains('/')) {
-                Some((id, "offline")) => (&b"POST"[..], server(id, Call::Offline)?),
-                Some((id, "online")) => (&b"POST"[..], server(id, Call::Online)?),
+                Some((id, "offline")) => (&b"POST"[..], server(id, AdminCall::Offline)?),
+                Some((id, "online")) => (&b"POST"[..], server(id, AdminCall::Online)?),
                 _ => return Err(404),
             }
         }
@@ -97,7 +97,7 @@
 
 /// The servers that are out by hand, by the names of the list, and the file that says so to other processes
 /// of this proxy: those that replace it, and the one that it replaces.
-pub struct Bans {
+pub struct OutOfServiceList {
     file: Option<PathBuf>,
     /// Which state of the file was read last.
     read: Cell<Option<(SystemTime, u64)>>,
@@ -109,14 +109,14 @@
     offline: BTreeSet<String>,
 }
 
-impl Bans {
+impl OutOfServiceList {
     /// Those that `file` tells of; without one, they last as long as the process.
     pub fn new(file: Option<PathBuf>) -> Self {
         Self { file, read: Cell::default(), out: RefCell::default() }
     }
 
     /// Whether a server is out.
-    pub fn holds(&self, uid: &str) -> bool {
+    pub fn contains(&self, uid: &str) -> bool {
         self.out.borrow().contains(uid)
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// Takes over what the file says by now, and gives the names of which it says something new.
-    pub fn look(&self) -> io::Result<Vec<(String, bool)>> {
+    pub fn reload(&self) -> io::Result<Vec<(String, bool)>> {
         let changed = match &self.file {
             Some(file) => std::fs::metadata(file).and_then(|m| Ok((m.modified()?, m.ino()))).ok(),
             None => None,
@@ -164,75 +164,75 @@
 }
 
 /// What the calls act on.
-pub struct Control {
+pub struct AdminApi {
     /// The exchange.
-    pub exchange: PgExchange,
+    pub driver: PgDriver,
     /// The names of the list.
-    pub lister: SharedLister,
+    pub registry: SharedEndpointRegistry,
     /// The side of the clients.
-    pub clients: Clients,
+    pub clients: ClientService,
     /// Servers that are out by hand.
-    pub bans: Bans,
+    pub out_of_service: OutOfServiceList,
     /// Clients are taken, and the list is known.
     pub ready: Cell<bool>,
 }
 
-impl Control {
+impl AdminApi {
     /// Follows what other processes of this proxy are told. Never returns.
-    pub async fn follow(&self) {
+    pub async fn follow_file(&self) {
         let mut look = tokio::time::interval(LOOK_EVERY);
         loop {
-            self.look();
+            self.sync_file();
             look.tick().await;
         }
     }
 
     /// Takes over at once what other processes of this proxy have been told.
-    pub fn look(&self) {
-        match self.bans.look() {
+    pub fn sync_file(&self) {
+        match self.out_of_service.reload() {
             Ok(news) => news.iter().for_each(|(uid, out)| self.order(uid, *out)),
             Err(e) => log::warn!("ops: can't read which servers are out: {e}"),
         }
     }
 
     /// Waits until discovery has told of the list.
-    pub async fn listed(&self) {
-        while !self.lister.borrow().is_live() {
+    pub async fn wait_for_endpoints(&self) {
+        while !self.registry.borrow().is_live() {
             tokio::time::sleep(LOOK_EVERY).await;
         }
     }
 
     fn order(&self, uid: &str, out: bool) {
         log::info!("ops: server {uid} is {} by hand", if out { "out" } else { "back" });
-        let server = self.lister.borrow_mut().number(uid);
-        self.exchange.ordered(server, out);
+        let server = self.registry.borrow_mut().server_id(uid);
+        self.driver.set_out_of_service(server, out);
     }
 
-    fn answer(&self, call: Call) -> (Status, &'static str) {
+    fn answer(&self, call: AdminCall) -> (Status, &'static str) {
         match call {
-            Call::Ready if self.clients.is_out_of_service() => (503, "out of service"),
-            Call::Ready if !self.ready.get() => (503, "no list of data servers yet"),
-            Call::Ready => (200, "ready"),
-            Call::Offline(uid) => self.set(&uid, true),
-            Call::Online(uid) => self.set(&uid, false),
-            Call::OutOfService => {
-                self.clients.send_away();
+            AdminCall::Ready if self.clients.is_out_of_service() => (503, "out of service"),
+            AdminCall::Ready if !self.ready.get() => (503, "no list of data servers yet"),
+            AdminCall::Ready => (200, "ready"),
+            AdminCall::Offline(uid) => self.set(&uid, true),
+            AdminCall::Online(uid) => self.set(&uid, false),
+            AdminCall::OutOfService => {
+                self.clients.take_out_of_service();
                 (200, "out of service")
             }
-            Call::InService => {
-                self.clients.take_again();
+            AdminCall::InService => {
+                self.clients.return_to_service();
                 (200, "in service")
             }
         }
     }
 
     fn set(&self, uid: &str, out: bool) -> (Status, &'static str) {
-        self.look(); // what another process was told first comes first
-        if !self.lister.borrow().has_listed(uid) && !self.bans.holds(uid) {
+        self.sync_file(); // what another process was told first comes first
+        if !self.registry.borrow().has_listed(uid) && !self.out_of_service.contains(uid) {
             return (404, "no such data server was ever listed");
         }
-        let changes = self.bans.holds(uid) != out;
-        match self.bans.set(uid, out) {
+        let changes = self.out_of_service.contains(uid) != out;
+        match self.out_of_service.set(uid, out) {
             Ok(()) if !changes => (200, "as before"),
             Ok(()) => {
                 self.order(uid, out);
@@ -247,7 +247,7 @@
 }
 
 /// Answers calls. Never returns; must run inside a [`tokio::task::LocalSet`].
-pub async fn run(listener: TcpListener, control: Rc<Control>, pool: Pool) {
+pub async fn run(listener: TcpListener, control: Rc<AdminApi>, pool: BufferPool) {
     let mut calls: VecDeque<AbortHandle> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
@@ -273,7 +273,7 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, control: &Control, pool: &Pool) -> io::Result<()> {
+async fn serve(mut stream: TcpStream, control: &AdminApi, pool: &BufferPool) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut bytes = pool.chain();
     let mut head = Vec::new();
@@ -287,7 +287,7 @@
             if bytes.len() >= buffers::SIZE {
                 return Ok(Err(431));
             }
-            if bytes.fill(&stream).await? == 0 {
+            if bytes.read_from(&stream).await? == 0 {
                 return if bytes.is_empty() {
                     Err(io::ErrorKind::UnexpectedEof.into())
                 } else {
@@ -309,7 +309,7 @@
     write_all(&stream, &mut [IoSlice::new(response(status, text).as_bytes())]).await?;
     stream.shutdown().await?;
     // Closing on unread bytes would reset the connection and take the answer with it.
-    let rest = async { while pool.chain().fill(&stream).await.is_ok_and(|n| n > 0) {} };
+    let rest = async { while pool.chain().read_from(&stream).await.is_ok_and(|n| n > 0) {} };
     let _ = timeout(LINGER, rest).await;
     Ok(())
 }
--- a/src/net/buffers.rs
+++ b/src/net/buffers.rs
@@ -27,7 +27,7 @@
 
 /// Where buffers come from and go back to.
 #[derive(Clone)]
-pub struct Pool(Rc<Shared>);
+pub struct BufferPool(Rc<Shared>);
 
 struct Shared {
     stock: RefCell<Stock>,
@@ -43,13 +43,13 @@
 }
 
 /// Room for a message, until it is done with.
-pub struct Room {
-    pool: Pool,
+pub struct BufferReservation {
+    pool: BufferPool,
     gate: usize,
     bytes: usize,
 }
 
-impl Drop for Room {
+impl Drop for BufferReservation {
     fn drop(&mut self) {
         let gate = &self.pool.0.gates[self.gate];
         gate.held.set(gate.held.get() - self.bytes);
@@ -64,14 +64,14 @@
     part: f64,
 }
 
-impl Default for Pool {
+impl Default for BufferPool {
     /// A pool whose buffers are never short.
     fn default() -> Self {
         Self::new(usize::MAX)
     }
 }
 
-impl Pool {
+impl BufferPool {
     /// A pool that is meant to lend so many bytes at the most.
     pub fn new(bytes: usize) -> Self {
         let stock = RefCell::new(Stock { unused: Vec::new(), most: bytes / SIZE, part: 1.0 });
@@ -81,7 +81,7 @@
     /// Waits until there is room for a message of this length. One buffer for each socket is always to be had;
     /// whoever wants more asks first, for all of it: guards against messages that each hold half of what they
     /// need. One is let in where none is, however long.
-    pub async fn room(&self, bytes: usize) -> Room {
+    pub async fn reserve(&self, bytes: usize) -> BufferReservation {
         let number = usize::from(bytes >= VERY_LONG);
         let gate = &self.0.gates[number];
         let _turn = gate.turn.lock().await;
@@ -89,7 +89,7 @@
             gate.freed.notified().await;
         }
         gate.held.set(gate.held.get() + bytes);
-        Room { pool: self.clone(), gate: number, bytes }
+        BufferReservation { pool: self.clone(), gate: number, bytes }
     }
 
     fn most(&self, part: f64) -> usize {
@@ -98,18 +98,18 @@
     }
 
     /// Leaves all but this part of the buffers to another process.
-    pub fn set_part(&self, part: f64) {
+    pub fn set_share(&self, part: f64) {
         self.0.stock.borrow_mut().part = part;
         self.0.gates.iter().for_each(|gate| gate.freed.notify_one());
     }
 
     /// An empty chain that takes its buffers from here.
-    pub fn chain(&self) -> Chain {
-        Chain { pool: self.clone(), buffers: Vec::new(), len: 0 }
+    pub fn chain(&self) -> BufferChain {
+        BufferChain { pool: self.clone(), buffers: Vec::new(), len: 0 }
     }
 
     /// How many buffers lie unused.
-    pub fn unused(&self) -> usize {
+    pub fn free_bytes(&self) -> usize {
         self.0.stock.borrow().unused.len()
     }
 
@@ -129,13 +129,13 @@
 }
 
 /// Bytes in a row of pooled buffers, all full but the last.
-pub struct Chain {
-    pool: Pool,
+pub struct BufferChain {
+    pool: BufferPool,
     buffers: Vec<Buffer>,
     len: usize,
 }
 
-impl Chain {
+impl BufferChain {
     /// How many bytes it holds.
     pub fn len(&self) -> usize {
         self.len
@@ -158,7 +158,7 @@
     }
 
     /// The bytes of a range, as the pieces they lie in.
-    pub fn pieces(&self, range: Range<usize>) -> impl Iterator<Item = &[u8]> {
+    pub fn slices(&self, range: Range<usize>) -> impl Iterator<Item = &[u8]> {
         let Range { start, end } = range.start.min(self.len)..range.end.min(self.len);
         let buffers = self.buffers.iter().enumerate().skip(start / SIZE);
         buffers.map_while(move |(i, buffer)| {
@@ -170,7 +170,7 @@
     /// Copies a range into `to`, which is emptied first.
     pub fn copy(&self, range: Range<usize>, to: &mut Vec<u8>) {
         to.clear();
-        self.pieces(range).for_each(|piece| to.extend_from_slice(piece));
+        self.slices(range).for_each(|piece| to.extend_from_slice(piece));
     }
 
     /// Gives all its buffers back.
@@ -184,26 +184,26 @@
         if at + N > self.len {
             return None;
         }
-        let mut bytes = self.pieces(at..at + N).flatten();
+        let mut bytes = self.slices(at..at + N).flatten();
         Some(std::array::from_fn(|_| *bytes.next().expect("the range is inside the chain")))
     }
 
     /// Takes the first `n` bytes out, as a chain of their own.
-    pub fn split_to(&mut self, n: usize) -> Chain {
+    pub fn split_to(&mut self, n: usize) -> BufferChain {
         let mut rest = self.pool.chain();
-        self.pieces(n..self.len).for_each(|piece| rest.extend(piece));
+        self.slices(n..self.len).for_each(|piece| rest.extend(piece));
         self.len = self.len.min(n);
         self.trim();
         std::mem::replace(self, rest)
     }
 
     /// Waits until there is something to read and reads once; 0 is the end of the stream.
-    pub async fn fill(&mut self, stream: &TcpStream) -> io::Result<usize> {
+    pub async fn read_from(&mut self, stream: &TcpStream) -> io::Result<usize> {
         loop {
             // Guards against a peer that always has more to read: the others must have their turns.
             tokio::task::coop::consume_budget().await;
             stream.readable().await?;
-            match self.fill_now(stream) {
+            match self.try_read_from(stream) {
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
                 other => return other,
             }
@@ -211,7 +211,7 @@
     }
 
     /// Reads what is there at once.
-    pub fn fill_now(&mut self, stream: &TcpStream) -> io::Result<usize> {
+    pub fn try_read_from(&mut self, stream: &TcpStream) -> io::Result<usize> {
         let read = stream.try_read(self.space());
         self.len += read.as_ref().map_or(0, |n| *n);
         self.trim();
@@ -234,7 +234,7 @@
     }
 }
 
-impl Drop for Chain {
+impl Drop for BufferChain {
     fn drop(&mut self) {
         self.pool.give_back(self.buffers.drain(..));
     }
--- a/src/net/inbound.rs
+++ b/src/net/client/inbound.rs
@@ -14,8 +14,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-use super::buffers::{self, Chain, Pool};
-use super::exchange::Caller;
+use crate::net::buffers::{self, BufferChain, BufferPool};
+use crate::net::driver::ClientHandle;
 
 /// Reads so close to each other count as one; less than that tells no two requests' times apart.
 const ONE_READ: Duration = Duration::from_millis(2);
@@ -29,12 +29,12 @@
 /// A client's connection, as it is read.
 pub struct Inbound {
     stream: Rc<TcpStream>,
-    bytes: Chain,
+    bytes: BufferChain,
     /// How many bytes came in each read, and when, the first one first.
     reads: VecDeque<(usize, Instant)>,
 }
 
-impl Caller for TcpStream {
+impl ClientHandle for TcpStream {
     /// Asks the system, which knows of a close before anything is read, and behind any bytes that it still holds.
     fn is_gone(&self) -> bool {
         let mut looks = [PollFd::new(self, PollFlags::RDHUP)];
@@ -44,18 +44,18 @@
 
 impl Inbound {
     /// Nothing was read yet.
-    pub fn new(stream: Rc<TcpStream>, pool: &Pool) -> Self {
+    pub fn new(stream: Rc<TcpStream>, pool: &BufferPool) -> Self {
         Self { stream, bytes: pool.chain(), reads: VecDeque::new() }
     }
 
     /// What was read and is not used yet.
-    pub fn bytes(&self) -> &Chain {
+    pub fn bytes(&self) -> &BufferChain {
         &self.bytes
     }
 
     /// Waits until there is something to read and reads once; 0 is the end of the stream.
     pub async fn fill(&mut self) -> io::Result<usize> {
-        let read = self.bytes.fill(&self.stream).await?;
+        let read = self.bytes.read_from(&self.stream).await?;
         let now = Instant::now();
         match self.reads.back_mut().filter(|(_, at)| now - *at < ONE_READ) {
             Some((bytes, _)) => *bytes += read,
@@ -65,7 +65,7 @@
     }
 
     /// Takes the first `n` bytes out, with the time at which the last of them came.
-    pub fn split_to(&mut self, n: usize) -> (Chain, Instant) {
+    pub fn split_to(&mut self, n: usize) -> (BufferChain, Instant) {
         let (mut left, mut came) = (n, Instant::now());
         while let Some((bytes, at)) = self.reads.front_mut().filter(|_| left > 0) {
             came = *at;
@@ -104,7 +104,7 @@
             let mut left = LINGER_BYTES;
             while left > 0 {
                 self.bytes.clear();
-                match self.bytes.fill(&self.stream).await {
+                match self.bytes.read_from(&self.stream).await {
                     Ok(read) if read > 0 => left = left.saturating_sub(read),
                     _ => return,
                 }
--- a/src/net/clients.rs
+++ b/src/net/client/mod.rs
@@ -4,6 +4,8 @@
 //! answer that comes back, whole and in order. It must never talk to a data server, answer a request by
 //! itself once the exchange has taken it, or let one client's slowness reach another.
 
+mod inbound;
+
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
 use std::io::{self, IoSlice};
@@ -20,13 +22,13 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep_until, timeout, timeout_at, Instant, MissedTickBehavior};
 
-use super::buffers::{self, write_all, Chain, Pool, Room};
-use super::exchange::{Call, Caller, Final, Order};
-use super::inbound::Inbound;
-use super::parcel::Successor;
-use super::pg::{self, Severity, Startup};
-use super::servers::{Answer, PgExchange, Query};
 use crate::api::*;
+use crate::net::buffers::{self, write_all, BufferChain, BufferPool, BufferReservation};
+use crate::net::driver::{ClientHandle, NewRequest, Response, ServerCommand};
+use crate::net::hot_restart::frame::Successor;
+use crate::net::postgres::{self, Severity, Startup};
+use crate::net::server::{Answer, PgDriver, Query};
+use inbound::Inbound;
 
 /// Time within which a new client must have sent its startup packet, and any client the rest of a message
 /// that it has begun. Whoever can't be served is owed an end 3 s after connecting.
@@ -70,11 +72,11 @@
 const TEXT_AT: usize = 5;
 
 /// What the side of the clients is set up with.
-pub struct Options {
+pub struct ClientOptions {
     /// Clients at the most; further ones are told so and turned away.
-    pub clients: usize,
+    pub max_clients: usize,
     /// Clients beyond whom each one takes a socket from the data servers' side.
-    pub usual: usize,
+    pub usual_clients: usize,
     /// Sockets of both sides together.
     pub sockets: usize,
     /// The classes of requests, by their names.
@@ -96,7 +98,7 @@
 }
 
 struct Side {
-    exchange: PgExchange,
+    driver: PgDriver,
     /// Clients at the most, those beyond whom each takes a socket from the other side, and all sockets.
     most: usize,
     usual: usize,
@@ -104,7 +106,7 @@
     /// Sockets that the other side was left.
     left_to_servers: Cell<usize>,
     rules: RefCell<Rules>,
-    pool: Pool,
+    pool: BufferPool,
     /// For texts that must lie in one piece while they are parsed; one for all, so that none is kept idle.
     scratch: RefCell<Vec<u8>>,
     /// The connections, by the number in which they came, each with the word that it has to make room.
@@ -139,14 +141,14 @@
     farewell: RefCell<Option<GracefulShutdown>>,
     /// Something has happened that may bring that end closer.
     nearer: Notify,
-    door: watch::Sender<Door>,
+    door: watch::Sender<ServicePhase>,
     /// How often the door was moved by the operators.
     moved: Cell<u64>,
 }
 
 /// How far the door stands open.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
-enum Door {
+enum ServicePhase {
     /// To all.
     Open,
     /// The front is told to send no more; who still comes is served.
@@ -166,7 +168,7 @@
 
 /// The side of the clients.
 #[derive(Clone)]
-pub struct Clients(Rc<Side>);
+pub struct ClientService(Rc<Side>);
 
 /// Listens at an address, which a predecessor may have left a moment ago, or may still have.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
@@ -177,15 +179,15 @@
     socket.listen(BACKLOG)
 }
 
-impl Clients {
+impl ClientService {
     /// A side with no clients yet.
-    pub fn new(exchange: PgExchange, options: Options, pool: Pool) -> Self {
+    pub fn new(driver: PgDriver, options: ClientOptions, pool: BufferPool) -> Self {
         Self(Rc::new(Side {
-            exchange,
-            most: options.clients,
-            usual: options.usual,
+            driver,
+            most: options.max_clients,
+            usual: options.usual_clients,
             sockets: options.sockets,
-            left_to_servers: Cell::new(options.sockets - options.usual),
+            left_to_servers: Cell::new(options.sockets - options.usual_clients),
             rules: RefCell::new(Rules { classes: options.classes, dropped: HashMap::new() }),
             pool,
             scratch: RefCell::default(),
@@ -206,7 +208,7 @@
             woke: Cell::new((Instant::now(), Duration::ZERO)),
             farewell: RefCell::default(),
             nearer: Notify::new(),
-            door: watch::Sender::new(Door::Open),
+            door: watch::Sender::new(ServicePhase::Open),
             moved: Cell::new(0),
         }))
     }
@@ -222,7 +224,7 @@
                 // Whoever comes in the moment in which the places are told to a successor is the successor's.
                 biased;
                 Ok(()) = yields.changed() => {}
-                _ = door.wait_for(|door| *door >= Door::Closed) => break,
+                _ = door.wait_for(|door| *door >= ServicePhase::Closed) => break,
                 _ = sweep.tick() => {
                     self.0.look();
                     while self.is_crowded() && self.0.make_room() {}
@@ -265,12 +267,12 @@
 
     /// Lets all clients go, as the end of the process wants it. Returns once nothing is owed any more, or the time is
     /// up; then whatever is still open ends with an error.
-    pub async fn farewell(&self) {
+    pub async fn shut_down(&self) {
         let side = &*self.0;
-        let clock = side.exchange.clock();
+        let clock = side.driver.clock();
         let farewell =
-            GracefulShutdown::new(clock.now(), side.exchange.longest(), side.served.get(), side.stood());
-        let ends = clock.instant(farewell.ends());
+            GracefulShutdown::new(clock.now(), side.driver.max_deadline(), side.served.get(), side.stood());
+        let ends = clock.to_instant(farewell.ends());
         side.farewell.replace(Some(farewell));
         loop {
             let mut nearer = std::pin::pin!(side.nearer.notified());
@@ -284,28 +286,28 @@
             };
             match phase {
                 ShutdownPhase::Notice => {}
-                ShutdownPhase::Leaving => self.shut_to(Door::Leaving),
-                ShutdownPhase::Closing => self.shut_to(Door::Closed),
+                ShutdownPhase::Leaving => self.shut_to(ServicePhase::Leaving),
+                ShutdownPhase::Closing => self.shut_to(ServicePhase::Closed),
                 ShutdownPhase::AttemptEnded => break,
             }
             tokio::select! {
                 () = nearer => {}
-                () = sleep_until(clock.instant(next)) => {}
+                () = sleep_until(clock.to_instant(next)) => {}
             }
         }
         // Those that have ended may still have to read their last answers.
         let _ = timeout_at(ends, self.gone()).await;
-        self.shut_to(Door::AttemptEnded);
+        self.shut_to(ServicePhase::AttemptEnded);
         let _ = timeout(LAST_WORD, self.gone()).await;
     }
 
     /// Moves the door for good, and never back.
-    fn shut_to(&self, to: Door) {
+    fn shut_to(&self, to: ServicePhase) {
         self.0.door.send_if_modified(|door| *door < to && std::mem::replace(door, to) != to);
     }
 
     /// Takes new settings, whose classes go by these names, for requests that come from now on.
-    pub fn retune(&self, settings: Settings, names: &[String]) {
+    pub fn reconfigure(&self, settings: Settings, names: &[String]) {
         let mut rules = self.0.rules.borrow_mut();
         let classes = settings.classes.clone();
         let same = |(name, class): (&String, &Class)| {
@@ -317,39 +319,41 @@
         let dropped = old.into_iter().map(|(name, (id, class))| (name, (id, class, now + STILL_NAMED)));
         rules.dropped.extend(dropped);
         let reserved: Vec<_> = rules.dropped.values().map(|(id, ..)| *id).collect();
-        let ids = self.0.exchange.retune(settings, &kept, &reserved);
+        let ids = self.0.driver.reconfigure(settings, &kept, &reserved);
         rules.classes = names.iter().cloned().zip(ids.into_iter().zip(classes)).collect();
     }
 
     /// Has the front send its clients elsewhere: empty queries get an error from now on, and who is here is
     /// served and then let go. The process goes on.
-    pub fn send_away(&self) {
+    pub fn take_out_of_service(&self) {
         if self.is_out_of_service() {
             return;
         }
-        self.move_door(Door::Announced);
+        self.move_door(ServicePhase::Announced);
         let (clients, moved) = (self.clone(), self.0.moved.get());
         tokio::task::spawn_local(async move {
             tokio::time::sleep(STILL_COME).await;
             if clients.0.moved.get() == moved {
-                clients.move_door(Door::SentAway);
+                clients.move_door(ServicePhase::SentAway);
             }
         });
     }
 
     /// Takes clients again after [`Self::send_away`].
-    pub fn take_again(&self) {
-        self.move_door(Door::Open);
+    pub fn return_to_service(&self) {
+        self.move_door(ServicePhase::Open);
     }
 
     /// Whether clients are sent away.
     pub fn is_out_of_service(&self) -> bool {
-        *self.0.door.borrow() != Door::Open
+        *self.0.door.borrow() != ServicePhase::Open
     }
 
-    fn move_door(&self, to: Door) {
+    fn move_door(&self, to: ServicePhase) {
         self.0.moved.set(self.0.moved.get() + 1);
-        self.0.door.send_if_modified(|door| *door < Door::Leaving && std::mem::replace(door, to) != to);
+        self.0
+            .door
+            .send_if_modified(|door| *door < ServicePhase::Leaving && std::mem::replace(door, to) != to);
     }
 
     /// Waits until all clients are gone.
@@ -404,7 +408,7 @@
             let side = &*place.side;
             let stream = Rc::new(stream);
             let inbound = Inbound::new(stream.clone(), &side.pool);
-            let (came, room, leaves) = (side.exchange.clock().now(), None, false);
+            let (came, room, leaves) = (side.driver.clock().now(), None, false);
             let mut client = Client {
                 inbound,
                 side,
@@ -422,7 +426,8 @@
                 log::debug!("client connection: {e}");
             }
             let successor = side.successor.borrow().clone();
-            let successor = successor.filter(|_| client.leaves && *side.door.borrow() >= Door::Closed);
+            let successor =
+                successor.filter(|_| client.leaves && *side.door.borrow() >= ServicePhase::Closed);
             let Some(successor) = successor else {
                 place.ends();
                 return client.close().await;
@@ -430,7 +435,7 @@
             let Client { stream, inbound, stage, .. } = client;
             drop(inbound);
             let Some(stream) = Rc::into_inner(stream) else { return };
-            match successor.take(stream, stage == Stage::Started).await {
+            match successor.hand_over_client(stream, stage == Stage::Started).await {
                 Ok(()) => side.limit.set(side.limit.get().map(|limit| limit.saturating_sub(1))),
                 Err(e) => log::debug!("client connection: can't be handed over: {e}"),
             }
@@ -458,13 +463,13 @@
     }
 
     /// Has all places again, and takes who comes: no other process does any more.
-    pub fn take_all(&self) {
+    pub fn clear_limit(&self) {
         self.set_limit(None);
         self.0.yields.send_replace(false);
     }
 
     /// Takes nobody any more, and keeps the places that are taken; gives how many these are.
-    pub fn yield_door(&self) -> usize {
+    pub fn stop_accepting(&self) -> usize {
         let kept = self.0.connected.borrow().len().min(self.limit());
         self.set_limit(Some(kept));
         self.0.yields.send_replace(true);
@@ -478,7 +483,7 @@
     }
 
     /// A newer process has a door of its own, or it is gone.
-    pub fn set_beside(&self, other: Option<Successor>) {
+    pub fn set_parallel_successor(&self, other: Option<Successor>) {
         self.0.beside.replace(other);
         self.0.nearer.notify_waiters();
     }
@@ -534,7 +539,7 @@
         let clients = self.connected.borrow().len().next_multiple_of(STEP) + STEP;
         let left = self.sockets - clients.clamp(self.usual, self.most);
         if self.left_to_servers.replace(left) != left {
-            self.exchange.order(Order::Sockets(left));
+            self.driver.command(ServerCommand::SetSocketLimit(left));
         }
     }
 
@@ -544,12 +549,12 @@
         loop {
             let now = *door.borrow_and_update();
             let until = match (&*self.farewell.borrow(), stage) {
-                (Some(farewell), _) if now >= Door::Leaving => farewell.stands_until(standing, came),
+                (Some(farewell), _) if now >= ServicePhase::Leaving => farewell.stands_until(standing, came),
                 // Who connects while clients are sent away is told so; its startup may be on its way.
-                (_, Stage::Started) if now == Door::SentAway => return,
+                (_, Stage::Started) if now == ServicePhase::SentAway => return,
                 _ => None,
             };
-            let until = until.map(|at| self.exchange.clock().instant(at));
+            let until = until.map(|at| self.driver.clock().to_instant(at));
             tokio::select! {
                 () = sleep_until(until.unwrap_or_else(Instant::now)), if until.is_some() => return,
                 moved = door.changed() => if moved.is_err() {
@@ -562,7 +567,7 @@
     /// How much of its time a request may take that comes now.
     fn time_left(&self, wanted: Duration) -> Duration {
         let farewell = self.farewell.borrow();
-        farewell.as_ref().map_or(wanted, |farewell| farewell.time_left(self.exchange.clock().now(), wanted))
+        farewell.as_ref().map_or(wanted, |farewell| farewell.time_left(self.driver.clock().now(), wanted))
     }
 
     /// Warns of a client that is turned away, not more often than whoever reads the log can bear.
@@ -606,7 +611,7 @@
         if self.served.replace(false) {
             side.served.set(side.served.get() - 1);
             if let Some(farewell) = &mut *side.farewell.borrow_mut() {
-                farewell.left(side.exchange.clock().now());
+                farewell.left(side.driver.clock().now());
             }
             side.nearer.notify_waiters();
         }
@@ -683,7 +688,7 @@
     inbound: Inbound,
     stage: Stage,
     /// Room for the message that comes in, where one buffer does not hold it.
-    room: Option<Room>,
+    room: Option<BufferReservation>,
     /// It has asked nothing yet that went to the exchange.
     unasked: Option<Unasked>,
     /// It stands between requests, and this process lets it go.
@@ -726,7 +731,7 @@
                 b'X' => Flow::End,
                 b'S' => {
                     skipping = false;
-                    self.reply(pg::ready).await?
+                    self.reply(postgres::ready).await?
                 }
                 _ if skipping => Flow::GoOn,
                 b'Q' => self.query(message, came).await?,
@@ -736,7 +741,7 @@
                 }
                 b'F' => {
                     self.refuse("0A000", "function calls are not supported").await?;
-                    self.reply(pg::ready).await?
+                    self.reply(postgres::ready).await?
                 }
                 _ => self.expel("08P01", "unexpected message type").await?,
             };
@@ -757,7 +762,7 @@
             _ => IdleState::Silent,
         };
         let hurries = self.hurried && standing == IdleState::Silent;
-        let asks_by = hurries.then(|| self.side.exchange.clock().instant(self.came) + ANSWERED_WITHIN);
+        let asks_by = hurries.then(|| self.side.driver.clock().to_instant(self.came) + ANSWERED_WITHIN);
         let late = late.into_iter().chain(asks_by).min();
         let goes = tokio::select! {
             biased;
@@ -778,7 +783,7 @@
         if standing == IdleState::Begun {
             self.expel("08P01", "a message was not complete in time").await?;
         } else if hurries && self.stage == Stage::Started {
-            self.reply(|out| pg::error(out, Severity::Fatal, "53300", TOO_MANY, None)).await?;
+            self.reply(|out| postgres::error(out, Severity::Fatal, "53300", TOO_MANY, None)).await?;
         }
         Ok(false)
     }
@@ -787,7 +792,7 @@
         let late = Some(Instant::now() + if full { ANSWERED_WITHIN } else { MESSAGE_WITHIN });
         loop {
             let length = self.inbound.bytes().array::<4>(0).map(|b| u32::from_be_bytes(b) as usize);
-            if length.is_some_and(|n| !(8..=pg::STARTUP_MOST).contains(&n)) {
+            if length.is_some_and(|n| !(8..=postgres::STARTUP_MOST).contains(&n)) {
                 return self.expel("08P01", "invalid length of startup packet").await;
             }
             let Some(length) = length.filter(|n| self.inbound.bytes().len() >= *n) else {
@@ -800,17 +805,17 @@
                 continue;
             };
             let (packet, _) = self.inbound.split_to(length);
-            let body: Vec<u8> = packet.pieces(4..length).flatten().copied().collect();
-            match pg::startup(&body) {
+            let body: Vec<u8> = packet.slices(4..length).flatten().copied().collect();
+            match postgres::startup(&body) {
                 Some(Startup::Encryption) => self.write(b"N").await?,
                 Some(Startup::Session(_)) if full => {
                     return self.expel("53300", TOO_MANY).await;
                 }
-                Some(Startup::Session(_)) if *self.side.door.borrow() == Door::SentAway => {
+                Some(Startup::Session(_)) if *self.side.door.borrow() == ServicePhase::SentAway => {
                     return self.expel("57P03", "the proxy is out of service").await;
                 }
                 Some(Startup::Session(minor)) => {
-                    self.write(&pg::welcome(minor)).await?;
+                    self.write(&postgres::welcome(minor)).await?;
                     return Ok(Flow::GoOn);
                 }
                 Some(Startup::Cancel) => return Ok(Flow::End), // no query here can be cancelled by key
@@ -823,12 +828,13 @@
 
     /// The next whole message, with the time at which its last byte came; none when the client is gone, or when the proxy
     /// closes between requests. One that does not fit into a buffer is read on once there is room for it.
-    async fn next_message(&mut self) -> io::Result<Option<(Chain, Instant)>> {
+    async fn next_message(&mut self) -> io::Result<Option<(BufferChain, Instant)>> {
         let (mut late, mut begun, mut long) = (None, Instant::now(), false);
         self.room = None;
         loop {
             if let Some(header) = self.inbound.bytes().array(0) {
-                let length = pg::header(header).map(|(_, length)| length).filter(|n| *n <= pg::QUERY_MOST);
+                let length =
+                    postgres::header(header).map(|(_, length)| length).filter(|n| *n <= postgres::QUERY_MOST);
                 let Some(length) = length else {
                     self.expel("08P01", "invalid message length").await?;
                     return Ok(None);
@@ -837,7 +843,7 @@
                     return Ok(Some(self.inbound.split_to(length)));
                 }
                 if self.inbound.bytes().len() >= buffers::SIZE && self.room.is_none() {
-                    self.room = Some(self.side.pool.room(length).await);
+                    self.room = Some(self.side.pool.reserve(length).await);
                     long = length > WITHIN_MOST;
                     begun = Instant::now();
                 }
@@ -854,38 +860,38 @@
         }
     }
 
-    async fn query(&mut self, message: Chain, came: Instant) -> io::Result<Flow> {
+    async fn query(&mut self, message: BufferChain, came: Instant) -> io::Result<Flow> {
         let cut = cut(&message);
         let parsed = {
             let mut scratch = self.side.scratch.borrow_mut();
             scratch.clear();
             for part in [TEXT_AT..cut.start, cut.end..message.len()] {
-                message.pieces(part).for_each(|piece| scratch.extend_from_slice(piece));
+                message.slices(part).for_each(|piece| scratch.extend_from_slice(piece));
             }
-            scratch.split_last().filter(|(end, _)| **end == 0).map(|(_, text)| pg::query(text))
+            scratch.split_last().filter(|(end, _)| **end == 0).map(|(_, text)| postgres::query(text))
         };
         let Some(parsed) = parsed else {
             return self.expel("08P01", "invalid string in message").await;
         };
         match parsed {
-            Some(pg::Query::Empty) if *self.side.door.borrow() != Door::Open => {
+            Some(postgres::Query::Empty) if *self.side.door.borrow() != ServicePhase::Open => {
                 self.reject("57P03", "the proxy is out of service").await
             }
-            Some(pg::Query::Empty) => {
+            Some(postgres::Query::Empty) => {
                 self.reply(|out| {
-                    pg::empty_query(out);
-                    pg::ready(out);
+                    postgres::empty_query(out);
+                    postgres::ready(out);
                 })
                 .await
             }
-            Some(pg::Query::Setting(tag)) => {
+            Some(postgres::Query::Setting(tag)) => {
                 self.reply(|out| {
-                    pg::complete(out, tag);
-                    pg::ready(out);
+                    postgres::complete(out, tag);
+                    postgres::ready(out);
                 })
                 .await
             }
-            Some(pg::Query::Routed(statement)) => self.request(statement, message, cut, came).await,
+            Some(postgres::Query::Routed(statement)) => self.request(statement, message, cut, came).await,
             None => self.reject("42601", "not a statement that this proxy can route").await,
         }
     }
@@ -893,8 +899,8 @@
     /// Takes a request through the exchange.
     async fn request(
         &mut self,
-        statement: pg::Statement,
-        message: Chain,
+        statement: postgres::Statement,
+        message: BufferChain,
         cut: Range<usize>,
         came: Instant,
     ) -> io::Result<Flow> {
@@ -906,7 +912,7 @@
         if statement.write != (class.consistency == Consistency::Write) {
             return self.reject("42601", "reads and writes have classes of their own").await;
         }
-        if !self.side.exchange.knows(GroupId(statement.group)) {
+        if !self.side.driver.knows_group(GroupId(statement.group)) {
             return self.reject("42601", "the statement names no known cluster").await;
         }
         let holder = self.side.ids.borrow().get(&statement.id).map(|h| (h.request, h.client.is_gone()));
@@ -915,28 +921,28 @@
                 return self.reject("08P01", "the statement has the id of another open request").await;
             }
             // Its client has come again before the end of its connection was read.
-            Some((request, true)) => self.side.exchange.left(request),
+            Some((request, true)) => self.side.driver.client_gone(request),
             None => {}
         }
         let place =
             |at: usize| if at + TEXT_AT < cut.start { at + TEXT_AT } else { at + TEXT_AT + cut.len() };
         let wait_at = place(statement.wait_at.start)..place(statement.wait_at.end);
-        let call = Call {
-            caller: Some(self.stream.clone()),
+        let call = NewRequest {
+            client: Some(self.stream.clone()),
             class: id,
             group: GroupId(statement.group),
             // No client waits longer over all its tries, and no request outlasts the process. What it waited for its
             // turn, behind others on its connection, was its client's time too.
             time_left: self.side.time_left(statement.wait.min(class.deadline).saturating_sub(came.elapsed())),
-            retry: statement.retry,
-            bytes: message.len() as u64,
+            is_retry: statement.retry,
+            statement_bytes: message.len() as u64,
             session: matches!(class.consistency, Consistency::Write | Consistency::Causal)
                 .then_some(statement.key),
             after_unix_ms: statement.after,
         };
         self.unasked = None;
         let (request, mut answer) =
-            self.side.exchange.open(call, Query { message, wait_at, room: self.room.take() });
+            self.side.driver.submit(call, Query { message, wait_at, room: self.room.take() });
         let holder = Holder { number: self.number, request, client: self.stream.clone() };
         self.side.ids.borrow_mut().insert(statement.id.clone(), holder);
         let open_id = OpenId(self.side, statement.id, self.number);
@@ -944,33 +950,33 @@
         let answer = tokio::select! {
             biased;
             answer = &mut answer => answer,
-            _ = door.wait_for(|door| *door == Door::AttemptEnded) => {
-                self.side.exchange.left(request);
+            _ = door.wait_for(|door| *door == ServicePhase::AttemptEnded) => {
+                self.side.driver.client_gone(request);
                 return self.expel("57P01", "the proxy is shutting down").await;
             }
             () = self.inbound.gone() => {
-                self.side.exchange.left(request);
+                self.side.driver.client_gone(request);
                 return Ok(Flow::End);
             }
         };
         drop(open_id);
         match answer {
-            Ok(Final::Served(answer)) => self.serve_value(answer).await,
-            Ok(Final::Refused(hint)) => {
+            Ok(Response::Served(answer)) => self.serve_value(answer).await,
+            Ok(Response::Rejected(hint)) => {
                 self.reply(|out| {
                     let hint = hint.map(|h| h.as_millis().to_string());
-                    pg::error(
+                    postgres::error(
                         out,
                         Severity::Error,
                         "53300",
                         "no server can take this in time",
                         hint.as_deref(),
                     );
-                    pg::ready(out);
+                    postgres::ready(out);
                 })
                 .await
             }
-            Ok(Final::Failed) => {
+            Ok(Response::Failed) => {
                 self.reject("40003", "no answer from a data server; the statement may have run").await
             }
             // Its client was seen to be gone before anything went out for it.
@@ -982,7 +988,7 @@
     /// has been passed on can't be taken back, and its client must be able to tell.
     async fn serve_value(&self, mut answer: Answer) -> io::Result<Flow> {
         let mut ready = Vec::new();
-        pg::ready(&mut ready);
+        postgres::ready(&mut ready);
         let whole = !answer.goes_on();
         let mut pieces: Vec<_> = answer.pieces().map(IoSlice::new).collect();
         if whole {
@@ -995,7 +1001,7 @@
         }
         answer.clear();
         while let Some(piece) = answer.more().await? {
-            let mut pieces: Vec<_> = piece.pieces(0..piece.len()).map(IoSlice::new).collect();
+            let mut pieces: Vec<_> = piece.slices(0..piece.len()).map(IoSlice::new).collect();
             timeout(WRITE_WITHIN, write_all(&self.stream, &mut pieces)).await??;
         }
         self.write(&ready).await?;
@@ -1015,21 +1021,21 @@
 
     /// An error, after which the client goes on without a ReadyForQuery.
     async fn refuse(&self, code: &str, text: &str) -> io::Result<Flow> {
-        self.reply(|out| pg::error(out, Severity::Error, code, text, None)).await
+        self.reply(|out| postgres::error(out, Severity::Error, code, text, None)).await
     }
 
     /// An error that ends the query.
     async fn reject(&self, code: &str, text: &str) -> io::Result<Flow> {
         self.reply(|out| {
-            pg::error(out, Severity::Error, code, text, None);
-            pg::ready(out);
+            postgres::error(out, Severity::Error, code, text, None);
+            postgres::ready(out);
         })
         .await
     }
 
     /// An error that ends the connection.
     async fn expel(&mut self, code: &str, text: &str) -> io::Result<Flow> {
-        self.reply(|out| pg::error(out, Severity::Fatal, code, text, None)).await?;
+        self.reply(|out| postgres::error(out, Severity::Fatal, code, text, None)).await?;
         Ok(Flow::End)
     }
 
@@ -1046,10 +1052,10 @@
 /// The digits in the middle of a long statement's value, which need not be looked at word by word: an even number
 /// of them, so that the rest is a statement as the whole is. Empty where there are none. Guards against copying
 /// megabytes into one piece.
-fn cut(message: &Chain) -> Range<usize> {
+fn cut(message: &BufferChain) -> Range<usize> {
     let (start, end) = (TEXT_AT + ENDS, message.len().saturating_sub(ENDS) & !1 | (TEXT_AT + ENDS) & 1);
     let digits = |piece: &[u8]| piece.iter().fold(true, |all, byte| all & byte.is_ascii_hexdigit());
-    if start < end && end < message.len() && message.pieces(start..end).all(digits) {
+    if start < end && end < message.len() && message.slices(start..end).all(digits) {
         start..end
     } else {
         start..start
--- a/src/net/discovery.rs
+++ b/src/net/discovery/mod.rs
@@ -21,12 +21,12 @@
 use winnow::prelude::*;
 use winnow::token::{literal, take_till};
 
-use super::buffers::{write_all, Pool};
-use super::exchange::{Ask, Clock};
-use super::servers::PgExchange;
 use crate::api::*;
-use crate::listing::{Listing, Target};
-use crate::settings::Names;
+use crate::endpoint_list::{EndpointList, ListedEndpoint};
+use crate::net::buffers::{write_all, BufferPool};
+use crate::net::driver::{Clock, DiscoveryCommand};
+use crate::net::server::PgDriver;
+use crate::settings::NameTable;
 
 /// A line comes every 2 s; without a whole one for so long, a watch has fallen silent. What it misses counts as told
 /// 6 s after its last word: time to dial anew (after at most 0.75 s), fail within 0.5 s, and dial again (1.5 s later).
@@ -44,14 +44,14 @@
 const LIST_MOST: usize = 4 << 20;
 
 /// Turns listings into views, and knows the ids of servers.
-pub struct Lister {
-    names: Names,
+pub struct EndpointRegistry {
+    names: NameTable,
     clock: Clock,
     ids: BTreeMap<ServerId, String>,
     /// Those that the last news dropped.
     leaving: Vec<ServerId>,
     /// The list as it stands, by names.
-    held: BTreeMap<String, Target>,
+    held: BTreeMap<String, ListedEndpoint>,
     /// Names that the list has held, those still in it included.
     past: VecDeque<String>,
     rev: u64,
@@ -59,14 +59,14 @@
 }
 
 /// A lister that discovery and the operators' calls share.
-pub type SharedLister = Rc<RefCell<Lister>>;
+pub type SharedEndpointRegistry = Rc<RefCell<EndpointRegistry>>;
 
 /// A view, and the addresses of the servers in it.
 pub type Listed = (EndpointUpdate, Vec<(ServerId, SocketAddr)>);
 
-impl Lister {
+impl EndpointRegistry {
     /// One that has seen no list yet.
-    pub fn new(names: Names, clock: Clock) -> Self {
+    pub fn new(names: NameTable, clock: Clock) -> Self {
         let (ids, held) = (BTreeMap::new(), BTreeMap::new());
         let (leaving, past) = (Vec::new(), VecDeque::new());
         Self { names, clock, ids, leaving, held, past, rev: 0, live: false }
@@ -74,43 +74,45 @@
 
     /// Reads a listing; `remembered` is for the one of an earlier run. Changes to an older list than the one in hand don't
     /// fit it: the service does not know that version, and the next call asks for the whole list.
-    pub fn read(&mut self, listing: Listing, remembered: bool) -> Option<Listed> {
-        if !listing.all && !remembered && listing.rev < self.rev {
+    pub fn apply(&mut self, listing: EndpointList, remembered: bool) -> Option<Listed> {
+        if !listing.complete && !remembered && listing.revision < self.rev {
             self.rev = 0;
             return None;
         }
-        self.rev = listing.rev;
+        self.rev = listing.revision;
         self.live |= !remembered;
         for id in self.leaving.drain(..) {
             self.ids.remove(&id);
         }
         let mut addresses = Vec::new();
         let mut entries = Vec::new();
-        let all = listing.all;
+        let all = listing.complete;
         if all {
             self.held.clear();
         }
-        for target in listing.targets {
+        for target in listing.endpoints {
             if target.state == GONE {
-                self.held.remove(&target.uid);
+                self.held.remove(&target.name);
             } else {
-                self.held.insert(target.uid.clone(), target.clone());
+                self.held.insert(target.name.clone(), target.clone());
             }
-            let server = self.id(&target.uid);
-            addresses.push((server, target.endpoint));
+            let server = self.id(&target.name);
+            addresses.push((server, target.address));
             entries.push(Endpoint {
                 server,
-                zone: self.names.zone(&target.az),
-                machine_kind: self.names.kind(&target.model),
-                group: GroupId(target.pod_group),
-                listed_primary: target.mode.as_deref() == Some("read-write"),
+                zone: self.names.zone(&target.zone),
+                machine_kind: self.names.kind(&target.machine_kind),
+                group: GroupId(target.group),
+                listed_primary: target.role.as_deref() == Some("read-write"),
                 state: match target.state.as_str() {
                     "Ready" => EndpointState::Healthy,
                     GONE => EndpointState::Removed,
                     _ => EndpointState::Draining, // nothing new goes to a server in a state that is not known
                 },
-                relative_capacity: target.capacity_hint.unwrap_or(1.0),
-                started_at: Some(target.boot_ms).filter(|ms| *ms > 0.0).map(|ms| self.clock.of_unix_ms(ms)),
+                relative_capacity: target.relative_capacity.unwrap_or(1.0),
+                started_at: Some(target.started_unix_ms)
+                    .filter(|ms| *ms > 0.0)
+                    .map(|ms| self.clock.from_unix_ms(ms)),
             });
         }
         // Names of servers that are gone would only pile up; until the next news they can still be told.
@@ -133,8 +135,8 @@
     }
 
     /// The list as it stands.
-    pub fn listing(&self) -> Listing {
-        Listing { rev: self.rev, all: true, targets: self.held.values().cloned().collect() }
+    pub fn endpoint_list(&self) -> EndpointList {
+        EndpointList { revision: self.rev, complete: true, endpoints: self.held.values().cloned().collect() }
     }
 
     /// The names of the servers in it.
@@ -158,7 +160,7 @@
     }
 
     /// The id of a server, listed or not: a hash of its name, so that all proxies order servers alike.
-    pub fn number(&self, uid: &str) -> ServerId {
+    pub fn server_id(&self, uid: &str) -> ServerId {
         let fnv1a = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193);
         let mut id = ServerId(uid.bytes().fold(0x811c_9dc5, fnv1a));
         while self.ids.get(&id).is_some_and(|other| other != uid) {
@@ -168,7 +170,7 @@
     }
 
     fn id(&mut self, uid: &str) -> ServerId {
-        let id = self.number(uid);
+        let id = self.server_id(uid);
         if self.ids.insert(id, uid.to_owned()).is_none() {
             log::info!("server {} is {uid}", id.0);
             if !self.has_listed(uid) {
@@ -184,12 +186,12 @@
 /// Follows what the module asks of discovery until the exchange is gone. One call is out at a time, so that no answer of
 /// an earlier one undoes a later one's. Where `service` changes, it is made anew at the new address at once.
 pub async fn run(
-    exchange: PgExchange,
-    mut asks: UnboundedReceiver<Ask>,
+    driver: PgDriver,
+    mut asks: UnboundedReceiver<DiscoveryCommand>,
     mut service: watch::Receiver<SocketAddr>,
-    lister: SharedLister,
+    registry: SharedEndpointRegistry,
 ) {
-    let mut out: Option<(Ask, JoinHandle<()>)> = None;
+    let mut out: Option<(DiscoveryCommand, JoinHandle<()>)> = None;
     loop {
         let ask = tokio::select! {
             ask = asks.recv() => match ask {
@@ -205,16 +207,16 @@
         if let Some((_, old)) = out.take() {
             old.abort();
         }
-        if ask == Ask::Watch(false) {
+        if ask == DiscoveryCommand::Watch(false) {
             continue;
         }
-        let (exchange, lister, service) = (exchange.clone(), lister.clone(), *service.borrow_and_update());
+        let (driver, registry, service) = (driver.clone(), registry.clone(), *service.borrow_and_update());
         let call = async move {
-            let watches = ask == Ask::Watch(true);
-            let result = call(service, watches, &exchange, &lister).await;
+            let watches = ask == DiscoveryCommand::Watch(true);
+            let result = call(service, watches, &driver, &registry).await;
             if let Err(e) = result {
                 log::warn!("discovery {}: {e}", if watches { "watch ended" } else { "call failed" });
-                exchange.listed(EndpointUpdate::Failed, []);
+                driver.endpoints_updated(EndpointUpdate::Failed, []);
             }
         };
         out = Some((ask, tokio::task::spawn_local(call)));
@@ -225,26 +227,26 @@
 async fn call(
     service: SocketAddr,
     watches: bool,
-    exchange: &PgExchange,
-    lister: &SharedLister,
+    driver: &PgDriver,
+    registry: &SharedEndpointRegistry,
 ) -> io::Result<()> {
-    let heard = |listing: Option<Listing>| {
+    let heard = |listing: Option<EndpointList>| {
         let listed = match listing {
-            Some(listing) => lister.borrow_mut().read(listing, false),
+            Some(listing) => registry.borrow_mut().apply(listing, false),
             None => {
-                lister.borrow_mut().live = true;
+                registry.borrow_mut().live = true;
                 Some((EndpointUpdate::Changes(Vec::new()), Vec::new()))
             }
         };
         let (view, addresses) = listed.ok_or_else(|| io::Error::other("the list's version went back"))?;
-        exchange.listed(view, addresses);
+        driver.endpoints_updated(view, addresses);
         Ok::<(), io::Error>(())
     };
     if !watches {
         let mut http = Http::get(service, "/v1/endpoints").await?;
         return heard(Some(serde_json::from_slice(&http.body().await?)?));
     }
-    let from = lister.borrow().rev;
+    let from = registry.borrow().rev;
     let mut http = Http::get(service, &format!("/v1/endpoints?watch=1&from={from}")).await?;
     let mut first = true;
     loop {
@@ -302,7 +304,7 @@
 /// One response as it is read.
 struct Http {
     stream: TcpStream,
-    pool: Pool,
+    pool: BufferPool,
     /// Bytes read that are not used yet, and body bytes taken out of their framing.
     raw: Vec<u8>,
     body: Vec<u8>,
@@ -325,7 +327,7 @@
         write_all(&stream, &mut [IoSlice::new(request.as_bytes())]).await?;
         let mut http = Self {
             stream,
-            pool: Pool::default(),
+            pool: BufferPool::default(),
             raw: Vec::new(),
             body: Vec::new(),
             framing: Framing::ToEnd,
@@ -356,10 +358,10 @@
     /// Reads once; silence and the end of the connection are failures.
     async fn more(&mut self) -> io::Result<()> {
         let mut chain = self.pool.chain();
-        if timeout_at(self.until, chain.fill(&self.stream)).await?? == 0 {
+        if timeout_at(self.until, chain.read_from(&self.stream)).await?? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        chain.pieces(0..chain.len()).for_each(|piece| self.raw.extend_from_slice(piece));
+        chain.slices(0..chain.len()).for_each(|piece| self.raw.extend_from_slice(piece));
         if self.raw.len() + self.body.len() > LIST_MOST {
             return Err(io::ErrorKind::InvalidData.into());
         }
@@ -403,7 +405,7 @@
     }
 
     /// The next JSON value of the body, once it is whole, however it is laid out; none for an empty line.
-    async fn value(&mut self) -> io::Result<Option<Listing>> {
+    async fn value(&mut self) -> io::Result<Option<EndpointList>> {
         loop {
             let first = self.body.iter().position(|byte| *byte == b'\n' || !byte.is_ascii_whitespace());
             if let Some(end) = first.filter(|at| self.body[*at] == b'\n') {
--- a/src/net/exchange.rs
+++ b/src/net/driver/mod.rs
@@ -51,7 +51,7 @@
     }
 
     /// A time in Unix milliseconds on this clock; what lies before its zero is its zero.
-    pub fn of_unix_ms(&self, ms: f64) -> Duration {
+    pub fn from_unix_ms(&self, ms: f64) -> Duration {
         Duration::try_from_secs_f64((ms - self.zero_ms).max(0.0) / 1e3).unwrap_or(Duration::ZERO)
     }
 
@@ -61,118 +61,115 @@
     }
 
     /// A time on this clock in Unix milliseconds.
-    pub(super) fn unix_ms(&self, time: Duration) -> f64 {
+    pub(super) fn to_unix_ms(self, time: Duration) -> f64 {
         self.zero_ms + time.as_secs_f64() * 1e3
     }
 
     /// The instant of a time on this clock.
-    pub(super) fn instant(&self, time: Duration) -> Instant {
+    pub(super) fn to_instant(self, time: Duration) -> Instant {
         self.start + time.saturating_sub(BEFORE_START)
     }
 }
 
 /// The final answer to a request.
 #[derive(Debug, PartialEq)]
-pub enum Final<A> {
+pub enum Response<A> {
     /// What a data server answered.
     Served(A),
     /// Turned away: a retry is harmless, best after this time.
-    Refused(Option<Duration>),
+    Rejected(Option<Duration>),
     /// Failed, with no promise about its effect.
     Failed,
 }
 
-/// Names an attempt.
-pub type Key = (RequestId, AttemptNumber);
-
 /// What the side of the data servers is to do.
 #[derive(Debug)]
-pub enum Order<Q> {
+pub enum ServerCommand<Q> {
     /// Send an attempt.
-    Send(Send<Q>),
+    Attempt(AttemptCommand<Q>),
     /// Give an attempt up.
-    Cancel(Key),
+    Cancel(AttemptId),
     /// Probe a server.
-    Probe(ServerId),
+    HealthCheck(ServerId),
     /// Close idle connections to a server.
-    Close(ServerId),
+    CloseIdle(ServerId),
     /// A server is reached there from now on.
-    Address(ServerId, SocketAddr),
+    SetAddress(ServerId, SocketAddr),
     /// A server is gone for good.
     Forget(ServerId),
     /// New settings, with the time after which data servers close a connection that stands idle.
-    Retune(Box<Settings>, Duration),
+    Reconfigure(Box<Settings>, Duration),
     /// So many sockets are left to the side of the data servers by that of the clients.
-    Sockets(usize),
+    SetSocketLimit(usize),
     /// The part of all sockets and buffers that may be used, the rest being another process's.
-    Share(f64),
+    SetShare(f64),
 }
 
 /// An attempt to be sent.
 #[derive(Debug)]
-pub struct Send<Q> {
+pub struct AttemptCommand<Q> {
     /// Which one.
-    pub key: Key,
+    pub id: AttemptId,
     /// Where to.
     pub server: ServerId,
     /// What.
     pub query: Rc<Q>,
     /// When it is given up.
-    pub until: Instant,
+    pub give_up_at: Instant,
     /// After this the server's data may be too old for it: then it must not go out any more.
     pub fresh_until: Option<Instant>,
 }
 
 /// What is asked of discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ask {
+pub enum DiscoveryCommand {
     /// Follow changes, or stop that.
     Watch(bool),
     /// The whole list once.
-    Fetch,
+    Poll,
 }
 
 /// How an attempt ended, as the side of the data servers saw it.
 #[derive(Debug)]
-pub struct Ending<A> {
+pub struct AttemptResult<A> {
     /// The outcome.
     pub outcome: Outcome,
     /// What the answer said of its server.
-    pub note: Option<ServerStatus>,
+    pub status: Option<ServerStatus>,
     /// The load report that came with it.
-    pub report: Option<LoadReport>,
+    pub load_report: Option<LoadReport>,
     /// The answer, where the outcome is [`Outcome::Ok`].
-    pub answer: Option<A>,
+    pub response: Option<A>,
 }
 
-impl<A> Ending<A> {
+impl<A> AttemptResult<A> {
     /// An end without an answer.
     pub fn without_answer(outcome: Outcome) -> Self {
-        Self { outcome, note: None, report: None, answer: None }
+        Self { outcome, status: None, load_report: None, response: None }
     }
 }
 
 /// The other process of this proxy, while there are two.
-pub trait Twin {
+pub trait PeerLink {
     /// Tells it a word. What it could not be told counts there as unknown once this returns.
-    fn tell(&self, word: &PeerMessage);
+    fn send(&self, word: &PeerMessage);
     /// Tells it that there will be nothing more to tell.
-    fn end(&self);
+    fn close(&self);
     /// All that it has told by now.
-    fn hear(&self) -> Vec<PeerMessage>;
+    fn receive(&self) -> Vec<PeerMessage>;
 }
 
 /// Who waits for the answer to a request.
-pub trait Caller: std::fmt::Debug {
+pub trait ClientHandle: std::fmt::Debug {
     /// Whether it has gone by now. Asked just before anything is sent for it.
     fn is_gone(&self) -> bool;
 }
 
 /// A request as the client side hands it in; its id is given here.
 #[derive(Debug, Clone, Default)]
-pub struct Call {
+pub struct NewRequest {
     /// Who waits for it; without one, somebody always does.
-    pub caller: Option<Rc<dyn Caller>>,
+    pub client: Option<Rc<dyn ClientHandle>>,
     /// Its class.
     pub class: ClassId,
     /// Its group.
@@ -180,9 +177,9 @@
     /// How long the client waits.
     pub time_left: Duration,
     /// A repeat by the client.
-    pub retry: bool,
+    pub is_retry: bool,
     /// Bytes of its statement.
-    pub bytes: u64,
+    pub statement_bytes: u64,
     /// The session.
     pub session: Option<String>,
     /// The position that it must see, in Unix milliseconds.
@@ -191,7 +188,7 @@
 
 struct Open<Q, A> {
     query: Rc<Q>,
-    caller: Option<Rc<dyn Caller>>,
+    caller: Option<Rc<dyn ClientHandle>>,
     class: ClassId,
     bound: Option<Duration>,
     taken: Duration,
@@ -201,7 +198,7 @@
     most_attempts: u32,
     /// Whose write it is, where this proxy keeps marks.
     writes: Option<Rc<str>>,
-    done: oneshot::Sender<Final<A>>,
+    done: oneshot::Sender<Response<A>>,
 }
 
 struct Out {
@@ -211,7 +208,7 @@
     writes: Option<Rc<str>>,
 }
 
-struct Books<Q, A> {
+struct RequestTable<Q, A> {
     gateway: RoutingEngine,
     /// The classes of all requests that are open, those of the settings in force included.
     classes: Vec<Class>,
@@ -224,7 +221,7 @@
     /// When the module was last stepped.
     stepped: Duration,
     open: HashMap<RequestId, Open<Q, A>>,
-    out: HashMap<Key, Out>,
+    out: HashMap<AttemptId, Out>,
     timers: BTreeSet<(Duration, TimerId)>,
     /// Up to when a server is known to have applied all commits; none for a primary, which is at the present.
     positions: BTreeMap<ServerId, Option<Duration>>,
@@ -237,7 +234,7 @@
     requests: u64,
 }
 
-impl<Q, A> Books<Q, A> {
+impl<Q, A> RequestTable<Q, A> {
     /// Notes what the list names, and gives the servers that it has dropped. Guards against growing with
     /// every server that ever was: what the list dropped must go everywhere.
     fn note(&mut self, view: &EndpointUpdate, keeps_gone: bool) -> impl Iterator<Item = ServerId> {
@@ -272,34 +269,35 @@
 }
 
 /// The exchange. Clones share it.
-pub struct Exchange<Q, A>(Rc<Shared<Q, A>>);
+pub struct Driver<Q, A>(Rc<Shared<Q, A>>);
 
 struct Shared<Q, A> {
     clock: Clock,
     tick: Duration,
     /// A server that the list has dropped may still be sent to.
     keeps_gone: bool,
-    books: RefCell<Books<Q, A>>,
-    twin: RefCell<Option<Rc<dyn Twin>>>,
-    orders: UnboundedSender<Order<Q>>,
-    asks: UnboundedSender<Ask>,
+    books: RefCell<RequestTable<Q, A>>,
+    twin: RefCell<Option<Rc<dyn PeerLink>>>,
+    orders: UnboundedSender<ServerCommand<Q>>,
+    asks: UnboundedSender<DiscoveryCommand>,
     news: Notify,
 }
 
-impl<Q, A> Clone for Exchange<Q, A> {
+impl<Q, A> Clone for Driver<Q, A> {
     fn clone(&self) -> Self {
         Self(self.0.clone())
     }
 }
 
 /// The exchange, with the ends of its channels to the data servers' side and to discovery.
-pub type Parts<Q, A> = (Exchange<Q, A>, UnboundedReceiver<Order<Q>>, UnboundedReceiver<Ask>);
+pub type DriverParts<Q, A> =
+    (Driver<Q, A>, UnboundedReceiver<ServerCommand<Q>>, UnboundedReceiver<DiscoveryCommand>);
 
-impl<Q, A> Exchange<Q, A> {
+impl<Q, A> Driver<Q, A> {
     /// An exchange around a new decision module.
-    pub fn new(settings: Settings, seed: u64, clock: Clock) -> Result<Parts<Q, A>, SettingsError> {
+    pub fn new(settings: Settings, seed: u64, clock: Clock) -> Result<DriverParts<Q, A>, SettingsError> {
         let (tick, keeps_gone) = (settings.min_step_interval, settings.rules.removed_may_serve);
-        let books = Books {
+        let books = RequestTable {
             classes: settings.classes.clone(),
             most_attempts: settings.limits.max_attempts,
             keeps_marks: settings.session_tokens == SessionTokens::Tracked,
@@ -330,7 +328,7 @@
     }
 
     /// Takes a request. The receiver gets its final answer; giving it up goes through [`Self::left`].
-    pub fn open(&self, call: Call, query: Q) -> (RequestId, oneshot::Receiver<Final<A>>) {
+    pub fn submit(&self, call: NewRequest, query: Q) -> (RequestId, oneshot::Receiver<Response<A>>) {
         let now = self.0.clock.now();
         let (done, answer) = oneshot::channel();
         let mut books = self.0.books.borrow_mut();
@@ -346,19 +344,19 @@
         let writes = writes.map(Rc::from);
         let deadline = now + call.time_left;
         let (class, query, most_attempts) = (call.class, Rc::new(query), books.most_attempts);
-        let (taken, attempts, caller) = (now, 0, call.caller);
+        let (taken, attempts, caller) = (now, 0, call.client);
         let open =
             Open { query, caller, class, bound, taken, deadline, attempts, most_attempts, writes, done };
         books.open.insert(id, open);
-        let wrote_ago = call.after_unix_ms.map(|ms| now.saturating_sub(self.0.clock.of_unix_ms(ms)));
+        let wrote_ago = call.after_unix_ms.map(|ms| now.saturating_sub(self.0.clock.from_unix_ms(ms)));
         books.events.push(Event::Request(Request {
             id,
             class: call.class,
             group: call.group,
             tenant: None,
             time_left: call.time_left,
-            is_retry: call.retry,
-            statement_bytes: call.bytes,
+            is_retry: call.is_retry,
+            statement_bytes: call.statement_bytes,
             expected_work: None,
             session: call.session,
             last_write_age: wrote_ago,
@@ -368,7 +366,7 @@
     }
 
     /// The client of a request went away. No answer is owed any more.
-    pub fn left(&self, request: RequestId) {
+    pub fn client_gone(&self, request: RequestId) {
         let mut books = self.0.books.borrow_mut();
         if books.open.remove(&request).is_some() {
             books.events.push(Event::ClientGone(request));
@@ -378,62 +376,62 @@
 
     /// Whether an attempt may still be written, asked just before its first byte is: its client is there, nobody has
     /// answered it, and its server has not been withdrawn since it was decided on.
-    pub fn may_write(&self, (request, _): Key, server: ServerId) -> bool {
-        let caller = self.0.books.borrow().open.get(&request).map(|open| open.caller.clone());
+    pub fn may_write(&self, attempt: AttemptId, server: ServerId) -> bool {
+        let caller = self.0.books.borrow().open.get(&attempt.request).map(|open| open.caller.clone());
         let Some(caller) = caller else { return false };
         if caller.is_some_and(|caller| caller.is_gone()) {
-            self.left(request);
+            self.client_gone(attempt.request);
             return false;
         }
-        self.takes_new(server)
+        self.accepts_attempts(server)
     }
 
     /// Whether anything new may go to a server, by what the list and the operators say of it now.
-    pub fn takes_new(&self, server: ServerId) -> bool {
+    pub fn accepts_attempts(&self, server: ServerId) -> bool {
         let books = self.0.books.borrow();
         let listed = self.0.keeps_gone || books.servers.contains(&server);
         listed && !books.draining.contains(&server) && !books.out_by_hand.contains(&server)
     }
 
     /// An attempt ended. What comes for one that has ended before is dropped.
-    pub fn ended(&self, key: Key, ending: Ending<A>) {
+    pub fn attempt_ended(&self, key: AttemptId, ending: AttemptResult<A>) {
         let now = self.0.clock.now();
         let Some(out) = self.0.books.borrow_mut().out.remove(&key) else { return };
-        if let Some(note) = ending.note {
+        if let Some(note) = ending.status {
             self.heard(out.server, note);
         }
         // A commit is told before its client can act on it.
         let commit =
-            ending.note.and_then(|note| note.position).filter(|_| ending.outcome == Outcome::Success);
+            ending.status.and_then(|note| note.position).filter(|_| ending.outcome == Outcome::Success);
         if let (Some(session), Some(commit), Some(twin)) = (&out.writes, commit, &*self.0.twin.borrow()) {
-            twin.tell(&PeerMessage::SessionWrite {
+            twin.send(&PeerMessage::SessionWrite {
                 session: session.to_string(),
                 commit: commit.as_secs_f64(),
             });
         }
         let mut books = self.0.books.borrow_mut();
         // The first answer goes to the client at once, and ends the request.
-        if let Some(answer) = ending.answer.filter(|_| ending.outcome == Outcome::Success) {
-            if let Some(open) = books.open.remove(&key.0) {
-                let _ = open.done.send(Final::Served(answer));
+        if let Some(answer) = ending.response.filter(|_| ending.outcome == Outcome::Success) {
+            if let Some(open) = books.open.remove(&key.request) {
+                let _ = open.done.send(Response::Served(answer));
             }
         }
-        let complete = !books.open.contains_key(&key.0);
+        let complete = !books.open.contains_key(&key.request);
         books.events.push(Event::AttemptEnded(AttemptEnded {
-            request: key.0,
-            attempt: key.1,
+            request: key.request,
+            attempt: key.number,
             server: out.server,
             outcome: ending.outcome,
             round_trip: now.saturating_sub(out.sent),
             request_complete: complete,
-            status: ending.note,
-            load_report: ending.report,
+            status: ending.status,
+            load_report: ending.load_report,
         }));
         self.0.news.notify_one();
     }
 
     /// A server told where it stands beside an answer that had ended before.
-    pub fn told(&self, server: ServerId, note: Option<ServerStatus>) {
+    pub fn status_reported(&self, server: ServerId, note: Option<ServerStatus>) {
         let Some(ServerStatus { position, primary }) = note else { return };
         self.heard(server, ServerStatus { position, primary });
         self.tell(Event::HealthChecked {
@@ -452,13 +450,13 @@
 
     /// What another process of this proxy must know, what happened since the last step included: a client may have its
     /// answer before the module has heard of it.
-    pub fn heritage(&self) -> StateSnapshot {
+    pub fn snapshot(&self) -> StateSnapshot {
         self.step();
         self.0.books.borrow().gateway.snapshot()
     }
 
     /// Takes over what another process of this proxy knew, on a clock of that zero in Unix milliseconds.
-    pub fn inherit(&self, mut heritage: StateSnapshot, zero_unix_ms: f64) {
+    pub fn restore(&self, mut heritage: StateSnapshot, zero_unix_ms: f64) {
         heritage.shift((zero_unix_ms - self.0.clock.zero_unix_ms()) / 1e3);
         let mut books = self.0.books.borrow_mut();
         for stood in heritage.servers.iter().filter(|stood| !stood.primary) {
@@ -471,69 +469,73 @@
     }
 
     /// A probe ended.
-    pub fn probed(&self, server: ServerId, ok: bool, report: Option<LoadReport>) {
+    pub fn health_checked(&self, server: ServerId, ok: bool, report: Option<LoadReport>) {
         self.tell(Event::HealthChecked { server, ok, load_report: report });
     }
 
     /// Discovery brought news of the list, with the addresses of the servers in it.
-    pub fn listed(&self, view: EndpointUpdate, addresses: impl IntoIterator<Item = (ServerId, SocketAddr)>) {
+    pub fn endpoints_updated(
+        &self,
+        view: EndpointUpdate,
+        addresses: impl IntoIterator<Item = (ServerId, SocketAddr)>,
+    ) {
         for (server, address) in addresses {
-            let _ = self.0.orders.send(Order::Address(server, address));
+            let _ = self.0.orders.send(ServerCommand::SetAddress(server, address));
         }
         let dropped: Vec<_> = self.0.books.borrow_mut().note(&view, self.0.keeps_gone).collect();
         for server in &dropped {
-            let _ = self.0.orders.send(Order::Forget(*server));
+            let _ = self.0.orders.send(ServerCommand::Forget(*server));
         }
         if let (Some(twin), EndpointUpdate::Changes(entries) | EndpointUpdate::Full(entries)) =
             (&*self.0.twin.borrow(), &view)
         {
             let drains =
                 entries.iter().filter(|entry| entry.state != EndpointState::Healthy).map(|e| e.server);
-            drains.chain(dropped).for_each(|server| twin.tell(&PeerMessage::ServerWithdrawn(server)));
+            drains.chain(dropped).for_each(|server| twin.send(&PeerMessage::ServerWithdrawn(server)));
         }
         self.tell(Event::Endpoints(view));
     }
 
     /// Another process of this proxy serves as well, and is told what happens here.
-    pub fn join(&self, twin: Rc<dyn Twin>) {
+    pub fn connect_peer(&self, twin: Rc<dyn PeerLink>) {
         self.0.twin.replace(Some(twin));
         self.0.news.notify_one();
     }
 
     /// This process has answered all that it took, and takes nothing more.
-    pub fn end(&self) {
+    pub fn close_peer(&self) {
         if let Some(twin) = &*self.0.twin.borrow() {
-            twin.end();
+            twin.close();
         }
     }
 
     /// Another process of this proxy serves as well, and what happens there can't be heard.
-    pub fn blind(&self) {
+    pub fn peer_unreachable(&self) {
         self.tell(Event::PeerMessage(PeerMessage::PeerUnreachable(true)));
     }
 
     /// The other process is gone.
-    pub fn part(&self) {
+    pub fn peer_gone(&self) {
         let twin = self.0.twin.take();
-        let words = twin.map(|twin| twin.hear()).unwrap_or_default();
+        let words = twin.map(|twin| twin.receive()).unwrap_or_default();
         self.0.books.borrow_mut().events.extend(words.into_iter().map(Event::PeerMessage));
         self.tell(Event::PeerMessage(PeerMessage::PeerUnreachable(false)));
     }
 
     /// Has the module stepped.
-    pub fn nudge(&self) {
+    pub fn wake(&self) {
         self.0.news.notify_one();
     }
 
     /// Gives the side of the data servers an order that is no decision.
-    pub fn order(&self, order: Order<Q>) {
+    pub fn command(&self, order: ServerCommand<Q>) {
         let _ = self.0.orders.send(order);
     }
 
     /// The operators took a server out by hand, or called it back.
-    pub fn ordered(&self, server: ServerId, out: bool) {
+    pub fn set_out_of_service(&self, server: ServerId, out: bool) {
         if out {
-            self.order(Order::Close(server));
+            self.command(ServerCommand::CloseIdle(server));
             self.0.books.borrow_mut().out_by_hand.insert(server);
         } else {
             self.0.books.borrow_mut().out_by_hand.remove(&server);
@@ -544,7 +546,12 @@
     /// Takes new settings for requests that come from now on. Of their classes, those in `kept` are what they
     /// were and keep their ids; each other one gets an id that neither an open request nor `reserved` has, and
     /// so those that are open keep the rules that they came under. Gives the ids in the order of the classes.
-    pub fn retune(&self, settings: Settings, kept: &[Option<ClassId>], reserved: &[ClassId]) -> Vec<ClassId> {
+    pub fn reconfigure(
+        &self,
+        settings: Settings,
+        kept: &[Option<ClassId>],
+        reserved: &[ClassId],
+    ) -> Vec<ClassId> {
         let mut books = self.0.books.borrow_mut();
         let held = books.open.values().map(|open| open.class).chain(books.out.values().map(|out| out.class));
         let mut taken: HashSet<_> = held.chain(kept.iter().copied().flatten()).collect();
@@ -569,12 +576,12 @@
     }
 
     /// The longest that any open request may take.
-    pub fn longest(&self) -> Duration {
+    pub fn max_deadline(&self) -> Duration {
         self.0.books.borrow().classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
     /// Whether the list has ever named a group. Before any list, all may exist.
-    pub fn knows(&self, group: GroupId) -> bool {
+    pub fn knows_group(&self, group: GroupId) -> bool {
         let books = self.0.books.borrow();
         books.groups.is_empty() || books.groups.contains(&group)
     }
@@ -585,7 +592,7 @@
     }
 
     /// Requests that have no final answer yet.
-    pub fn open_requests(&self) -> usize {
+    pub fn requests_in_flight(&self) -> usize {
         self.0.books.borrow().open.len()
     }
 
@@ -593,7 +600,7 @@
     /// each millisecond shortens a request's wait by 2 ms and gains no service: `docs/design.md` has the figures.
     pub async fn run(&self) {
         loop {
-            let timer = self.0.books.borrow().timers.first().map(|(at, _)| self.0.clock.instant(*at));
+            let timer = self.0.books.borrow().timers.first().map(|(at, _)| self.0.clock.to_instant(*at));
             let idle = Instant::now() + IDLE;
             tokio::select! {
                 () = self.0.news.notified() => {}
@@ -610,7 +617,7 @@
         let mut books = self.0.books.borrow_mut();
         let books = &mut *books;
         // What the other process was told before a request came here comes before it, and so does what it may have been.
-        let mut words = self.0.twin.borrow().as_ref().map(|twin| twin.hear()).unwrap_or_default();
+        let mut words = self.0.twin.borrow().as_ref().map(|twin| twin.receive()).unwrap_or_default();
         if now.saturating_sub(books.stepped) > STOOD_STILL {
             words.push(PeerMessage::ProcessPaused(DOUBTS_FOR));
         }
@@ -628,17 +635,17 @@
         books.actions = actions;
     }
 
-    fn carry_out(&self, now: Duration, action: Action, books: &mut Books<Q, A>) {
+    fn carry_out(&self, now: Duration, action: Action, books: &mut RequestTable<Q, A>) {
         let order = match action {
             Action::Forward { request, server, timeout } => {
                 return self.send(now, (request, server, timeout), books);
             }
             Action::Reject { request, retry_after } => {
-                return Self::finish(now, request, Final::Refused(retry_after), books);
+                return Self::finish(now, request, Response::Rejected(retry_after), books);
             }
-            Action::Fail { request } => return Self::finish(now, request, Final::Failed, books),
+            Action::Fail { request } => return Self::finish(now, request, Response::Failed, books),
             Action::Cancel { request, attempt } => {
-                let key = (request, attempt);
+                let key = AttemptId { request, number: attempt };
                 let Some(out) = books.out.remove(&key) else { return };
                 books.events.push(Event::AttemptEnded(AttemptEnded {
                     request,
@@ -651,16 +658,16 @@
                     load_report: None,
                 }));
                 self.0.news.notify_one();
-                Order::Cancel(key)
+                ServerCommand::Cancel(key)
             }
-            Action::HealthCheck { server } => Order::Probe(server),
-            Action::CloseIdle { server } => Order::Close(server),
+            Action::HealthCheck { server } => ServerCommand::HealthCheck(server),
+            Action::CloseIdle { server } => ServerCommand::CloseIdle(server),
             Action::Watch { on } => {
-                let _ = self.0.asks.send(Ask::Watch(on));
+                let _ = self.0.asks.send(DiscoveryCommand::Watch(on));
                 return;
             }
             Action::Poll => {
-                let _ = self.0.asks.send(Ask::Fetch);
+                let _ = self.0.asks.send(DiscoveryCommand::Poll);
                 return;
             }
             Action::SetTimer { after, id } => {
@@ -675,9 +682,9 @@
     }
 
     /// Gives the final answer that the module has decided on, at once.
-    fn finish(now: Duration, request: RequestId, answer: Final<A>, books: &mut Books<Q, A>) {
+    fn finish(now: Duration, request: RequestId, answer: Response<A>, books: &mut RequestTable<Q, A>) {
         let Some(open) = books.open.remove(&request) else { return };
-        let word = if matches!(answer, Final::Failed) { "failed" } else { "refused" };
+        let word = if matches!(answer, Response::Failed) { "failed" } else { "refused" };
         let waited = now.saturating_sub(open.taken).as_millis();
         let wait = open.deadline.saturating_sub(open.taken).as_millis();
         let (class, sends) = (open.class.0, open.attempts);
@@ -689,16 +696,16 @@
         &self,
         now: Duration,
         (request, server, timeout): (RequestId, ServerId, Duration),
-        books: &mut Books<Q, A>,
+        books: &mut RequestTable<Q, A>,
     ) {
         let Some(open) = books.open.get_mut(&request) else { return };
-        let key = (request, AttemptNumber(open.attempts));
+        let key = AttemptId { request, number: AttemptNumber(open.attempts) };
         open.attempts += 1;
         let until = (now + timeout).min(open.deadline);
-        if key.1 .0 >= open.most_attempts || until <= now {
+        if key.number.0 >= open.most_attempts || until <= now {
             books.events.push(Event::AttemptEnded(AttemptEnded {
                 request,
-                attempt: key.1,
+                attempt: key.number,
                 server,
                 outcome: Outcome::NotSent,
                 round_trip: Duration::ZERO,
@@ -711,9 +718,15 @@
         let out = Out { server, class: open.class, sent: now, writes: open.writes.clone() };
         books.out.insert(key, out);
         let known = books.positions.get(&server).copied().flatten();
-        let fresh_until = known.zip(open.bound).map(|(known, bound)| self.0.clock.instant(known + bound));
+        let fresh_until = known.zip(open.bound).map(|(known, bound)| self.0.clock.to_instant(known + bound));
         let query = open.query.clone();
-        let until = self.0.clock.instant(until);
-        let _ = self.0.orders.send(Order::Send(Send { key, server, query, until, fresh_until }));
+        let until = self.0.clock.to_instant(until);
+        let _ = self.0.orders.send(ServerCommand::Attempt(AttemptCommand {
+            id: key,
+            server,
+            query,
+            give_up_at: until,
+            fresh_until,
+        }));
     }
 }
--- a/src/net/parcel.rs
+++ b/src/net/hot_restart/frame.rs
@@ -23,7 +23,7 @@
 use tokio::net::{TcpListener, TcpStream, UnixStream};
 use tokio::time::timeout;
 
-use crate::listing::Listing;
+use crate::endpoint_list::EndpointList;
 
 /// The version of all that is said here. Fields may be added to what is told; what changes its meaning changes this.
 const VERSION: u32 = 2;
@@ -42,34 +42,34 @@
 
 /// What goes from a process to its successor, and what goes the other way.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum Kind {
+pub(super) enum FrameKind {
     /// Who the successor is.
-    Greeting,
+    Hello,
     /// The listener.
-    Door,
+    Listener,
     /// One end of the channel on which both tell what happens.
-    Words,
+    PeerChannel,
     /// All that is known.
-    State,
+    HandoverState,
     /// The successor is about to take clients.
-    Serves,
+    Ready,
     /// So many clients it may have until it is told more; the process before it takes none from now on.
-    Places,
+    ClientLimit,
     /// The successor has waited for too long: it serves beside the process that runs, and takes nothing over.
-    Alone,
+    ServesAlone,
     /// A client's connection that stands between requests; whether its startup is done.
     Client,
 }
 
-impl Kind {
+impl FrameKind {
     const ALL: [(Self, u8, bool); 8] = [
-        (Self::Greeting, b'G', false),
-        (Self::Door, b'D', true),
-        (Self::Words, b'W', true),
-        (Self::State, b'S', false),
-        (Self::Serves, b'R', false),
-        (Self::Places, b'P', false),
-        (Self::Alone, b'A', false),
+        (Self::Hello, b'G', false),
+        (Self::Listener, b'D', true),
+        (Self::PeerChannel, b'W', true),
+        (Self::HandoverState, b'S', false),
+        (Self::Ready, b'R', false),
+        (Self::ClientLimit, b'P', false),
+        (Self::ServesAlone, b'A', false),
         (Self::Client, b'C', true),
     ];
 
@@ -80,31 +80,31 @@
 
 /// A parcel as it came, with its descriptor where its kind has one.
 #[derive(Debug)]
-pub(super) struct Parcel {
-    pub kind: Kind,
-    pub content: Vec<u8>,
+pub(super) struct Frame {
+    pub kind: FrameKind,
+    pub payload: Vec<u8>,
     pub fd: Option<OwnedFd>,
 }
 
-impl Parcel {
+impl Frame {
     /// The number that it holds, if that is what it holds.
     pub fn number(&self) -> io::Result<u32> {
-        let bytes = self.content[..].try_into().map_err(|_| fault("a parcel holds no number"))?;
+        let bytes = self.payload[..].try_into().map_err(|_| fault("a parcel holds no number"))?;
         Ok(u32::from_be_bytes(bytes))
     }
 }
 
 /// Who says that it is a successor, and what it speaks.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Greeting {
+pub struct Hello {
     version: u32,
     /// The proxy's name.
     name: String,
 }
 
-impl Greeting {
+impl Hello {
     /// That of a process of this build.
-    pub fn of(name: &str) -> Self {
+    pub fn new(name: &str) -> Self {
         Self { version: VERSION, name: name.to_owned() }
     }
 }
@@ -112,27 +112,36 @@
 /// What a process knows when its successor comes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct State {
+pub struct HandoverState {
     version: u32,
     /// Its clock's zero, in Unix milliseconds.
     pub zero_unix_ms: f64,
-    /// The list of servers.
-    pub listing: Option<Listing>,
-    /// The names that servers have in the list, by the numbers in what follows.
-    pub names: Vec<(u32, String)>,
-    /// What the decisions stand on.
-    pub heritage: StateSnapshot,
+    /// The endpoint list.
+    #[serde(rename = "listing")]
+    pub endpoint_list: Option<EndpointList>,
+    /// The names of the servers in the list, with the ids that the snapshot uses.
+    #[serde(rename = "names")]
+    pub server_names: Vec<(u32, String)>,
+    /// The routing engine's state.
+    #[serde(rename = "heritage")]
+    pub snapshot: StateSnapshot,
 }
 
-impl State {
+impl HandoverState {
     /// What is told by a process of this build.
     pub fn new(
         zero_unix_ms: f64,
-        listing: Listing,
+        listing: EndpointList,
         names: Vec<(u32, String)>,
         heritage: StateSnapshot,
     ) -> Self {
-        Self { version: VERSION, zero_unix_ms, listing: Some(listing), names, heritage }
+        Self {
+            version: VERSION,
+            zero_unix_ms,
+            endpoint_list: Some(listing),
+            server_names: names,
+            snapshot: heritage,
+        }
     }
 
     pub(super) fn encode(&self) -> Vec<u8> {
@@ -155,7 +164,7 @@
 /// Sends a parcel, with a descriptor where its kind has one.
 pub(super) async fn send(
     stream: &UnixStream,
-    kind: Kind,
+    kind: FrameKind,
     content: &[u8],
     fd: Option<BorrowedFd<'_>>,
 ) -> io::Result<()> {
@@ -189,7 +198,7 @@
 }
 
 /// The next parcel; none at the end. What is wrong with one that came whole is told, and others may follow.
-pub(super) async fn receive(stream: &UnixStream) -> io::Result<Option<Result<Parcel, io::Error>>> {
+pub(super) async fn receive(stream: &UnixStream) -> io::Result<Option<Result<Frame, io::Error>>> {
     let (mut head, mut got, mut fd) = ([0; HEAD], 0, None);
     while got < HEAD {
         // No more than the head is asked for, so that a descriptor that comes is this parcel's.
@@ -201,7 +210,7 @@
     }
     let [letter, a, b, c, d, sum @ ..] = head;
     let (length, sum) = (u32::from_be_bytes([a, b, c, d]), u32::from_be_bytes(sum));
-    let known = Kind::ALL.iter().find(|(_, known, _)| *known == letter);
+    let known = FrameKind::ALL.iter().find(|(_, known, _)| *known == letter);
     let &(kind, _, has_fd) = known.ok_or_else(|| fault("a parcel of no known kind"))?;
     if length > PARCEL_MOST {
         return Err(fault("a parcel is too long"));
@@ -213,7 +222,7 @@
     if has_fd && fd.is_none() {
         return Ok(Some(Err(fault("a descriptor was lost on its way")))); // there is none left for it here
     }
-    Ok(Some(Ok(Parcel { kind, content, fd })))
+    Ok(Some(Ok(Frame { kind, payload: content, fd })))
 }
 
 /// Some bytes, and the descriptor that comes with them.
@@ -255,87 +264,87 @@
 impl Successor {
     /// Hands a connection over, which ends here. `started` if its startup is done. Where the successor has
     /// just gone, the connection closes, as it would without one.
-    pub async fn take(&self, stream: TcpStream, started: bool) -> io::Result<()> {
+    pub async fn hand_over_client(&self, stream: TcpStream, started: bool) -> io::Result<()> {
         let fd = OwnedFd::from(stream.into_std()?);
-        send(&self.0, Kind::Client, &[u8::from(started)], Some(fd.as_fd())).await
+        send(&self.0, FrameKind::Client, &[u8::from(started)], Some(fd.as_fd())).await
     }
 }
 
 /// What a successor has from the process that it replaces.
-pub struct Inheritance {
+pub struct Predecessor {
     /// How many clients there may be here until more come over, where that was told at once.
-    pub(super) places: Option<usize>,
+    pub(super) client_limit: Option<usize>,
     /// What it knew; none where that did not come whole.
-    pub state: Option<State>,
+    pub state: Option<HandoverState>,
     /// Where both tell what happens.
-    pub words: Option<OwnedFd>,
+    pub peer_channel: Option<OwnedFd>,
     pub(super) stream: Rc<UnixStream>,
 }
 
-impl Inheritance {
+impl Predecessor {
     /// Whether it comes from an earlier build, whose connections come in a form of their own.
-    pub(super) fn is_early(&self) -> bool {
-        self.places.is_some()
+    pub(super) fn is_early_build(&self) -> bool {
+        self.client_limit.is_some()
     }
 }
 
 /// What a process finds of the one before it.
-pub enum Before {
+pub enum PredecessorStatus {
     /// There is none.
-    Nobody,
+    NotRunning,
     /// It gives its door, and what it knows.
-    Hands(TcpListener, Inheritance),
+    HandsOver(TcpListener, Predecessor),
     /// One runs, and can't be heard. It ends with this stream, where there is one.
-    Deaf(Option<UnixStream>),
+    Unresponsive(Option<UnixStream>),
 }
 
 /// Asks the process that runs, if one does, for the clients' door; at `early` where it is of an earlier build. What a
 /// killed process left is no hindrance.
-pub async fn inherit(path: &Path, early: &Path, greeting: &Greeting) -> Before {
+pub async fn inherit(path: &Path, early: &Path, greeting: &Hello) -> PredecessorStatus {
     let (result, stream) = if let Ok(stream) = UnixStream::connect(path).await {
         let stream = Rc::new(stream);
         let result = match timeout(HANDED_WITHIN, ask(&stream, greeting)).await {
             Ok(Ok((fd, state, words))) => {
                 let stream = stream.clone();
-                Ok((fd, Inheritance { places: None, state, words, stream }))
+                Ok((fd, Predecessor { client_limit: None, state, peer_channel: words, stream }))
             }
             Ok(Err(e)) => Err(e),
             // It is there, and stands still: it is told for when it goes on.
-            Err(late) => send(&stream, Kind::Alone, &[], None).await.and(Err(late.into())),
+            Err(late) => send(&stream, FrameKind::ServesAlone, &[], None).await.and(Err(late.into())),
         };
         (result, Some(stream))
     } else if let Ok(stream) = UnixStream::connect(early).await {
         (timeout(HANDED_WITHIN, ask_early(stream)).await.unwrap_or_else(|late| Err(late.into())), None)
     } else {
-        return Before::Nobody;
+        return PredecessorStatus::NotRunning;
     };
     let done = result.and_then(|(fd, inheritance)| {
         let listener = std::net::TcpListener::from(fd);
         listener.set_nonblocking(true)?;
-        Ok(Before::Hands(TcpListener::from_std(listener)?, inheritance))
+        Ok(PredecessorStatus::HandsOver(TcpListener::from_std(listener)?, inheritance))
     });
     done.unwrap_or_else(|e| {
         log::warn!("the process that runs does not hand over its listener: {e}");
         let stream = stream.and_then(Rc::into_inner).filter(|_| e.kind() == io::ErrorKind::TimedOut);
-        Before::Deaf(stream)
+        PredecessorStatus::Unresponsive(stream)
     })
 }
 
 /// The door, what is known, and the channel on which both tell what happens.
-type Handed = (OwnedFd, Option<State>, Option<OwnedFd>);
+type Handed = (OwnedFd, Option<HandoverState>, Option<OwnedFd>);
 
-async fn ask(stream: &UnixStream, greeting: &Greeting) -> io::Result<Handed> {
+async fn ask(stream: &UnixStream, greeting: &Hello) -> io::Result<Handed> {
     let content = serde_json::to_vec(greeting)?;
-    send(stream, Kind::Greeting, &content, None).await?;
+    send(stream, FrameKind::Hello, &content, None).await?;
     let (mut door, mut words) = (None, None);
     loop {
-        let parcel = receive(stream).await?.ok_or(io::ErrorKind::UnexpectedEof)??;
-        match parcel.kind {
-            Kind::Door => door = parcel.fd,
-            Kind::Words => words = parcel.fd,
-            Kind::State => {
+        let frame = receive(stream).await?.ok_or(io::ErrorKind::UnexpectedEof)??;
+        match frame.kind {
+            FrameKind::Listener => door = frame.fd,
+            FrameKind::PeerChannel => words = frame.fd,
+            FrameKind::HandoverState => {
                 let fd = door.ok_or_else(|| fault("no door came before what is known"))?;
-                let state = State::decode(&parcel.content);
+                let state = HandoverState::decode(&frame.payload);
                 let state = state.inspect_err(|e| log::warn!("what is known can't be taken over: {e}")).ok();
                 return Ok((fd, state, words));
             }
@@ -345,10 +354,10 @@
 }
 
 /// Reads who it is that has come; none of another proxy, or that speaks in another version.
-pub(super) async fn greeted(stream: &UnixStream, own: &Greeting) -> io::Result<()> {
+pub(super) async fn greeted(stream: &UnixStream, own: &Hello) -> io::Result<()> {
     let greeting = async {
-        let parcel = receive(stream).await?.ok_or(io::ErrorKind::UnexpectedEof)??;
-        Ok::<Greeting, io::Error>(serde_json::from_slice(&parcel.content)?)
+        let frame = receive(stream).await?.ok_or(io::ErrorKind::UnexpectedEof)??;
+        Ok::<Hello, io::Error>(serde_json::from_slice(&frame.payload)?)
     };
     match timeout(GREETED_WITHIN, greeting).await?? {
         greeting if greeting == *own => Ok(()),
@@ -386,7 +395,7 @@
 }
 
 /// What such a process hands over: its door in five bytes, then where servers stand.
-async fn ask_early(mut stream: UnixStream) -> io::Result<(OwnedFd, Inheritance)> {
+async fn ask_early(mut stream: UnixStream) -> io::Result<(OwnedFd, Predecessor)> {
     let (letter, places, fd) = receive_early(&stream).await?.ok_or(io::ErrorKind::UnexpectedEof)?;
     if letter != b'D' {
         return Err(fault("no door came first"));
@@ -398,9 +407,9 @@
     let stands: Vec<EarlyStand> = serde_json::from_slice(&read_exactly(&stream, length as usize).await?)?;
     let servers = stands.iter().map(EarlyStand::stood).collect();
     let heritage = StateSnapshot { servers, ..StateSnapshot::default() };
-    let state = State { heritage, ..State::default() };
+    let state = HandoverState { snapshot: heritage, ..HandoverState::default() };
     let (places, state, stream) = (Some(places as usize), Some(state), Rc::new(stream));
-    Ok((fd, Inheritance { places, state, words: None, stream }))
+    Ok((fd, Predecessor { client_limit: places, state, peer_channel: None, stream }))
 }
 
 pub(super) async fn receive_early(stream: &UnixStream) -> io::Result<Option<(u8, u32, OwnedFd)>> {
--- a/src/net/parcel/tests.rs
+++ b/src/net/hot_restart/frame/tests.rs
@@ -11,19 +11,19 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::UnixStream;
 
-use super::{ask_early, greeted, receive, receive_early, send, Greeting, Kind, Parcel, State};
-use crate::listing::{Listing, Target};
+use super::{ask_early, greeted, receive, receive_early, send, Frame, FrameKind, HandoverState, Hello};
+use crate::endpoint_list::{EndpointList, ListedEndpoint};
 
 const GREETING: &[u8] = br#"{"version":2,"name":"gw-a"}"#;
-const FULL: &[u8] = include_bytes!("../../../tests/fixtures/handover/state_full.json");
-const EMPTY: &[u8] = include_bytes!("../../../tests/fixtures/handover/state_empty.json");
+const FULL: &[u8] = include_bytes!("../../../../tests/fixtures/handover/state_full.json");
+const EMPTY: &[u8] = include_bytes!("../../../../tests/fixtures/handover/state_empty.json");
 const WITH_UNKNOWN_FIELDS: &[u8] =
-    include_bytes!("../../../tests/fixtures/handover/state_with_unknown_fields.json");
-const EARLY_SERVERS: &[u8] = include_bytes!("../../../tests/fixtures/handover/early_servers.json");
+    include_bytes!("../../../../tests/fixtures/handover/state_with_unknown_fields.json");
+const EARLY_SERVERS: &[u8] = include_bytes!("../../../../tests/fixtures/handover/early_servers.json");
 
 /// A frame as it was recorded: its header, and what follows that.
 struct Recorded {
-    kind: Kind,
+    kind: FrameKind,
     header: &'static [u8; 9],
     content: &'static [u8],
     has_descriptor: bool,
@@ -31,30 +31,45 @@
 
 const RECORDED: [Recorded; 9] = [
     Recorded {
-        kind: Kind::Greeting,
+        kind: FrameKind::Hello,
         header: b"G\0\0\0\x1b\xf6\x17\xc0\xe6",
         content: GREETING,
         has_descriptor: false,
     },
-    Recorded { kind: Kind::Door, header: b"D\0\0\0\0\0\0\0\0", content: b"", has_descriptor: true },
-    Recorded { kind: Kind::Words, header: b"W\0\0\0\0\0\0\0\0", content: b"", has_descriptor: true },
-    Recorded { kind: Kind::State, header: b"S\0\0\x03\x84A\0\xc8\xb7", content: FULL, has_descriptor: false },
-    Recorded { kind: Kind::Serves, header: b"R\0\0\0\0\0\0\0\0", content: b"", has_descriptor: false },
+    Recorded { kind: FrameKind::Listener, header: b"D\0\0\0\0\0\0\0\0", content: b"", has_descriptor: true },
     Recorded {
-        kind: Kind::Places,
+        kind: FrameKind::PeerChannel,
+        header: b"W\0\0\0\0\0\0\0\0",
+        content: b"",
+        has_descriptor: true,
+    },
+    Recorded {
+        kind: FrameKind::HandoverState,
+        header: b"S\0\0\x03\x84A\0\xc8\xb7",
+        content: FULL,
+        has_descriptor: false,
+    },
+    Recorded { kind: FrameKind::Ready, header: b"R\0\0\0\0\0\0\0\0", content: b"", has_descriptor: false },
+    Recorded {
+        kind: FrameKind::ClientLimit,
         header: b"P\0\0\0\x04\xa4\xb8\xe6\x95",
         content: b"\0\0\x03\xe8",
         has_descriptor: false,
     },
-    Recorded { kind: Kind::Alone, header: b"A\0\0\0\0\0\0\0\0", content: b"", has_descriptor: false },
     Recorded {
-        kind: Kind::Client,
+        kind: FrameKind::ServesAlone,
+        header: b"A\0\0\0\0\0\0\0\0",
+        content: b"",
+        has_descriptor: false,
+    },
+    Recorded {
+        kind: FrameKind::Client,
         header: b"C\0\0\0\x01\xa5\x05\xdf\x1b",
         content: b"\x01",
         has_descriptor: true,
     },
     Recorded {
-        kind: Kind::Client,
+        kind: FrameKind::Client,
         header: b"C\0\0\0\x01\xd2\x02\xef\x8d",
         content: b"\0",
         has_descriptor: true,
@@ -91,37 +106,37 @@
 }
 
 /// What the code reads from raw bytes.
-async fn read(bytes: &[u8], has_descriptor: bool) -> io::Result<Parcel> {
+async fn read(bytes: &[u8], has_descriptor: bool) -> io::Result<Frame> {
     let (sender, receiver) = UnixStream::pair().expect("a pair of sockets");
     send_raw(&sender, bytes, has_descriptor);
     drop(sender);
     receive(&receiver).await?.expect("a frame")
 }
 
-fn listing() -> Listing {
-    let primary = Target {
-        uid: "store-a".to_owned(),
-        endpoint: "10.0.0.1:5432".parse().expect("an address"),
-        az: "eu-1a".to_owned(),
-        model: "m5".to_owned(),
-        pod_group: 2,
+fn listing() -> EndpointList {
+    let primary = ListedEndpoint {
+        name: "store-a".to_owned(),
+        address: "10.0.0.1:5432".parse().expect("an address"),
+        zone: "eu-1a".to_owned(),
+        machine_kind: "m5".to_owned(),
+        group: 2,
         state: "Ready".to_owned(),
-        capacity_hint: Some(1.5),
-        boot_ms: 1_767_225_000_000.0,
-        mode: Some("read-write".to_owned()),
+        relative_capacity: Some(1.5),
+        started_unix_ms: 1_767_225_000_000.0,
+        role: Some("read-write".to_owned()),
     };
-    let plain = Target {
-        uid: "store-b".to_owned(),
-        endpoint: "[::1]:5433".parse().expect("an address"),
-        az: String::new(),
-        model: String::new(),
-        pod_group: 0,
+    let plain = ListedEndpoint {
+        name: "store-b".to_owned(),
+        address: "[::1]:5433".parse().expect("an address"),
+        zone: String::new(),
+        machine_kind: String::new(),
+        group: 0,
         state: "Terminating".to_owned(),
-        capacity_hint: None,
-        boot_ms: 0.0,
-        mode: None,
+        relative_capacity: None,
+        started_unix_ms: 0.0,
+        role: None,
     };
-    Listing { rev: 41, all: true, targets: vec![primary, plain] }
+    EndpointList { revision: 41, complete: true, endpoints: vec![primary, plain] }
 }
 
 fn routing_snapshot() -> StateSnapshot {
@@ -149,14 +164,14 @@
     }
 }
 
-fn snapshot() -> State {
+fn snapshot() -> HandoverState {
     let names = vec![(7, "store-a".to_owned()), (4_000_000_000, "store-b".to_owned())];
-    State::new(1_767_225_600_123.5, listing(), names, routing_snapshot())
+    HandoverState::new(1_767_225_600_123.5, listing(), names, routing_snapshot())
 }
 
 /// A snapshot in which all that may be absent is absent.
-fn empty_snapshot() -> State {
-    State { version: 2, ..State::default() }
+fn empty_snapshot() -> HandoverState {
+    HandoverState { version: 2, ..HandoverState::default() }
 }
 
 #[tokio::test]
@@ -171,7 +186,7 @@
     for recorded in &RECORDED {
         let frame = read(&recorded.bytes(), recorded.has_descriptor).await.expect("it is read");
         assert_eq!(frame.kind, recorded.kind);
-        assert_eq!(frame.content, recorded.content);
+        assert_eq!(frame.payload, recorded.content);
         assert_eq!(frame.fd.is_some(), recorded.has_descriptor);
     }
 }
@@ -192,7 +207,8 @@
 
 #[tokio::test]
 async fn client_limit_of_985872a_is_a_big_endian_number() {
-    let recorded = RECORDED.iter().find(|recorded| recorded.kind == Kind::Places).expect("it is recorded");
+    let recorded =
+        RECORDED.iter().find(|recorded| recorded.kind == FrameKind::ClientLimit).expect("it is recorded");
     let frame = read(&recorded.bytes(), false).await.expect("it is read");
     assert_eq!(frame.number().ok(), Some(1000));
     assert_eq!(1000u32.to_be_bytes(), recorded.content);
@@ -200,9 +216,9 @@
 
 #[test]
 fn greeting_of_985872a_is_read_and_written_byte_for_byte() {
-    let greeting = Greeting::of("gw-a");
+    let greeting = Hello::new("gw-a");
     assert_eq!(serde_json::to_vec(&greeting).ok().as_deref(), Some(GREETING));
-    assert_eq!(serde_json::from_slice::<Greeting>(GREETING).ok(), Some(greeting));
+    assert_eq!(serde_json::from_slice::<Hello>(GREETING).ok(), Some(greeting));
 }
 
 #[rstest]
@@ -218,35 +234,36 @@
     #[case] accepted: bool,
 ) {
     let (sender, receiver) = UnixStream::pair().expect("a pair of sockets");
-    send(&sender, Kind::Greeting, content, None).await.expect("it is sent");
-    assert_eq!(greeted(&receiver, &Greeting::of("gw-a")).await.is_ok(), accepted);
+    send(&sender, FrameKind::Hello, content, None).await.expect("it is sent");
+    assert_eq!(greeted(&receiver, &Hello::new("gw-a")).await.is_ok(), accepted);
 }
 
 #[test]
 fn snapshot_of_985872a_is_read_and_written_byte_for_byte() {
     for (recorded, snapshot) in [(FULL, snapshot()), (EMPTY, empty_snapshot())] {
         assert_eq!(String::from_utf8_lossy(&snapshot.encode()), String::from_utf8_lossy(recorded));
-        assert_eq!(State::decode(recorded).expect("it is read"), snapshot);
+        assert_eq!(HandoverState::decode(recorded).expect("it is read"), snapshot);
     }
 }
 
 #[test]
 fn unknown_fields_of_a_snapshot_are_ignored() {
-    assert_eq!(State::decode(WITH_UNKNOWN_FIELDS).expect("it is read"), snapshot());
+    assert_eq!(HandoverState::decode(WITH_UNKNOWN_FIELDS).expect("it is read"), snapshot());
 }
 
 #[test]
 fn absent_fields_of_a_snapshot_are_defaults() {
-    assert_eq!(State::decode(br#"{"version":2}"#).expect("it is read"), empty_snapshot());
-    let list = State::decode(br#"{"version":2,"listing":{"rev":5}}"#).expect("it is read").listing;
-    assert_eq!(list, Some(Listing { rev: 5, all: false, targets: Vec::new() }));
+    assert_eq!(HandoverState::decode(br#"{"version":2}"#).expect("it is read"), empty_snapshot());
+    let list =
+        HandoverState::decode(br#"{"version":2,"listing":{"rev":5}}"#).expect("it is read").endpoint_list;
+    assert_eq!(list, Some(EndpointList { revision: 5, complete: false, endpoints: Vec::new() }));
 }
 
 #[test]
 fn snapshots_of_no_or_another_version_are_refused() {
-    assert!(State::decode(b"{}").is_err());
-    assert!(State::decode(br#"{"version":1}"#).is_err());
-    assert!(State::decode(br#"{"version":3}"#).is_err());
+    assert!(HandoverState::decode(b"{}").is_err());
+    assert!(HandoverState::decode(br#"{"version":1}"#).is_err());
+    assert!(HandoverState::decode(br#"{"version":3}"#).is_err());
 }
 
 /// What a build before 0.2 sends first: its listener beside five bytes, then the servers.
@@ -263,11 +280,11 @@
     send_raw(&sender, &listener, true);
     send_raw(&sender, &servers, false);
     let (_, inheritance) = ask_early(receiver).await.expect("it is read");
-    assert!(inheritance.is_early());
-    assert_eq!(inheritance.places, Some(1000));
-    assert!(inheritance.words.is_none());
+    assert!(inheritance.is_early_build());
+    assert_eq!(inheritance.client_limit, Some(1000));
+    assert!(inheritance.peer_channel.is_none());
     let state = inheritance.state.expect("a snapshot");
-    assert_eq!(state, State { heritage: early_routing_snapshot(), ..State::default() });
+    assert_eq!(state, HandoverState { snapshot: early_routing_snapshot(), ..HandoverState::default() });
 }
 
 fn early_routing_snapshot() -> StateSnapshot {
--- a/src/net/handover.rs
+++ b/src/net/hot_restart/handover.rs
@@ -17,15 +17,15 @@
 use tokio::net::{TcpStream, UnixListener, UnixStream};
 use tokio::time::timeout;
 
-use super::buffers::Pool;
-use super::clients::Clients;
-use super::discovery::SharedLister;
-use super::exchange::Order;
-use super::parcel::{
-    ended, greeted, receive, receive_early, send, Greeting, Inheritance, Kind, State, Successor,
+use super::frame::{
+    ended, greeted, receive, receive_early, send, FrameKind, HandoverState, Hello, Predecessor, Successor,
 };
-use super::servers::PgExchange;
-use super::twin::{pair, Channel};
+use super::peer_channel::{pair, PeerChannel};
+use crate::net::buffers::BufferPool;
+use crate::net::client::ClientService;
+use crate::net::discovery::SharedEndpointRegistry;
+use crate::net::driver::ServerCommand;
+use crate::net::server::PgDriver;
 
 /// Part of the buffers and of the sockets to data servers that each process may use while there are two.
 const HALF: f64 = 0.5;
@@ -37,36 +37,36 @@
 const DEAF_FOR: Duration = Duration::from_secs(10);
 
 /// What is divided while there are two processes.
-pub struct Shares {
+pub struct SharedResources {
     /// The side of the clients.
-    pub clients: Clients,
+    pub clients: ClientService,
     /// To the side of the data servers.
-    pub exchange: PgExchange,
+    pub driver: PgDriver,
     /// The buffers.
-    pub pool: Pool,
+    pub pool: BufferPool,
     /// The names of servers.
-    pub lister: SharedLister,
+    pub registry: SharedEndpointRegistry,
 }
 
-impl Shares {
+impl SharedResources {
     /// Leaves the other process its part, or takes all.
     pub fn divide(&self, shared: bool) {
         let part = if shared { HALF } else { 1.0 };
-        self.pool.set_part(part);
-        self.exchange.order(Order::Share(part));
+        self.pool.set_share(part);
+        self.driver.command(ServerCommand::SetShare(part));
     }
 
     /// Another process serves as well, and neither can hear the other: each has its half, and counts the worst of what the
     /// other may have acknowledged.
     fn serve_beside(&self) {
-        self.exchange.part();
-        self.exchange.blind();
+        self.driver.peer_gone();
+        self.driver.peer_unreachable();
         self.clients.set_limit(Some((self.clients.limit() as f64 * HALF) as usize));
         self.divide(true);
     }
 
     /// Serves beside a process that could not hand over, until that is gone.
-    pub async fn outlast(&self, stream: Option<UnixStream>) {
+    pub async fn serve_until_gone(&self, stream: Option<UnixStream>) {
         self.serve_beside();
         match stream {
             Some(stream) => ended(&stream).await,
@@ -78,37 +78,38 @@
 
     /// The other process is gone.
     fn take_all(&self) {
-        self.clients.take_all();
+        self.clients.clear_limit();
         self.divide(false);
-        self.exchange.part();
+        self.driver.peer_gone();
     }
 }
 
-impl Inheritance {
+impl Predecessor {
     /// Hears from now on what the process that serves as well acknowledges, or else counts the worst.
-    pub fn join(&mut self, shares: &Shares) {
-        let joined = self.words.take().map(|fd| Channel::join(&shares.exchange, &shares.lister, fd));
+    pub fn connect_peer(&mut self, shares: &SharedResources) {
+        let joined =
+            self.peer_channel.take().map(|fd| PeerChannel::join(&shares.driver, &shares.registry, fd));
         if !matches!(joined, Some(Ok(()))) {
-            shares.exchange.blind();
+            shares.driver.peer_unreachable();
         }
     }
 
     /// Takes over what it knew, and then the door: once this returns, clients may be taken.
-    pub async fn enter(&mut self, shares: &Shares) {
+    pub async fn take_over(&mut self, shares: &SharedResources) {
         let mut state = self.state.take().unwrap_or_default();
-        for stood in &mut state.heritage.servers {
-            let uid = state.names.iter().find(|(id, _)| *id == stood.server);
-            stood.server = uid.map_or(stood.server, |(_, uid)| shares.lister.borrow().number(uid).0);
+        for stood in &mut state.snapshot.servers {
+            let uid = state.server_names.iter().find(|(id, _)| *id == stood.server);
+            stood.server = uid.map_or(stood.server, |(_, uid)| shares.registry.borrow().server_id(uid).0);
         }
-        shares.exchange.inherit(state.heritage, state.zero_unix_ms);
+        shares.driver.restore(state.snapshot, state.zero_unix_ms);
         let places = async {
-            if let Some(places) = self.places {
+            if let Some(places) = self.client_limit {
                 return Ok(places);
             }
-            send(&self.stream, Kind::Serves, &[], None).await?;
-            let parcel = receive(&self.stream).await?.ok_or(io::ErrorKind::UnexpectedEof)??;
-            match parcel.kind {
-                Kind::Places => Ok(parcel.number()? as usize),
+            send(&self.stream, FrameKind::Ready, &[], None).await?;
+            let frame = receive(&self.stream).await?.ok_or(io::ErrorKind::UnexpectedEof)??;
+            match frame.kind {
+                FrameKind::ClientLimit => Ok(frame.number()? as usize),
                 other => Err(io::Error::other(format!("a parcel out of its turn: {other:?}"))),
             }
         };
@@ -124,22 +125,22 @@
 
     /// The next client that comes over; none once the process is gone.
     async fn next(&self) -> io::Result<Option<(bool, OwnedFd)>> {
-        if self.is_early() {
-            let parcel = receive_early(&self.stream).await?;
-            return Ok(parcel.map(|(_, started, fd)| (started != 0, fd)));
+        if self.is_early_build() {
+            let frame = receive_early(&self.stream).await?;
+            return Ok(frame.map(|(_, started, fd)| (started != 0, fd)));
         }
-        let Some(parcel) = receive(&self.stream).await? else { return Ok(None) };
-        match parcel? {
-            parcel if parcel.kind == Kind::Client => {
-                let fd = parcel.fd.ok_or(io::ErrorKind::InvalidData)?;
-                Ok(Some((parcel.content == [1], fd)))
+        let Some(frame) = receive(&self.stream).await? else { return Ok(None) };
+        match frame? {
+            frame if frame.kind == FrameKind::Client => {
+                let fd = frame.fd.ok_or(io::ErrorKind::InvalidData)?;
+                Ok(Some((frame.payload == [1], fd)))
             }
             other => Err(io::Error::other(format!("a parcel out of its turn: {:?}", other.kind))),
         }
     }
 
     /// Takes over what comes until the process that handed it over is gone.
-    pub async fn follow(self, shares: &Shares) {
+    pub async fn receive_clients(self, shares: &SharedResources) {
         loop {
             match self.next().await {
                 Ok(Some((started, fd))) => {
@@ -163,13 +164,13 @@
 }
 
 /// The place where a process waits for its successor.
-struct Post {
+struct HandoverSocket {
     path: PathBuf,
     /// The file that it has put there.
     own: Option<u64>,
 }
 
-impl Post {
+impl HandoverSocket {
     /// Waits for a successor. The newest process has the place: one before it takes it again only if that is gone.
     async fn wait(&mut self) -> io::Result<UnixStream> {
         let there = std::fs::metadata(&self.path).map(|file| file.ino()).ok();
@@ -185,8 +186,8 @@
 }
 
 /// Waits for successors at a path, one after another. Never returns.
-pub async fn run(path: PathBuf, greeting: Greeting, listener: OwnedFd, shares: Rc<Shares>) {
-    let mut post = Post { path, own: None };
+pub async fn run(path: PathBuf, greeting: Hello, listener: OwnedFd, shares: Rc<SharedResources>) {
+    let mut post = HandoverSocket { path, own: None };
     loop {
         match post.wait().await {
             Ok(successor) => match greeted(&successor, &greeting).await {
@@ -202,7 +203,7 @@
 }
 
 /// Is replaced, which ends with the process; returns if the successor goes first.
-async fn succeed(successor: Rc<UnixStream>, listener: &OwnedFd, shares: &Shares) {
+async fn succeed(successor: Rc<UnixStream>, listener: &OwnedFd, shares: &SharedResources) {
     log::info!("a successor has come");
     let done = async {
         let mut word = pin!(receive(&successor));
@@ -215,18 +216,18 @@
                 word.await
             }
         };
-        let parcel = word?.ok_or(io::ErrorKind::UnexpectedEof)??;
-        match parcel.kind {
-            Kind::Serves => {}
-            Kind::Alone => return Ok(false),
+        let frame = word?.ok_or(io::ErrorKind::UnexpectedEof)??;
+        match frame.kind {
+            FrameKind::Ready => {}
+            FrameKind::ServesAlone => return Ok(false),
             other => return Err(io::Error::other(format!("a parcel out of its turn: {other:?}"))),
         }
         // From now on it takes who comes. Places are divided by how many are here, and move with each that goes over.
-        let (limit, kept) = (shares.clients.limit(), shares.clients.yield_door());
+        let (limit, kept) = (shares.clients.limit(), shares.clients.stop_accepting());
         shares.divide(true);
         log::info!("the successor serves; this process keeps {kept} clients");
         let places = (limit - kept) as u32;
-        send(&successor, Kind::Places, &places.to_be_bytes(), None).await?;
+        send(&successor, FrameKind::ClientLimit, &places.to_be_bytes(), None).await?;
         Ok(true)
     };
     match done.await {
@@ -237,9 +238,9 @@
         Ok(false) => {
             log::warn!("the successor has waited for too long: it serves beside this process, and takes nothing over");
             shares.serve_beside();
-            shares.clients.set_beside(Some(Successor(successor.clone())));
+            shares.clients.set_parallel_successor(Some(Successor(successor.clone())));
             ended(&successor).await;
-            shares.clients.set_beside(None);
+            shares.clients.set_parallel_successor(None);
         }
         Err(e) => log::warn!("the successor can't take over: {e}"),
     }
@@ -250,15 +251,15 @@
 
 /// Gives the door, and all that is known. What happens from then on goes over the channel, which is joined in the same
 /// moment, so that nothing falls between.
-async fn hand_over(to: &UnixStream, listener: &OwnedFd, shares: &Shares) -> io::Result<()> {
+async fn hand_over(to: &UnixStream, listener: &OwnedFd, shares: &SharedResources) -> io::Result<()> {
     let (here, there) = pair()?;
-    Channel::join(&shares.exchange, &shares.lister, here)?;
+    PeerChannel::join(&shares.driver, &shares.registry, here)?;
     let state = {
-        let (lister, exchange) = (shares.lister.borrow(), &shares.exchange);
-        let zero = exchange.clock().zero_unix_ms();
-        State::new(zero, lister.listing(), lister.names(), exchange.heritage())
+        let (registry, driver) = (shares.registry.borrow(), &shares.driver);
+        let zero = driver.clock().zero_unix_ms();
+        HandoverState::new(zero, registry.endpoint_list(), registry.names(), driver.snapshot())
     };
-    send(to, Kind::Door, &[], Some(listener.as_fd())).await?;
-    send(to, Kind::Words, &[], Some(there.as_fd())).await?;
-    send(to, Kind::State, &state.encode(), None).await
+    send(to, FrameKind::Listener, &[], Some(listener.as_fd())).await?;
+    send(to, FrameKind::PeerChannel, &[], Some(there.as_fd())).await?;
+    send(to, FrameKind::HandoverState, &state.encode(), None).await
 }
--- a/src/net/twin.rs
+++ b/src/net/hot_restart/peer_channel.rs
@@ -22,9 +22,9 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, AbortHandle};
 
-use super::discovery::SharedLister;
-use super::exchange::{Clock, Twin};
-use super::servers::PgExchange;
+use crate::net::discovery::SharedEndpointRegistry;
+use crate::net::driver::{Clock, PeerLink};
+use crate::net::server::PgDriver;
 
 /// Bytes of a word at the most; a session's name that does not fit closes the channel.
 const WORD_MOST: usize = 16 * 1024;
@@ -32,25 +32,28 @@
 /// A word as it goes over the channel.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Said {
-    Wrote {
+enum PeerPacket {
+    #[serde(rename = "wrote")]
+    SessionWrite {
         session: String,
         /// The commit, in Unix milliseconds.
         commit_ms: f64,
     },
     /// The list says that a server of this name drains or is gone.
-    Withdrawn { uid: String },
+    #[serde(rename = "withdrawn")]
+    ServerWithdrawn { uid: String },
     /// There will be nothing more to tell: no request is open, and none will come.
-    Over,
+    #[serde(rename = "over")]
+    Closed,
 }
 
 /// This process's end of the channel.
-pub struct Channel {
+pub struct PeerChannel {
     fd: Rc<UnixStream>,
     /// All was heard that had come.
     heard: Rc<Notify>,
     clock: Clock,
-    lister: SharedLister,
+    registry: SharedEndpointRegistry,
     /// The other one has nothing more to tell, or can't be heard any more.
     silent: Cell<bool>,
     buffer: RefCell<Vec<u8>>,
@@ -63,26 +66,26 @@
     Ok(socketpair(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?)
 }
 
-impl Channel {
+impl PeerChannel {
     /// Joins the exchange to another process by an end of a channel. Must run inside a [`tokio::task::LocalSet`].
-    pub fn join(exchange: &PgExchange, lister: &SharedLister, fd: OwnedFd) -> io::Result<()> {
+    pub fn join(driver: &PgDriver, registry: &SharedEndpointRegistry, fd: OwnedFd) -> io::Result<()> {
         // The runtime has no type for packets in order; it only waits on this one, and never reads or writes it.
         let fd = Rc::new(UnixStream::from_std(fd.into())?);
         let heard = Rc::new(Notify::new());
-        let (woken, nudged, done) = (fd.clone(), exchange.clone(), heard.clone());
+        let (woken, nudged, done) = (fd.clone(), driver.clone(), heard.clone());
         let wakes = spawn_local(async move {
             while woken.readable().await.is_ok() {
-                nudged.nudge();
+                nudged.wake();
                 done.notified().await;
             }
         });
-        let (clock, lister, wakes) = (exchange.clock(), lister.clone(), wakes.abort_handle());
+        let (clock, registry, wakes) = (driver.clock(), registry.clone(), wakes.abort_handle());
         let (silent, buffer) = (Cell::new(false), RefCell::new(vec![0; WORD_MOST]));
-        exchange.join(Rc::new(Self { fd, heard, clock, lister, silent, buffer, wakes }));
+        driver.connect_peer(Rc::new(Self { fd, heard, clock, registry, silent, buffer, wakes }));
         Ok(())
     }
 
-    fn say(&self, said: &Said) {
+    fn say(&self, said: &PeerPacket) {
         let bytes = serde_json::to_vec(said).unwrap_or_default();
         let fits = !bytes.is_empty() && bytes.len() <= WORD_MOST;
         let sent = fits && send(self.fd.as_fd(), &bytes, SendFlags::DONTWAIT | SendFlags::NOSIGNAL).is_ok();
@@ -93,12 +96,14 @@
 
     fn word(&self, bytes: &[u8]) -> Option<PeerMessage> {
         match serde_json::from_slice(bytes).ok()? {
-            Said::Wrote { session, commit_ms } => {
-                let commit = self.clock.of_unix_ms(commit_ms).as_secs_f64();
+            PeerPacket::SessionWrite { session, commit_ms } => {
+                let commit = self.clock.from_unix_ms(commit_ms).as_secs_f64();
                 Some(PeerMessage::SessionWrite { session, commit })
             }
-            Said::Withdrawn { uid } => Some(PeerMessage::ServerWithdrawn(self.lister.borrow().number(&uid))),
-            Said::Over => {
+            PeerPacket::ServerWithdrawn { uid } => {
+                Some(PeerMessage::ServerWithdrawn(self.registry.borrow().server_id(&uid)))
+            }
+            PeerPacket::Closed => {
                 self.silent.set(true);
                 None
             }
@@ -106,27 +111,30 @@
     }
 }
 
-impl Twin for Channel {
-    fn tell(&self, word: &PeerMessage) {
+impl PeerLink for PeerChannel {
+    fn send(&self, word: &PeerMessage) {
         match word {
             PeerMessage::SessionWrite { session, commit } => {
                 let commit = std::time::Duration::try_from_secs_f64(*commit).unwrap_or_default();
-                self.say(&Said::Wrote { session: session.clone(), commit_ms: self.clock.unix_ms(commit) });
+                self.say(&PeerPacket::SessionWrite {
+                    session: session.clone(),
+                    commit_ms: self.clock.to_unix_ms(commit),
+                });
             }
             PeerMessage::ServerWithdrawn(server) => {
-                if let Some(uid) = self.lister.borrow().name(*server) {
-                    self.say(&Said::Withdrawn { uid: uid.to_owned() });
+                if let Some(uid) = self.registry.borrow().name(*server) {
+                    self.say(&PeerPacket::ServerWithdrawn { uid: uid.to_owned() });
                 }
             }
             PeerMessage::PeerUnreachable(_) | PeerMessage::ProcessPaused(_) => {} // it finds that out by itself
         }
     }
 
-    fn end(&self) {
-        self.say(&Said::Over);
+    fn close(&self) {
+        self.say(&PeerPacket::Closed);
     }
 
-    fn hear(&self) -> Vec<PeerMessage> {
+    fn receive(&self) -> Vec<PeerMessage> {
         let mut words = Vec::new();
         while !self.silent.get() {
             let mut buffer = self.buffer.borrow_mut();
@@ -155,7 +163,7 @@
     }
 }
 
-impl Drop for Channel {
+impl Drop for PeerChannel {
     fn drop(&mut self) {
         self.wakes.abort();
     }
--- a/src/net/twin/tests.rs
+++ b/src/net/hot_restart/peer_channel/tests.rs
@@ -1,26 +1,29 @@
 //! Recorded messages of the peer channel: the format that a predecessor and a successor of different builds share.
 
-use super::Said;
+use super::PeerPacket;
 
-const COMMIT: &[u8] = include_bytes!("../../../tests/fixtures/handover/peer_commit.json");
+const COMMIT: &[u8] = include_bytes!("../../../../tests/fixtures/handover/peer_commit.json");
 const WITHDRAWN: &[u8] = br#"{"withdrawn":{"uid":"store-b"}}"#;
 const END: &[u8] = br#""over""#;
 
-fn commit() -> Said {
-    Said::Wrote { session: "basket \"7\"\n\u{1} \u{e9}".to_owned(), commit_ms: 1_767_225_600_123.5 }
+fn commit() -> PeerPacket {
+    PeerPacket::SessionWrite {
+        session: "basket \"7\"\n\u{1} \u{e9}".to_owned(),
+        commit_ms: 1_767_225_600_123.5,
+    }
 }
 
-fn withdrawn() -> Said {
-    Said::Withdrawn { uid: "store-b".to_owned() }
+fn withdrawn() -> PeerPacket {
+    PeerPacket::ServerWithdrawn { uid: "store-b".to_owned() }
 }
 
-fn read(bytes: &[u8]) -> Option<Said> {
+fn read(bytes: &[u8]) -> Option<PeerPacket> {
     serde_json::from_slice(bytes).ok()
 }
 
 #[test]
 fn peer_messages_of_985872a_are_read_and_written_byte_for_byte() {
-    for (recorded, message) in [(COMMIT, commit()), (WITHDRAWN, withdrawn()), (END, Said::Over)] {
+    for (recorded, message) in [(COMMIT, commit()), (WITHDRAWN, withdrawn()), (END, PeerPacket::Closed)] {
         let written = serde_json::to_vec(&message).expect("it serialises");
         assert_eq!(String::from_utf8_lossy(&written), String::from_utf8_lossy(recorded));
         assert_eq!(read(recorded), Some(message));
@@ -29,7 +32,7 @@
 
 #[test]
 fn unknown_fields_of_a_peer_message_are_ignored() {
-    let commit = Said::Wrote { session: "a".to_owned(), commit_ms: 5.0 };
+    let commit = PeerPacket::SessionWrite { session: "a".to_owned(), commit_ms: 5.0 };
     assert_eq!(read(br#"{"wrote":{"later":[1],"commit_ms":5,"session":"a"}}"#), Some(commit));
     assert_eq!(read(br#"{"withdrawn":{"uid":"store-b","later":null}}"#), Some(withdrawn()));
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,18 +1,13 @@
-//! The proxy around the decision module: real sockets, one thread.
+//! The proxy around the routing engine: real sockets, one thread.
 //!
-//! Clients ([`clients`]) and data servers ([`servers`]) meet only in the [`exchange`], which asks the
-//! decision module what to do; [`inbound`] is what a client sends; [`discovery`] keeps the server list, [`ops`] answers the operators, and [`handover`]
-//! replaces the process, by means of [`parcel`] and, while there are two, [`twin`]. Nothing in here decides where a request goes, whether it goes
-//! again, or when it is refused.
+//! Clients ([`client`]) and data servers ([`server`]) meet only in the [`driver`], which asks the routing engine what to
+//! do. [`discovery`] keeps the endpoint list, [`admin`] answers operators, and [`hot_restart`] replaces the process.
 
+pub mod admin;
 pub mod buffers;
-pub mod clients;
+pub mod client;
 pub mod discovery;
-pub mod exchange;
-pub mod handover;
-pub mod inbound;
-pub mod ops;
-pub mod parcel;
-pub mod pg;
-pub mod servers;
-pub mod twin;
+pub mod driver;
+pub mod hot_restart;
+pub mod postgres;
+pub mod server;
--- a/src/net/servers.rs
+++ b/src/net/server/mod.rs
@@ -19,11 +19,11 @@
 use tokio::task::AbortHandle;
 use tokio::time::{timeout, timeout_at, Instant};
 
-use super::buffers::{write_all, Chain, Pool, Room};
-use super::exchange::{Clock, Ending, Exchange, Key, Order, Send};
-use super::pg;
 use crate::api::*;
 use crate::ewma::{Ewma, EwmaConfig};
+use crate::net::buffers::{write_all, BufferChain, BufferPool, BufferReservation};
+use crate::net::driver::{AttemptCommand, AttemptResult, Clock, Driver, ServerCommand};
+use crate::net::postgres;
 
 /// The user and database that data servers are asked for; they welcome any.
 const LOGIN: (&str, &str) = ("worker", "catalog");
@@ -58,12 +58,12 @@
 /// against peers, or machines on the way, that drop a connection much sooner than the settings say, and tell
 /// so by a reset when the query is on its way. Harms by handshakes where the resets had another cause.
 #[derive(Default)]
-pub struct Wear {
+pub struct ReuseStatistics {
     young: Ewma,
     old: [Ewma; AGES],
 }
 
-impl Wear {
+impl ReuseStatistics {
     fn age(stood: Duration) -> Option<usize> {
         let doublings = (stood.as_secs_f64() / YOUNG.as_secs_f64()).log2().floor();
         (doublings >= 0.0).then_some((doublings as usize).min(AGES - 1))
@@ -86,17 +86,17 @@
 /// A client's query on its way: the message as it came, and where its `d` stands.
 pub struct Query {
     /// The whole message, from its type to the zero byte that ends its text.
-    pub message: Chain,
+    pub message: BufferChain,
     /// Where in it the digits of `d` stand.
     pub wait_at: Range<usize>,
     /// The room that it takes, where one buffer does not hold it.
-    pub room: Option<Room>,
+    pub room: Option<BufferReservation>,
 }
 
 /// A value as a data server gave it: RowDescription, DataRow and CommandComplete, whole or, where it is large,
 /// as far as it had come when it began. What the server says of itself beside them stays here.
 pub struct Answer {
-    bytes: Chain,
+    bytes: BufferChain,
     messages: Vec<Range<usize>>,
     rest: Option<Rest>,
 }
@@ -104,7 +104,7 @@
 impl Answer {
     /// The bytes that are here, in the pieces they lie in.
     pub fn pieces(&self) -> impl Iterator<Item = &[u8]> {
-        self.messages.iter().flat_map(|at| self.bytes.pieces(at.clone()))
+        self.messages.iter().flat_map(|at| self.bytes.slices(at.clone()))
     }
 
     /// Whether there is more to come.
@@ -119,7 +119,7 @@
     }
 
     /// The next bytes of a large value as they come; none at its end. What fails here leaves the value spoilt.
-    pub async fn more(&mut self) -> io::Result<Option<Chain>> {
+    pub async fn more(&mut self) -> io::Result<Option<BufferChain>> {
         match &mut self.rest {
             Some(rest) => {
                 let piece = rest.next().await?;
@@ -136,7 +136,7 @@
 /// What is still to come of a large value, on the connection that it comes on. It is read as fast as the client
 /// takes it, and no faster, so that few buffers do.
 struct Rest {
-    side: Rc<Side>,
+    side: Rc<ServerPool>,
     server: ServerId,
     connection: Connection,
     /// Bytes of the row that have not come.
@@ -148,7 +148,7 @@
 }
 
 impl Rest {
-    async fn next(&mut self) -> io::Result<Option<Chain>> {
+    async fn next(&mut self) -> io::Result<Option<BufferChain>> {
         while !self.complete {
             if self.left == 0 {
                 self.reply.take_in()?;
@@ -157,17 +157,17 @@
                 }
                 if let Some(at) = self.reply.value.get(2) {
                     let mut tag = self.side.pool.chain();
-                    self.reply.bytes.pieces(at.clone()).for_each(|piece| tag.extend(piece));
+                    self.reply.bytes.slices(at.clone()).for_each(|piece| tag.extend(piece));
                     self.complete = true;
                     return Ok(Some(tag));
                 }
             }
             let (stream, bytes) = (&self.connection.stream, &mut self.reply.bytes);
-            if timeout(SILENT_MOST, bytes.fill(stream)).await?? == 0 {
+            if timeout(SILENT_MOST, bytes.read_from(stream)).await?? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
             if self.left > 0 {
-                while bytes.len() < PIECE && bytes.fill_now(stream).is_ok_and(|n| n > 0) {}
+                while bytes.len() < PIECE && bytes.try_read_from(stream).is_ok_and(|n| n > 0) {}
                 let piece = bytes.split_to(bytes.len().min(self.left));
                 self.left -= piece.len();
                 return Ok(Some(piece));
@@ -181,7 +181,7 @@
         tokio::task::spawn_local(async move {
             let end = async {
                 while !self.reply.take_in()? {
-                    if self.reply.bytes.fill(&self.connection.stream).await? == 0 {
+                    if self.reply.bytes.read_from(&self.connection.stream).await? == 0 {
                         return Err(io::ErrorKind::UnexpectedEof.into());
                     }
                 }
@@ -189,7 +189,7 @@
             };
             if timeout(GOES_ON_WITHIN, end).await.is_ok_and(|end| end.is_ok()) {
                 let Self { side, server, connection, reply, .. } = self;
-                side.exchange.told(server, reply.note(side.exchange.clock()));
+                side.driver.status_reported(server, reply.note(side.driver.clock()));
                 if reply.reusable() {
                     side.give_back(server, connection);
                 }
@@ -199,32 +199,32 @@
 }
 
 /// The exchange as both sides of this protocol use it.
-pub type PgExchange = Exchange<Query, Answer>;
+pub type PgDriver = Driver<Query, Answer>;
 
 /// What the side of the data servers is set up with.
 #[derive(Debug, Clone)]
-pub struct Options {
+pub struct ServerOptions {
     /// Sockets to data servers at the most.
-    pub sockets: usize,
+    pub max_sockets: usize,
     /// Time within which a connection must be up.
     pub connect_timeout: Duration,
     /// Idle time after which data servers close a connection; zero for never.
-    pub conn_idle: Duration,
+    pub max_idle: Duration,
     /// Whether load reports are to be had by probes.
     pub probe_reports: bool,
     /// Time within which what was decided on must begin; none where the settings bound nothing.
-    pub begun_within: Option<Duration>,
+    pub start_timeout: Option<Duration>,
 }
 
-impl Options {
+impl ServerOptions {
     /// What the settings say, with a budget of sockets.
     pub fn new(settings: &Settings, conn_idle: Duration, sockets: usize) -> Self {
         Self {
-            sockets,
+            max_sockets: sockets,
             connect_timeout: settings.limits.connect_timeout,
-            conn_idle: conn_idle.mul_f64(IDLE_SHARE),
+            max_idle: conn_idle.mul_f64(IDLE_SHARE),
             probe_reports: settings.load_reports == LoadReports::OnHealthCheck,
-            begun_within: Some(settings.rules.drain_grace_period.mul_f64(BEGUN_SHARE))
+            start_timeout: Some(settings.rules.drain_grace_period.mul_f64(BEGUN_SHARE))
                 .filter(|at| !at.is_zero()),
         }
     }
@@ -250,34 +250,34 @@
     Written,
 }
 
-struct Side {
-    exchange: PgExchange,
-    options: RefCell<Options>,
-    pool: Pool,
+struct ServerPool {
+    driver: PgDriver,
+    options: RefCell<ServerOptions>,
+    pool: BufferPool,
     addresses: RefCell<HashMap<ServerId, SocketAddr>>,
     idle: RefCell<HashMap<ServerId, Vec<Connection>>>,
     sockets: Arc<Semaphore>,
     /// How many wait for a socket.
     waiting: Cell<usize>,
-    wear: RefCell<Wear>,
+    wear: RefCell<ReuseStatistics>,
     /// Sockets that clients leave to this side, the part of them that is not another process's, and the places
     /// that are given up so as to keep to that.
     left: Cell<usize>,
     part: Cell<f64>,
     given_up: RefCell<Vec<OwnedSemaphorePermit>>,
-    attempts: RefCell<HashMap<Key, AbortHandle>>,
+    attempts: RefCell<HashMap<AttemptId, AbortHandle>>,
 }
 
 /// Carries out orders until the exchange is gone. Must run inside a [`tokio::task::LocalSet`].
 pub async fn run(
-    exchange: PgExchange,
-    mut orders: UnboundedReceiver<Order<Query>>,
-    options: Options,
-    pool: Pool,
+    driver: PgDriver,
+    mut orders: UnboundedReceiver<ServerCommand<Query>>,
+    options: ServerOptions,
+    pool: BufferPool,
 ) {
-    let sockets = Arc::new(Semaphore::new(options.sockets));
-    let side = Rc::new(Side {
-        exchange,
+    let sockets = Arc::new(Semaphore::new(options.max_sockets));
+    let side = Rc::new(ServerPool {
+        driver,
         options: RefCell::new(options),
         pool,
         addresses: RefCell::default(),
@@ -302,53 +302,53 @@
     }
 }
 
-impl Side {
-    fn carry_out(self: &Rc<Self>, order: Order<Query>) {
+impl ServerPool {
+    fn carry_out(self: &Rc<Self>, order: ServerCommand<Query>) {
         self.settle();
         match order {
-            Order::Send(send) => {
-                let (side, key) = (self.clone(), send.key);
+            ServerCommand::Attempt(send) => {
+                let (side, key) = (self.clone(), send.id);
                 let task = tokio::task::spawn_local(async move {
                     let ending = side.attempt(&send).await;
                     side.attempts.borrow_mut().remove(&key);
-                    side.exchange.ended(key, ending);
+                    side.driver.attempt_ended(key, ending);
                 });
                 self.attempts.borrow_mut().insert(key, task.abort_handle());
             }
             // Ends the task, and with it the connection: the data server sees that nobody waits.
-            Order::Cancel(key) => {
+            ServerCommand::Cancel(key) => {
                 if let Some(task) = self.attempts.borrow_mut().remove(&key) {
                     task.abort();
                 }
             }
-            Order::Probe(server) => {
+            ServerCommand::HealthCheck(server) => {
                 let side = self.clone();
                 tokio::task::spawn_local(async move {
                     let (ok, report) = side.probe(server).await;
-                    side.exchange.probed(server, ok, report);
+                    side.driver.health_checked(server, ok, report);
                 });
             }
-            Order::Close(server) => {
+            ServerCommand::CloseIdle(server) => {
                 self.idle.borrow_mut().remove(&server);
             }
-            Order::Address(server, address) => {
+            ServerCommand::SetAddress(server, address) => {
                 if self.addresses.borrow_mut().insert(server, address).is_some_and(|old| old != address) {
                     self.idle.borrow_mut().remove(&server);
                 }
             }
-            Order::Retune(settings, conn_idle) => {
-                let sockets = self.options.borrow().sockets;
-                self.options.replace(Options::new(&settings, conn_idle, sockets));
+            ServerCommand::Reconfigure(settings, conn_idle) => {
+                let sockets = self.options.borrow().max_sockets;
+                self.options.replace(ServerOptions::new(&settings, conn_idle, sockets));
             }
-            Order::Sockets(left) => {
+            ServerCommand::SetSocketLimit(left) => {
                 self.left.set(left);
                 self.settle();
             }
-            Order::Share(part) => {
+            ServerCommand::SetShare(part) => {
                 self.part.set(part);
                 self.settle();
             }
-            Order::Forget(server) => {
+            ServerCommand::Forget(server) => {
                 self.addresses.borrow_mut().remove(&server);
                 self.idle.borrow_mut().remove(&server);
             }
@@ -358,7 +358,7 @@
     /// Gives up places until as many are left as this side may use. Idle connections go first; what is in use goes
     /// as it gets free.
     fn settle(&self) {
-        let most = self.options.borrow().sockets;
+        let most = self.options.borrow().max_sockets;
         let left = (self.left.get().min(most) as f64 * self.part.get()) as usize;
         let mut given_up = self.given_up.borrow_mut();
         given_up.truncate(most - left);
@@ -388,7 +388,7 @@
 
     fn is_fresh(&self, connection: &Connection) -> bool {
         let stood = connection.idle_since.elapsed();
-        let most = self.options.borrow().conn_idle;
+        let most = self.options.borrow().max_idle;
         (most.is_zero() || stood < most)
             && self.wear.borrow().most(self.now()).is_none_or(|most| stood < most)
     }
@@ -399,16 +399,16 @@
 
     /// When what is decided on now must have begun, where the settings bound that.
     fn begun_by(&self) -> Option<Instant> {
-        self.options.borrow().begun_within.map(|within| Instant::now() + within)
+        self.options.borrow().start_timeout.map(|within| Instant::now() + within)
     }
 
     fn now(&self) -> f64 {
-        self.exchange.clock().now().as_secs_f64()
+        self.driver.clock().now().as_secs_f64()
     }
 
-    async fn attempt(self: &Rc<Self>, send: &Send<Query>) -> Ending<Answer> {
+    async fn attempt(self: &Rc<Self>, send: &AttemptCommand<Query>) -> AttemptResult<Answer> {
         let stage = Cell::new(Stage::Waits);
-        let outcome = match timeout_at(send.until, self.converse(send, &stage)).await {
+        let outcome = match timeout_at(send.give_up_at, self.converse(send, &stage)).await {
             Ok(Ok(ending)) => return ending,
             Ok(Err(e)) => {
                 log::debug!("attempt at server {}: {e}", send.server.0);
@@ -425,27 +425,27 @@
                 Stage::Waits => Outcome::NotSent,
             },
         };
-        Ending::without_answer(outcome)
+        AttemptResult::without_answer(outcome)
     }
 
     async fn converse(
         self: &Rc<Self>,
-        send: &Send<Query>,
+        send: &AttemptCommand<Query>,
         stage: &Cell<Stage>,
-    ) -> io::Result<Ending<Answer>> {
+    ) -> io::Result<AttemptResult<Answer>> {
         let begun_by = self.begun_by();
         let connection = match self.checkout(send.server, stage).await? {
             Checkout::Ready(connection) => connection,
-            Checkout::Rejected(outcome) => return Ok(Ending::without_answer(outcome)),
+            Checkout::Rejected(outcome) => return Ok(AttemptResult::without_answer(outcome)),
         };
         // A bound on age counts from the send, and so does a drain. A connection may have taken long to come up:
         // then the attempt goes back unsent, and is decided on again with what is known by now.
         let stale = begun_by.into_iter().chain(send.fresh_until).any(|until| Instant::now() >= until);
-        if stale || !self.exchange.may_write(send.key, send.server) {
+        if stale || !self.driver.may_write(send.id, send.server) {
             self.give_back(send.server, connection);
-            return Ok(Ending::without_answer(Outcome::NotSent));
+            return Ok(AttemptResult::without_answer(Outcome::NotSent));
         }
-        let left = send.until.saturating_duration_since(Instant::now());
+        let left = send.give_up_at.saturating_duration_since(Instant::now());
         let stood = connection.idle_since.elapsed();
         let asked = async {
             send_query(&connection.stream, &send.query, left).await?;
@@ -462,7 +462,7 @@
         if reply.reusable() {
             self.give_back(send.server, connection);
         }
-        Ok(reply.ending(self.exchange.clock()))
+        Ok(reply.ending(self.driver.clock()))
     }
 
     /// A large value has begun: it is its request's answer, whatever becomes of the rest.
@@ -472,13 +472,13 @@
         left: usize,
         server: ServerId,
         connection: Connection,
-    ) -> Ending<Answer> {
+    ) -> AttemptResult<Answer> {
         let mut rest = Reply::new(self.pool.chain(), Asked::Statement);
         rest.value = vec![0..0; 2];
         let Reply { bytes, value: messages, .. } = reply;
         let rest = Rest { side: self.clone(), server, connection, left, reply: rest, complete: false };
         let answer = Some(Answer { bytes, messages, rest: Some(rest) });
-        Ending { answer, ..Ending::without_answer(Outcome::Success) }
+        AttemptResult { response: answer, ..AttemptResult::without_answer(Outcome::Success) }
     }
 
     async fn probe(&self, server: ServerId) -> (bool, Option<LoadReport>) {
@@ -487,10 +487,10 @@
             let Checkout::Ready(connection) = self.checkout(server, &Cell::new(Stage::Waits)).await? else {
                 return Err(io::ErrorKind::ConnectionRefused.into());
             };
-            if !self.exchange.takes_new(server) {
+            if !self.driver.accepts_attempts(server) {
                 return Err(io::ErrorKind::NotConnected.into());
             }
-            write_all(&connection.stream, &mut [IoSlice::new(&pg::simple_query(text))]).await?;
+            write_all(&connection.stream, &mut [IoSlice::new(&postgres::simple_query(text))]).await?;
             let reply = self.reply(&connection.stream, Asked::Statement).await?;
             if reply.reusable() {
                 self.give_back(server, connection);
@@ -501,7 +501,7 @@
         let connected_by = self.connected_by();
         let until = self.begun_by().map_or(connected_by, |by| by.min(connected_by));
         match timeout_at(until, ask).await {
-            Ok(Ok(reply)) => (reply.served(), reply.probe_report(self.exchange.clock())),
+            Ok(Ok(reply)) => (reply.served(), reply.probe_report(self.driver.clock())),
             // What can't be read came from a server that is up.
             Ok(Err(e)) => (e.kind() == io::ErrorKind::InvalidData, None),
             Err(_) => (false, None),
@@ -514,7 +514,8 @@
             let Some(connection) = self.idle.borrow_mut().get_mut(&server).and_then(Vec::pop) else { break };
             // Whatever can be read on an idle connection, its end included, makes it useless.
             let quiet = |e: io::Error| e.kind() == io::ErrorKind::WouldBlock;
-            if self.is_fresh(&connection) && self.pool.chain().fill_now(&connection.stream).is_err_and(quiet)
+            if self.is_fresh(&connection)
+                && self.pool.chain().try_read_from(&connection.stream).is_err_and(quiet)
             {
                 stage.set(Stage::Connects);
                 return Ok(Checkout::Ready(connection));
@@ -546,7 +547,7 @@
     async fn connect(&self, address: SocketAddr, place: OwnedSemaphorePermit) -> io::Result<Checkout> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let hello = pg::startup_packet(LOGIN.0, LOGIN.1);
+        let hello = postgres::startup_packet(LOGIN.0, LOGIN.1);
         write_all(&stream, &mut [IoSlice::new(&hello)]).await?;
         let reply = self.reply(&stream, Asked::Welcome).await?;
         Ok(match reply.code {
@@ -574,7 +575,7 @@
                 return Ok(reply);
             }
             let begun = !reply.bytes.is_empty();
-            let fill = reply.bytes.fill(stream);
+            let fill = reply.bytes.read_from(stream);
             let read = if begun {
                 // Guards against an answer whose length does not fit and whose end never comes.
                 timeout(GOES_ON_WITHIN, fill)
@@ -618,11 +619,11 @@
     let (message, length) = (&query.message, query.message.len());
     let wait = left.as_millis().max(1).to_string();
     let at = query.wait_at.clone();
-    let header = pg::query_header(length - at.len() + wait.len());
+    let header = postgres::query_header(length - at.len() + wait.len());
     let mut pieces = vec![IoSlice::new(&header)];
-    pieces.extend(message.pieces(header.len()..at.start).map(IoSlice::new));
+    pieces.extend(message.slices(header.len()..at.start).map(IoSlice::new));
     pieces.push(IoSlice::new(wait.as_bytes()));
-    pieces.extend(message.pieces(at.end..length).map(IoSlice::new));
+    pieces.extend(message.slices(at.end..length).map(IoSlice::new));
     write_all(stream, &mut pieces).await
 }
 
@@ -637,7 +638,7 @@
 /// it may be another answer's middle, or noise.
 struct Reply {
     asked: Asked,
-    bytes: Chain,
+    bytes: BufferChain,
     /// Where the next message starts.
     at: usize,
     scratch: Vec<u8>,
@@ -654,7 +655,7 @@
 }
 
 impl Reply {
-    fn new(bytes: Chain, asked: Asked) -> Self {
+    fn new(bytes: BufferChain, asked: Asked) -> Self {
         Self {
             asked,
             bytes,
@@ -674,9 +675,9 @@
     /// Takes in the messages that are whole; says whether the last one was ReadyForQuery.
     fn take_in(&mut self) -> io::Result<bool> {
         while let Some(header) = self.bytes.array(self.at) {
-            let (kind, length) = pg::header(header).ok_or(io::ErrorKind::InvalidData)?;
+            let (kind, length) = postgres::header(header).ok_or(io::ErrorKind::InvalidData)?;
             let end = self.at.saturating_add(length);
-            if !pg::may_be(kind, length) || end > pg::ANSWER_MOST {
+            if !postgres::may_be(kind, length) || end > postgres::ANSWER_MOST {
                 return Err(io::ErrorKind::InvalidData.into());
             }
             if end > self.bytes.len() {
@@ -724,13 +725,13 @@
                 first && body == [0; 4]
             }
             (b'K', _) => !statement && open && self.welcomed,
-            (b'T', 0) => statement && open && pg::describes_one_column(body),
-            (b'D', 1) => open && pg::only_column(body).is_some(),
-            (b'C', 2) => open && pg::is_tag(body),
+            (b'T', 0) => statement && open && postgres::describes_one_column(body),
+            (b'D', 1) => open && postgres::only_column(body).is_some(),
+            (b'C', 2) => open && postgres::is_tag(body),
             (b'E', 0..3) => {
                 // What fails after its row has begun has run, whatever the code says.
                 let code =
-                    pg::sqlstate(body).map(|code| if self.value.is_empty() { code } else { *b"XX000" });
+                    postgres::sqlstate(body).map(|code| if self.value.is_empty() { code } else { *b"XX000" });
                 return (open && code.is_some()).then(|| self.code = code);
             }
             (b'Z', values) => {
@@ -749,7 +750,7 @@
     fn parameter(&mut self) -> Option<()> {
         // An unreadable load report spoils nothing else.
         let is_report = self.scratch.starts_with(b"stats\0");
-        let Some((name, value)) = pg::parameter(&self.scratch) else { return is_report.then_some(()) };
+        let Some((name, value)) = postgres::parameter(&self.scratch) else { return is_report.then_some(()) };
         match (name, value) {
             ("mode", "read-write") => self.primary = Some(true),
             ("mode", "read-only") => self.primary = Some(false),
@@ -776,7 +777,7 @@
     }
 
     /// What it means for the attempt.
-    fn ending(self, clock: Clock) -> Ending<Answer> {
+    fn ending(self, clock: Clock) -> AttemptResult<Answer> {
         let outcome = match self.code.as_ref() {
             None if self.served() => Outcome::Success,
             Some(b"25006" | b"72000") => Outcome::Misdirected,
@@ -787,7 +788,7 @@
         let report = self.stats.as_deref().map(|text| report(text, clock));
         let value = Some(self.value).filter(|value| value.len() == 3 && outcome == Outcome::Success);
         let answer = value.map(|messages| Answer { bytes: self.bytes, messages, rest: None });
-        Ending { outcome, note, report, answer }
+        AttemptResult { outcome, status: note, load_report: report, response: answer }
     }
 
     /// What it says of its server.
@@ -801,19 +802,19 @@
         let mut row = Vec::new();
         let at = self.value.get(1)?;
         self.bytes.copy(at.start + 5..at.end, &mut row);
-        let text = std::str::from_utf8(pg::only_column(&row)?).ok()?;
+        let text = std::str::from_utf8(postgres::only_column(&row)?).ok()?;
         text.contains('=').then(|| report(text, clock))
     }
 }
 
 /// A position on the clock. One from the future would let data of any age pass for fresh from then on.
 fn position(ms: f64, clock: Clock) -> Option<Duration> {
-    Some(clock.of_unix_ms(ms)).filter(|at| *at <= clock.now() + AHEAD_MOST)
+    Some(clock.from_unix_ms(ms)).filter(|at| *at <= clock.now() + AHEAD_MOST)
 }
 
 fn report(text: &str, clock: Clock) -> LoadReport {
     let mut report = LoadReport::default();
-    for (name, value) in pg::load_report(text) {
+    for (name, value) in postgres::load_report(text) {
         match name {
             "x0" => report.position = position(value * 1e3 - REPORT_ROUNDED, clock),
             "x1" => report.primary = Some(value == 1.0),
--- a/src/operators.rs
+++ b/src/operator_settings.rs
@@ -11,7 +11,7 @@
 
 /// What the operators have set.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Operators {
+pub struct OperatorSettings {
     /// `(failover ...)`: changes of primary.
     pub failover: FailoverSettings,
 }
@@ -19,7 +19,7 @@
 /// Faults of a file, each with its line and column and with what was expected there.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{}", .0.join("\n"))]
-pub struct Faults(Vec<String>);
+pub struct OperatorSettingsError(Vec<String>);
 
 /// Where faults are collected.
 struct Notes<'n> {
@@ -67,7 +67,7 @@
     (start.line(), start.column() + 1)
 }
 
-impl Operators {
+impl OperatorSettings {
     /// Reads a file; none is as good as an empty one.
     pub fn load(path: Option<&Path>) -> Result<Self, String> {
         let Some(path) = path else { return Ok(Self::default()) };
@@ -77,7 +77,7 @@
     }
 
     /// Reads a text; faults are told under `name`.
-    pub fn read(name: &str, text: &str) -> Result<Self, Faults> {
+    pub fn read(name: &str, text: &str) -> Result<Self, OperatorSettingsError> {
         let mut notes = Notes { name, faults: Vec::new() };
         let mut operators = Self::default();
         let mut seen: Vec<String> = Vec::new();
@@ -106,7 +106,7 @@
         if notes.faults.is_empty() {
             Ok(operators)
         } else {
-            Err(Faults(notes.faults))
+            Err(OperatorSettingsError(notes.faults))
         }
     }
 }
@@ -157,8 +157,8 @@
     #[test]
     fn the_file_in_deploy_is_what_counts_without_one() {
         let text = include_str!("../deploy/operators.lisp");
-        assert_eq!(Operators::read("operators.lisp", text), Ok(Operators::default()));
-        assert_eq!(Operators::read("empty", "; nothing"), Ok(Operators::default()));
+        assert_eq!(OperatorSettings::read("operators.lisp", text), Ok(OperatorSettings::default()));
+        assert_eq!(OperatorSettings::read("empty", "; nothing"), Ok(OperatorSettings::default()));
     }
 
     #[test]
@@ -170,7 +170,7 @@
             min_late_recovery_chance: 0.25,
             ..FailoverSettings::default()
         };
-        assert_eq!(Operators::read("f", text), Ok(Operators { failover: expected }));
+        assert_eq!(OperatorSettings::read("f", text), Ok(OperatorSettings { failover: expected }));
     }
 
     #[rstest::rstest]
@@ -186,14 +186,14 @@
     #[case::half("(failover (hold-bytes 0.5))", "f:1:11: expected a whole number of 1 or more")]
     #[case::no_share("(failover (hold-over 1.5))", "f:1:11: expected a share from 0 to 1 for hold-over")]
     fn a_fault_is_told_with_its_place_and_what_was_expected(#[case] text: &str, #[case] says: &str) {
-        let faults = Operators::read("f", text).expect_err("a fault").to_string();
+        let faults = OperatorSettings::read("f", text).expect_err("a fault").to_string();
         assert!(faults.starts_with(says), "{faults}");
     }
 
     #[test]
     fn all_faults_are_told_at_once() {
         let text = "(failover (patience 0)\n (hold-share 2))\n(other)";
-        let faults = Operators::read("f", text).expect_err("faults").to_string();
+        let faults = OperatorSettings::read("f", text).expect_err("faults").to_string();
         assert_eq!(faults.lines().count(), 3, "{faults}");
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -17,19 +17,19 @@
 /// Settings that can't be read; says in a sentence what is wrong.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-pub struct Malformed(String);
+pub struct ConfigError(String);
 
-impl From<String> for Malformed {
+impl From<String> for ConfigError {
     fn from(what: String) -> Self {
         Self(what)
     }
 }
 
-type Parsed<T> = Result<T, Malformed>;
+type Parsed<T> = Result<T, ConfigError>;
 
 /// Names as indices. Those of the settings come first; a list may bring more zones and kinds.
 #[derive(Debug, Clone)]
-pub struct Names {
+pub struct NameTable {
     classes: Vec<String>,
     tenants: Vec<String>,
     zones: Vec<String>,
@@ -38,20 +38,20 @@
 
 /// What the settings say of the ways to clients and servers, which the decisions don't need.
 #[derive(Debug, Clone)]
-pub struct Env {
+pub struct ConnectionSettings {
     /// Its names.
-    pub names: Names,
+    pub names: NameTable,
     /// Clock time in milliseconds from which the simulator's positions count.
     pub zero_ms: f64,
     /// Whether every answer carries a position.
-    pub positions: bool,
+    pub responses_carry_position: bool,
     /// The values of a load report, in order.
-    pub columns: Vec<String>,
+    pub load_report_columns: Vec<String>,
     /// Servers close a connection that has stood idle for so long.
-    pub conn_idle: Duration,
+    pub server_idle_timeout: Duration,
 }
 
-impl Names {
+impl NameTable {
     fn of(env: &Value) -> Parsed<Self> {
         let list = |key: &str, inner: Option<&str>| -> Parsed<Vec<String>> {
             let items = env.get(key).and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
@@ -196,8 +196,8 @@
 }
 
 /// The settings in a JSON object. Keys that are not known are ignored.
-pub fn read(object: &Value) -> Parsed<(Settings, Env)> {
-    let mut names = Names::of(object)?;
+pub fn read(object: &Value) -> Parsed<(Settings, ConnectionSettings)> {
+    let mut names = NameTable::of(object)?;
     let top = Object(object);
     let (domain, limits, contract, prices) =
         (top.sub("Domain"), top.sub("Limits"), top.sub("Contract"), top.sub("Prices"));
@@ -271,12 +271,12 @@
         failover: FailoverSettings::default(),
     };
     let columns = report.list("Columns").iter().filter_map(Value::as_str).map(str::to_owned).collect();
-    let env = Env {
+    let env = ConnectionSettings {
         names,
         zero_ms: domain.num("ZeroMs", 0.0)?,
-        positions: settings.responses_carry_position,
-        columns,
-        conn_idle: limits.time("ConnIdleMs")?,
+        responses_carry_position: settings.responses_carry_position,
+        load_report_columns: columns,
+        server_idle_timeout: limits.time("ConnIdleMs")?,
     };
     Ok((settings, env))
 }
@@ -284,14 +284,14 @@
 /// What one proxy runs within.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(default)]
-pub struct Bounds {
+pub struct ResourceLimits {
     /// Memory in megabytes.
     pub memory_mb: u64,
     /// Open file descriptors.
     pub sockets: usize,
 }
 
-impl Default for Bounds {
+impl Default for ResourceLimits {
     fn default() -> Self {
         Self { memory_mb: 192, sockets: 1024 }
     }
@@ -314,17 +314,17 @@
     pub seed: String,
     /// What it runs within.
     #[serde(default)]
-    pub limits: Bounds,
+    pub limits: ResourceLimits,
     /// The server list as an earlier run had it, in discovery's form.
     #[serde(default)]
-    pub known: Option<crate::listing::Listing>,
+    pub known: Option<crate::endpoint_list::EndpointList>,
     settings: Value,
 }
 
 impl Config {
     /// Reads the text of a configuration file that takes the place of this one. Guards against half a file: no
     /// key that this one has may be missing, but for what only a start needs.
-    pub fn reread(&self, text: &str) -> Parsed<(Self, Settings, Env)> {
+    pub fn read_replacement(&self, text: &str) -> Parsed<(Self, Settings, ConnectionSettings)> {
         let object: Value = serde_json::from_str(text).map_err(|e| format!("not a configuration: {e}"))?;
         for key in ["name", "limits"] {
             object.get(key).ok_or_else(|| format!("{key} is missing"))?;
@@ -337,13 +337,13 @@
     }
 
     /// Reads the text of a configuration file, its settings included.
-    pub fn read(text: &str) -> Parsed<(Self, Settings, Env)> {
+    pub fn read(text: &str) -> Parsed<(Self, Settings, ConnectionSettings)> {
         let config: Self = serde_json::from_str(text).map_err(|e| format!("not a configuration: {e}"))?;
         let (settings, env) = read(&config.settings)?;
         settings.validate().map_err(|e| e.to_string())?;
         config.seed()?;
-        if config.limits.sockets < SOCKETS_LEAST {
-            return Err(format!("limits.sockets is under {SOCKETS_LEAST}").into());
+        if config.limits.sockets < MIN_SOCKETS {
+            return Err(format!("limits.sockets is under {MIN_SOCKETS}").into());
         }
         Ok((config, settings, env))
     }
@@ -377,4 +377,4 @@
 }
 
 /// Descriptors without which a proxy can't do anything useful.
-pub const SOCKETS_LEAST: usize = 64;
+pub const MIN_SOCKETS: usize = 64;
--- a/peers/src/bin/failover-trial.rs
+++ b/testkit/src/bin/failover-trial.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use clap::Parser;
-use pipittack_peers::trial::{play, Kind, Plan, Report};
+use pipittack_testkit::trial::{play, Kind, Plan, Report};
 
 /// Play changes of primary under load, and count what became of every write
 #[derive(Parser)]
--- a/peers/src/bin/fleet-trial.rs
+++ b/testkit/src/bin/fleet-trial.rs
@@ -4,11 +4,11 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use pipittack_peers::fleet::live::{self, Place};
-use pipittack_peers::fleet::plan::Plan;
-use pipittack_peers::fleet::report::Report;
-use pipittack_peers::fleet::scenario;
-use pipittack_peers::fleet::stepper::Stepper;
+use pipittack_testkit::fleet::live::{self, Place};
+use pipittack_testkit::fleet::plan::Plan;
+use pipittack_testkit::fleet::report::Report;
+use pipittack_testkit::fleet::scenario;
+use pipittack_testkit::fleet::stepper::Stepper;
 use serde_json::json;
 
 /// Play a scenario against a fleet
--- a/peers/src/fleet/live/clients.rs
+++ b/testkit/src/fleet/live/clients.rs
@@ -149,7 +149,7 @@
         let class = &world.plan.settings.classes[wish.class.0];
         let brought = world.plan.settings.session_tokens == SessionTokens::FromClient;
         let mark = wish.mark.filter(|_| brought && class.consistency == Consistency::Causal);
-        let after = mark.map_or(String::new(), |mark| format!(",after={:.0}", clock.unix_ms(mark).ceil()));
+        let after = mark.map_or(String::new(), |mark| format!(",after={:.0}", clock.to_unix_ms(mark).ceil()));
         let left = ((wish.until - clock.now()) * 1e3).max(1.0);
         let retry = if wish.tries > 1 { ",r=1" } else { "" };
         let (name, set, key) = (class_name(wish.class), wish.set, wish.session);
--- a/peers/src/fleet/live/mod.rs
+++ b/testkit/src/fleet/live/mod.rs
@@ -99,7 +99,7 @@
         START + self.start.elapsed().as_secs_f64()
     }
 
-    fn unix_ms(&self, at: f64) -> f64 {
+    fn to_unix_ms(self, at: f64) -> f64 {
         self.zero_unix_ms + at * 1e3
     }
 
--- a/peers/src/fleet/live/servers.rs
+++ b/testkit/src/fleet/live/servers.rs
@@ -335,7 +335,7 @@
         shared.with(|world| {
             world.report.ended(outcome);
             let note = note.unwrap_or_else(|| world.site.note(server, world.clock.now()));
-            let position_unix_ms = note.position.map(|at| world.clock.unix_ms(at.as_secs_f64()));
+            let position_unix_ms = note.position.map(|at| world.clock.to_unix_ms(at.as_secs_f64()));
             Some(Said { body, note, position_unix_ms, attempt: Some((id, outcome)) })
         })
     };
@@ -433,7 +433,7 @@
         let report = world.site.report(server, age, clock.now());
         match report.filter(|_| wants_report) {
             Some(report) => {
-                let position = report.position.map_or(0.0, |at| clock.unix_ms(at.as_secs_f64()) / 1e3);
+                let position = report.position.map_or(0.0, |at| clock.to_unix_ms(at.as_secs_f64()) / 1e3);
                 let primary = u8::from(report.primary == Some(true));
                 row(format!("x0={position:.3},x1={primary}").as_bytes())
             }
--- a/peers/src/fleet/live/service.rs
+++ b/testkit/src/fleet/live/service.rs
@@ -121,7 +121,7 @@
 /// A listing in the words of the protocol, as one proxy gets it.
 pub fn listing(world: &super::World, proxy: usize, entries: &[Endpoint], all: bool, version: usize) -> Value {
     let roles = world.plan.settings.listed_role != ListedRole::Absent;
-    let unix_ms = |at| world.clock.unix_ms(at);
+    let unix_ms = |at| world.clock.to_unix_ms(at);
     let nowhere = std::net::SocketAddr::from(([127, 0, 0, 1], 9));
     let endpoint =
         |entry: &Endpoint| world.endpoints.get(&(proxy, entry.server.0 as usize)).copied().unwrap_or(nowhere);
--- a/peers/tests/rules.rs
+++ b/testkit/tests/rules.rs
@@ -5,13 +5,13 @@
 
 use pipittack_core::api::FailoverSettings;
 use pipittack_core::api::*;
-use pipittack_peers::fleet::copies;
-use pipittack_peers::fleet::directory::Service;
-use pipittack_peers::fleet::links::Fault;
-use pipittack_peers::fleet::load::{Habits, Kind};
-use pipittack_peers::fleet::machine::{State, Traits};
-use pipittack_peers::fleet::plan::{End, Pick, Plan, Remembered, Trouble};
-use pipittack_peers::fleet::stepper::Stepper;
+use pipittack_testkit::fleet::copies;
+use pipittack_testkit::fleet::directory::Service;
+use pipittack_testkit::fleet::links::Fault;
+use pipittack_testkit::fleet::load::{Habits, Kind};
+use pipittack_testkit::fleet::machine::{State, Traits};
+use pipittack_testkit::fleet::plan::{End, Pick, Plan, Remembered, Trouble};
+use pipittack_testkit::fleet::stepper::Stepper;
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
 
--- a/peers/tests/set.rs
+++ b/testkit/tests/set.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use pipittack_peers::check::check;
-use pipittack_peers::client::{Answer, Ask, Client, Outcome};
-use pipittack_peers::set::{Habits, Mode, ReplicatedSet, Role};
+use pipittack_testkit::check::check;
+use pipittack_testkit::client::{Answer, Ask, Client, Outcome};
+use pipittack_testkit::set::{Habits, Mode, ReplicatedSet, Role};
 
 const HABITS: Habits =
     Habits { sync: true, cores: 5, work: Duration::from_millis(1), ship: Duration::from_millis(1) };
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -13,7 +13,7 @@
 "Report":{"Columns":["x0","x1"],"How":"piggyback"},"TickMs":5,"Zone":"north","Zones":["north"],"NewKey":[1]}"#;
 
 fn run(lines: &[String]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_pipittack-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
