--- a/tests/exchange.rs
+++ b/tests/driver.rs
@@ -5,75 +5,85 @@
 
 use common::*;
 use pipittack::api::*;
-use pipittack::net::buffers::Pool;
-use pipittack::net::exchange::{Call, Clock, Ending, Exchange, Final, Key, Order, Parts, Send};
-use pipittack::net::servers::{self, Options, Query, Wear};
-use pipittack_peers::script;
+use pipittack::net::buffers::BufferPool;
+use pipittack::net::driver::{
+    AttemptCommand, AttemptResult, Clock, Driver, DriverParts, NewRequest, Response, ServerCommand,
+};
+use pipittack::net::server::{self, Query, ReuseStatistics, ServerOptions};
+use pipittack_testkit::script;
 use tokio::sync::mpsc::UnboundedReceiver;
 
-type Books = Exchange<&'static str, &'static str>;
+type RequestTable = Driver<&'static str, &'static str>;
 
 /// An exchange whose module knows server 1, the primary, and its replicas 2 and 3.
-fn start(clock: Clock) -> (Books, UnboundedReceiver<Order<&'static str>>) {
-    let parts: Parts<_, _> = Exchange::new(settings(), 7, clock).expect("valid settings");
-    let (exchange, orders, _asks) = parts;
-    exchange.listed(EndpointUpdate::Cached(vec![entry(1, true), entry(2, false), entry(3, false)]), []);
-    (exchange, orders)
+fn start(clock: Clock) -> (RequestTable, UnboundedReceiver<ServerCommand<&'static str>>) {
+    let parts: DriverParts<_, _> = Driver::new(settings(), 7, clock).expect("valid settings");
+    let (driver, orders, _asks) = parts;
+    driver.endpoints_updated(
+        EndpointUpdate::Cached(vec![entry(1, true), entry(2, false), entry(3, false)]),
+        [],
+    );
+    (driver, orders)
 }
 
-fn call(class: ClassId) -> Call {
-    Call { class, group: GroupId(1), time_left: ms(2000), ..Call::default() }
+fn call(class: ClassId) -> NewRequest {
+    NewRequest { class, group: GroupId(1), time_left: ms(2000), ..NewRequest::default() }
 }
 
 /// The next attempt that is to be sent.
-fn sent(orders: &mut UnboundedReceiver<Order<&'static str>>) -> Option<Send<&'static str>> {
+fn sent(orders: &mut UnboundedReceiver<ServerCommand<&'static str>>) -> Option<AttemptCommand<&'static str>> {
     while let Ok(order) = orders.try_recv() {
-        if let Order::Send(send) = order {
+        if let ServerCommand::Attempt(send) = order {
             return Some(send);
         }
     }
     None
 }
 
-fn told(outcome: Outcome, primary: bool, position: std::time::Duration) -> Ending<&'static str> {
+fn told(outcome: Outcome, primary: bool, position: std::time::Duration) -> AttemptResult<&'static str> {
     let note = Some(ServerStatus { position: Some(position), primary: Some(primary) });
-    Ending { outcome, note, report: None, answer: (outcome == Outcome::Success).then_some("value") }
+    AttemptResult {
+        outcome,
+        status: note,
+        load_report: None,
+        response: (outcome == Outcome::Success).then_some("value"),
+    }
 }
 
 #[test]
 fn the_first_answer_is_final_and_what_comes_later_is_dropped() {
-    let (exchange, mut orders) = start(Clock::start());
-    let (_, mut answer) = exchange.open(call(POST), "query");
-    exchange.step();
+    let (driver, mut orders) = start(Clock::start());
+    let (_, mut answer) = driver.submit(call(POST), "query");
+    driver.step();
     let send = sent(&mut orders).expect("an attempt");
-    assert_eq!((*send.query, send.server, send.key.1), ("query", ServerId(1), AttemptNumber(0)));
+    assert_eq!((*send.query, send.server, send.id.number), ("query", ServerId(1), AttemptNumber(0)));
     for _ in 0..2 {
-        exchange.ended(send.key, told(Outcome::Success, true, exchange.clock().now()));
+        driver.attempt_ended(send.id, told(Outcome::Success, true, driver.clock().now()));
     }
-    assert_eq!(answer.try_recv(), Ok(Final::Served("value")));
-    assert_eq!(exchange.open_requests(), 0);
-    exchange.step();
+    assert_eq!(answer.try_recv(), Ok(Response::Served("value")));
+    assert_eq!(driver.requests_in_flight(), 0);
+    driver.step();
     assert!(sent(&mut orders).is_none());
 }
 
 #[test]
 fn an_end_that_nobody_waits_for_is_dropped() {
-    let (exchange, mut orders) = start(Clock::start());
-    let key: Key = (RequestId(99), AttemptNumber(0));
-    exchange.ended(key, told(Outcome::Success, true, exchange.clock().now()));
-    exchange.step();
-    assert!(sent(&mut orders).is_none() && exchange.open_requests() == 0);
+    let (driver, mut orders) = start(Clock::start());
+    let key = AttemptId { request: RequestId(99), number: AttemptNumber(0) };
+    driver.attempt_ended(key, told(Outcome::Success, true, driver.clock().now()));
+    driver.step();
+    assert!(sent(&mut orders).is_none() && driver.requests_in_flight() == 0);
 }
 
 #[test]
 fn a_client_that_left_is_owed_nothing_and_its_attempt_is_called_off() {
-    let (exchange, mut orders) = start(Clock::start());
-    let (id, mut answer) = exchange.open(call(POST), "query");
-    exchange.step();
+    let (driver, mut orders) = start(Clock::start());
+    let (id, mut answer) = driver.submit(call(POST), "query");
+    driver.step();
     let send = sent(&mut orders).expect("an attempt");
-    exchange.left(id);
-    exchange.step();
-    assert!(matches!(orders.try_recv(), Ok(Order::Cancel(key)) if key == send.key));
+    driver.client_gone(id);
+    driver.step();
+    assert!(matches!(orders.try_recv(), Ok(ServerCommand::Cancel(key)) if key == send.id));
     assert!(answer.try_recv().is_err());
 }
 
@@ -84,28 +94,28 @@
 #[case::not_in_the_whole_list(EndpointUpdate::Full(vec![entry(2, false), entry(4, true)]), &[1, 3])]
 #[case::never_listed(EndpointUpdate::Changes(vec![Endpoint { state: EndpointState::Removed, ..entry(9, false) }]), &[])]
 fn a_server_that_the_list_drops_is_forgotten(#[case] view: EndpointUpdate, #[case] dropped: &[u32]) {
-    let (exchange, mut orders) = start(Clock::start());
-    exchange.listed(view, []);
+    let (driver, mut orders) = start(Clock::start());
+    driver.endpoints_updated(view, []);
     let mut forgotten = Vec::new();
     while let Ok(order) = orders.try_recv() {
-        if let Order::Forget(server) = order {
+        if let ServerCommand::Forget(server) = order {
             forgotten.push(server.0);
         }
     }
     assert_eq!(forgotten, dropped);
-    assert!(exchange.knows(GroupId(1)) && !exchange.knows(GroupId(9)));
+    assert!(driver.knows_group(GroupId(1)) && !driver.knows_group(GroupId(9)));
 }
 
 #[test]
 fn attempts_are_numbered_in_the_order_of_sending() {
-    let (exchange, mut orders) = start(Clock::start());
-    let (_, _answer) = exchange.open(call(POST), "query");
+    let (driver, mut orders) = start(Clock::start());
+    let (_, _answer) = driver.submit(call(POST), "query");
     // The listed primary turns the write away; the module then asks the members in turn.
     for expected in 0..2 {
-        exchange.step();
+        driver.step();
         let send = sent(&mut orders).expect("an attempt");
-        assert_eq!(send.key.1, AttemptNumber(expected));
-        exchange.ended(send.key, told(Outcome::Misdirected, false, exchange.clock().now()));
+        assert_eq!(send.id.number, AttemptNumber(expected));
+        driver.attempt_ended(send.id, told(Outcome::Misdirected, false, driver.clock().now()));
     }
 }
 
@@ -114,11 +124,11 @@
 #[test]
 fn an_attempt_at_a_replica_says_until_when_it_is_fresh() {
     let clock = Clock::start();
-    let (exchange, mut orders) = start(clock);
+    let (driver, mut orders) = start(clock);
     let (mut at_replica, mut at_primary) = (0, 0);
     for round in 0..200 {
-        let (_, _answer) = exchange.open(call(if round < 50 { ANY } else { LOOK }), "query");
-        exchange.step();
+        let (_, _answer) = driver.submit(call(if round < 50 { ANY } else { LOOK }), "query");
+        driver.step();
         while let Some(send) = sent(&mut orders) {
             let primary = send.server == ServerId(1);
             if round >= 50 {
@@ -126,7 +136,7 @@
                     (at_primary + u32::from(primary), at_replica + u32::from(!primary));
                 assert_eq!(send.fresh_until.is_none(), primary);
             }
-            exchange.ended(send.key, told(Outcome::Success, primary, clock.now()));
+            driver.attempt_ended(send.id, told(Outcome::Success, primary, clock.now()));
         }
     }
     assert!(at_replica > 0, "{at_replica} reads at replicas, {at_primary} at the primary");
@@ -139,7 +149,7 @@
 #[case::seldom(0.03, 0.05, false)]
 #[case::as_often_as_young_ones(0.4, 0.4, false)]
 fn connections_are_kept_as_long_as_they_last(#[case] young: f64, #[case] old: f64, #[case] worn: bool) {
-    let mut wear = Wear::default();
+    let mut wear = ReuseStatistics::default();
     let (mut breaks, mut now) = ([0.0, 0.0], 0.0);
     for _ in 0..100 {
         for (due, (share, stood)) in breaks.iter_mut().zip([(young, 10), (old, 300)]) {
@@ -159,29 +169,30 @@
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let server = script::DataServer::start(true, |_| script::Say::Row(b"v".to_vec()));
     let clock = Clock::start();
-    let (exchange, orders, _asks) = Exchange::new(settings(), 7, clock).expect("valid settings");
-    let options = Options {
-        sockets: 1,
+    let (driver, orders, _asks) = Driver::new(settings(), 7, clock).expect("valid settings");
+    let options = ServerOptions {
+        max_sockets: 1,
         connect_timeout: ms(5000),
-        conn_idle: std::time::Duration::ZERO,
+        max_idle: std::time::Duration::ZERO,
         probe_reports: false,
-        begun_within: None,
+        start_timeout: None,
     };
-    let pool = Pool::default();
+    let pool = BufferPool::default();
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        tokio::task::spawn_local(servers::run(exchange.clone(), orders, options, pool.clone()));
-        let driver = exchange.clone();
-        tokio::task::spawn_local(async move { driver.run().await });
-        exchange.listed(EndpointUpdate::Cached(vec![entry(1, true)]), [(ServerId(1), server.address)]);
+        tokio::task::spawn_local(server::run(driver.clone(), orders, options, pool.clone()));
+        let stepping = driver.clone();
+        tokio::task::spawn_local(async move { stepping.run().await });
+        driver
+            .endpoints_updated(EndpointUpdate::Cached(vec![entry(1, true)]), [(ServerId(1), server.address)]);
         let answers: Vec<_> = (0..8)
             .map(|_| {
                 let mut message = pool.chain();
                 message.extend(&script::query("SELECT d=0"));
-                exchange.open(call(ONCE), Query { message, wait_at: 14..15, room: None }).1
+                driver.submit(call(ONCE), Query { message, wait_at: 14..15, room: None }).1
             })
             .collect();
         for answer in answers {
-            assert!(matches!(answer.await, Ok(Final::Served(_))));
+            assert!(matches!(answer.await, Ok(Response::Served(_))));
         }
     });
     assert_eq!(server.count(), 8);
@@ -192,18 +203,18 @@
     let clock = Clock::start();
     let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
     let ms = unix.as_millis() as f64;
-    assert!(clock.of_unix_ms(ms) < clock.of_unix_ms(ms + 1.0));
-    assert!(clock.of_unix_ms(ms - 1000.0) < clock.now());
-    assert_eq!(clock.of_unix_ms(0.0), std::time::Duration::ZERO);
-    assert_eq!(clock.of_unix_ms(f64::INFINITY), std::time::Duration::ZERO);
+    assert!(clock.from_unix_ms(ms) < clock.from_unix_ms(ms + 1.0));
+    assert!(clock.from_unix_ms(ms - 1000.0) < clock.now());
+    assert_eq!(clock.from_unix_ms(0.0), std::time::Duration::ZERO);
+    assert_eq!(clock.from_unix_ms(f64::INFINITY), std::time::Duration::ZERO);
 }
 
 /// New settings leave open requests their rules: a changed class gets an id that none of them holds.
 #[test]
 fn new_settings_are_for_requests_that_come_after_them() {
-    let (exchange, mut orders) = start(Clock::start());
-    exchange.open(call(POST), "open");
-    exchange.step();
+    let (driver, mut orders) = start(Clock::start());
+    driver.submit(call(POST), "open");
+    driver.step();
     let open = sent(&mut orders).expect("an attempt");
     let changed = Class { deadline: ms(900), ..settings().classes[POST.0].clone() };
     let once = Settings {
@@ -211,24 +222,24 @@
         limits: Limits { max_attempts: 1, ..settings().limits },
         ..settings()
     };
-    let ids = exchange.retune(once.clone(), &[Some(LOOK), None], &[]);
+    let ids = driver.reconfigure(once.clone(), &[Some(LOOK), None], &[]);
     assert_eq!(ids, [LOOK, OWN], "the slot of a class that is dropped and not held");
-    let (_, mut second) = exchange.open(call(ids[1]), "new");
-    exchange.step();
+    let (_, mut second) = driver.submit(call(ids[1]), "new");
+    driver.step();
     let new = sent(&mut orders).expect("an attempt");
     for send in [open, new] {
-        exchange.ended(send.key, told(Outcome::ConnectFailed, true, exchange.clock().now()));
+        driver.attempt_ended(send.id, told(Outcome::ConnectFailed, true, driver.clock().now()));
     }
     let again = std::iter::repeat_with(|| {
         std::thread::yield_now(); // the server is tried again when the exchange's clock has gone on
-        exchange.step();
+        driver.step();
         sent(&mut orders)
     });
     let again = again.take(1 << 22).flatten().next().expect("the old limit holds");
-    assert_eq!((*again.query, again.key.1), ("open", AttemptNumber(1)));
-    assert!(matches!(second.try_recv(), Ok(Final::Refused(_))), "the new one allows no second attempt");
-    assert_eq!(exchange.retune(once, &[Some(LOOK), None], &[OWN]), [LOOK, ONCE], "both others are held");
-    assert_eq!(exchange.longest(), ms(2000));
+    assert_eq!((*again.query, again.id.number), ("open", AttemptNumber(1)));
+    assert!(matches!(second.try_recv(), Ok(Response::Rejected(_))), "the new one allows no second attempt");
+    assert_eq!(driver.reconfigure(once, &[Some(LOOK), None], &[OWN]), [LOOK, ONCE], "both others are held");
+    assert_eq!(driver.max_deadline(), ms(2000));
 }
 
 /// Guards against a session's read that is too old after an upgrade: a client has its answer before the module is stepped,
@@ -236,17 +247,17 @@
 #[test]
 fn what_a_client_was_told_a_moment_ago_passes_to_a_successor() {
     let settings = Settings { session_tokens: SessionTokens::Tracked, ..settings() };
-    let parts: Parts<&str, &str> = Exchange::new(settings, 7, Clock::start()).expect("valid settings");
-    let (exchange, mut orders, _asks) = parts;
-    exchange.listed(EndpointUpdate::Cached(vec![entry(1, true), entry(2, false)]), []);
-    let write = Call { session: Some("s".into()), ..call(POST) };
-    let (_, mut answer) = exchange.open(write, "query");
-    exchange.step();
+    let parts: DriverParts<&str, &str> = Driver::new(settings, 7, Clock::start()).expect("valid settings");
+    let (driver, mut orders, _asks) = parts;
+    driver.endpoints_updated(EndpointUpdate::Cached(vec![entry(1, true), entry(2, false)]), []);
+    let write = NewRequest { session: Some("s".into()), ..call(POST) };
+    let (_, mut answer) = driver.submit(write, "query");
+    driver.step();
     let send = sent(&mut orders).expect("an attempt");
-    let commit = exchange.clock().now();
-    exchange.ended(send.key, told(Outcome::Success, true, commit));
-    assert_eq!(answer.try_recv(), Ok(Final::Served("value")));
-    let marks = exchange.heritage().session_tokens;
+    let commit = driver.clock().now();
+    driver.attempt_ended(send.id, told(Outcome::Success, true, commit));
+    assert_eq!(answer.try_recv(), Ok(Response::Served("value")));
+    let marks = driver.snapshot().session_tokens;
     assert_eq!(marks, [("s".to_owned(), commit.as_secs_f64())]);
 }
 
@@ -255,20 +266,20 @@
 #[tokio::test(start_paused = true)]
 async fn a_process_that_stood_still_doubts_what_it_knows_of_sessions() {
     let settings = Settings { session_tokens: SessionTokens::Tracked, ..settings() };
-    let parts: Parts<&str, &str> = Exchange::new(settings, 7, Clock::start()).expect("valid settings");
-    let (exchange, ..) = parts;
-    exchange.listed(EndpointUpdate::Cached(vec![entry(1, true), entry(2, false)]), []);
-    let begun = exchange.heritage().session_floor;
+    let parts: DriverParts<&str, &str> = Driver::new(settings, 7, Clock::start()).expect("valid settings");
+    let (driver, ..) = parts;
+    driver.endpoints_updated(EndpointUpdate::Cached(vec![entry(1, true), entry(2, false)]), []);
+    let begun = driver.snapshot().session_floor;
     for idle in [ms(250), ms(600)] {
         tokio::time::advance(idle).await;
-        assert_eq!(exchange.heritage().session_floor, begun);
+        assert_eq!(driver.snapshot().session_floor, begun);
     }
     tokio::time::advance(ms(1200)).await;
-    let woke = exchange.clock().now();
+    let woke = driver.clock().now();
     assert!(
-        exchange.heritage().session_floor > Some(woke.as_secs_f64()),
+        driver.snapshot().session_floor > Some(woke.as_secs_f64()),
         "what it reads first may be anything"
     );
     tokio::time::advance(ms(700)).await;
-    assert!(exchange.heritage().session_floor < Some(exchange.clock().now().as_secs_f64()));
+    assert!(driver.snapshot().session_floor < Some(driver.clock().now().as_secs_f64()));
 }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pipittack_peers::trial::{play, Kind, Plan};
+use pipittack_testkit::trial::{play, Kind, Plan};
 use rstest::rstest;
 
 /// One kind of change, twice in each of two sets; a round later both sets at once where that is asked for. Verdicts
--- a/tests/handover_format.rs
+++ b/tests/handover_format.rs
@@ -8,8 +8,8 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::{Path, PathBuf};
 
-use pipittack::listing::{Listing, Target};
-use pipittack::net::ops::Bans;
+use pipittack::endpoint_list::{EndpointList, ListedEndpoint};
+use pipittack::net::admin::OutOfServiceList;
 use pipittack_core::api::{FailoverKind, ReplicaSetSnapshot};
 use pipittack_core::api::{ServerSnapshot, StateSnapshot};
 use rstest::rstest;
@@ -117,32 +117,32 @@
     assert!(serde_json::from_str::<ReplicaSetSnapshot>(content).is_err());
 }
 
-fn full_list() -> Listing {
-    let full = Target {
-        uid: "store-a".to_owned(),
-        endpoint: "10.0.0.1:5432".parse().expect("an address"),
-        az: "eu-1a".to_owned(),
-        model: "m5".to_owned(),
-        pod_group: 2,
+fn full_list() -> EndpointList {
+    let full = ListedEndpoint {
+        name: "store-a".to_owned(),
+        address: "10.0.0.1:5432".parse().expect("an address"),
+        zone: "eu-1a".to_owned(),
+        machine_kind: "m5".to_owned(),
+        group: 2,
         state: "Ready".to_owned(),
-        capacity_hint: Some(1.5),
-        boot_ms: 1_767_225_000_000.0,
-        mode: Some("read-write".to_owned()),
+        relative_capacity: Some(1.5),
+        started_unix_ms: 1_767_225_000_000.0,
+        role: Some("read-write".to_owned()),
     };
-    Listing { rev: 41, all: true, targets: vec![full, bare_endpoint()] }
+    EndpointList { revision: 41, complete: true, endpoints: vec![full, bare_endpoint()] }
 }
 
-fn bare_endpoint() -> Target {
-    Target {
-        uid: "store-b".to_owned(),
-        endpoint: "[::1]:5433".parse().expect("an address"),
-        az: String::new(),
-        model: String::new(),
-        pod_group: 0,
+fn bare_endpoint() -> ListedEndpoint {
+    ListedEndpoint {
+        name: "store-b".to_owned(),
+        address: "[::1]:5433".parse().expect("an address"),
+        zone: String::new(),
+        machine_kind: String::new(),
+        group: 0,
         state: "Gone".to_owned(),
-        capacity_hint: None,
-        boot_ms: 0.0,
-        mode: None,
+        relative_capacity: None,
+        started_unix_ms: 0.0,
+        role: None,
     }
 }
 
@@ -154,8 +154,8 @@
 #[test]
 fn absent_and_unknown_fields_of_an_endpoint_list_are_read() {
     let list = r#"{"rev":5,"later":0,"targets":[{"uid":"store-b","endpoint":"[::1]:5433","state":"Gone","later":0}]}"#;
-    let list: Listing = serde_json::from_str(list).expect("it is read");
-    assert_eq!(list, Listing { rev: 5, all: false, targets: vec![bare_endpoint()] });
+    let list: EndpointList = serde_json::from_str(list).expect("it is read");
+    assert_eq!(list, EndpointList { revision: 5, complete: false, endpoints: vec![bare_endpoint()] });
 }
 
 #[rstest]
@@ -164,7 +164,7 @@
 #[case::no_address(r#"{"rev":1,"targets":[{"uid":"a","state":"Gone"}]}"#)]
 #[case::no_state(r#"{"rev":1,"targets":[{"uid":"a","endpoint":"[::1]:5433"}]}"#)]
 fn incomplete_endpoint_lists_are_refused(#[case] content: &str) {
-    assert!(serde_json::from_str::<Listing>(content).is_err());
+    assert!(serde_json::from_str::<EndpointList>(content).is_err());
 }
 
 /// A file in an empty folder of its own, with this content.
@@ -191,8 +191,8 @@
 #[test]
 fn servers_out_of_service_of_985872a_are_read_and_written_byte_for_byte() {
     let file = stored("out-of-service", OUT_OF_SERVICE);
-    let servers = Bans::new(Some(file.clone()));
-    assert_eq!(servers.look().expect("it is read"), recorded_servers());
+    let servers = OutOfServiceList::new(Some(file.clone()));
+    assert_eq!(servers.reload().expect("it is read"), recorded_servers());
     fs::remove_file(&file).expect("it is there");
     servers.set("store-a", true).expect("it is written");
     assert_eq!(fs::read_to_string(&file).expect("it is there"), OUT_OF_SERVICE);
@@ -202,7 +202,7 @@
 #[test]
 fn no_server_out_of_service_is_written_as_an_empty_list() {
     let file = stored("none-out-of-service", r#"{"offline":["store-a"]}"#);
-    let servers = Bans::new(Some(file.clone()));
+    let servers = OutOfServiceList::new(Some(file.clone()));
     servers.set("store-a", false).expect("it is written");
     assert_eq!(fs::read_to_string(&file).expect("it is there"), r#"{"offline":[]}"#);
 }
@@ -210,8 +210,8 @@
 #[test]
 fn unknown_fields_of_servers_out_of_service_are_ignored_and_dropped() {
     let file = stored("unknown-out-of-service", r#"{"later":{},"offline":["store-a"]}"#);
-    let servers = Bans::new(Some(file.clone()));
-    assert_eq!(servers.look().expect("it is read"), [("store-a".to_owned(), true)]);
+    let servers = OutOfServiceList::new(Some(file.clone()));
+    assert_eq!(servers.reload().expect("it is read"), [("store-a".to_owned(), true)]);
     servers.set("store-b", true).expect("it is written");
     assert_eq!(fs::read_to_string(&file).expect("it is there"), r#"{"offline":["store-a","store-b"]}"#);
 }
@@ -221,8 +221,8 @@
 #[case::empty("empty", "")]
 fn incomplete_servers_out_of_service_are_refused(#[case] test: &str, #[case] content: &str) {
     let file = stored(test, content);
-    let servers = Bans::new(Some(file.clone()));
-    assert!(servers.look().is_err());
+    let servers = OutOfServiceList::new(Some(file.clone()));
+    assert!(servers.reload().is_err());
     assert!(servers.set("store-a", true).is_err());
     assert_eq!(fs::read_to_string(&file).expect("it is there"), content);
 }
@@ -233,7 +233,7 @@
     let file = stored("new-file", OUT_OF_SERVICE);
     let new = file.with_file_name(format!("pipittack-n0-127.0.0.1:0.new-{}", std::process::id()));
     fs::create_dir_all(&new).expect("a writable folder");
-    let servers = Bans::new(Some(file.clone()));
+    let servers = OutOfServiceList::new(Some(file.clone()));
     assert!(servers.set("store-b", true).is_err());
     fs::remove_dir(&new).expect("it is empty");
     assert!(servers.set("store-b", true).is_ok());
--- a/tests/network.rs
+++ b/tests/network.rs
@@ -6,7 +6,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use pipittack_peers::script::*;
+use pipittack_testkit::script::*;
 use rstest::rstest;
 use support::*;
 
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use pipittack::net::buffers::{Pool, SIZE};
+use pipittack::net::admin::{call, AdminCall};
+use pipittack::net::buffers::{BufferPool, SIZE};
 use pipittack::net::discovery::{chunk_size, head, Framing};
-use pipittack::net::ops::{call, Call};
-use pipittack::net::pg::{self, Query, Startup};
+use pipittack::net::postgres::{self, Query, Startup};
 use rstest::rstest;
 
-fn routed(text: &str) -> Option<pg::Statement> {
-    match pg::query(text.as_bytes()) {
+fn routed(text: &str) -> Option<postgres::Statement> {
+    match postgres::query(text.as_bytes()) {
         Some(Query::Routed(statement)) => Some(statement),
         _ => None,
     }
@@ -54,7 +54,7 @@
 #[case::transaction("BEGIN")]
 #[case::word_that_starts_alike("SETTLE x")]
 fn what_cannot_be_routed_is_not_a_query(#[case] text: &str) {
-    assert_eq!(pg::query(text.as_bytes()), None);
+    assert_eq!(postgres::query(text.as_bytes()), None);
 }
 
 /// Guards against passing on what a data server turns away or closes on.
@@ -80,13 +80,13 @@
 #[test]
 fn a_query_is_text() {
     let text = b"SELECT body FROM objects WHERE oid = '\xff' /* id=1,c=a,d=9,cluster=1 */";
-    assert_eq!(pg::query(text), None);
+    assert_eq!(postgres::query(text), None);
 }
 
 #[rstest]
 #[case::empty(r"\x", true)]
-#[case::longest(&format!(r"\x{}", "0f".repeat(pg::VALUE_MOST)), true)]
-#[case::too_long(&format!(r"\x{}", "0f".repeat(pg::VALUE_MOST + 1)), false)]
+#[case::longest(&format!(r"\x{}", "0f".repeat(postgres::VALUE_MOST)), true)]
+#[case::too_long(&format!(r"\x{}", "0f".repeat(postgres::VALUE_MOST + 1)), false)]
 #[case::half_a_byte(r"\x0", false)]
 #[case::no_digits(r"\xzz", false)]
 #[case::no_prefix("00", false)]
@@ -103,7 +103,7 @@
 #[case("set application_name = 'x'", Query::Setting("SET"))]
 #[case("DISCARD ALL", Query::Setting("DISCARD"))]
 fn what_needs_no_server_is_told_apart(#[case] text: &str, #[case] query: Query) {
-    assert_eq!(pg::query(text.as_bytes()), Some(query));
+    assert_eq!(postgres::query(text.as_bytes()), Some(query));
 }
 
 #[rstest]
@@ -115,7 +115,7 @@
 #[case(&[0, 2, 0, 0], Some(Startup::Unsupported(131_072)))]
 #[case(&[0, 3], None)]
 fn a_startup_packet_tells_what_it_opens(#[case] body: &[u8], #[case] startup: Option<Startup>) {
-    assert_eq!(pg::startup(body), startup);
+    assert_eq!(postgres::startup(body), startup);
 }
 
 #[rstest]
@@ -126,7 +126,7 @@
     #[case] bytes: [u8; 5],
     #[case] header: Option<(u8, usize)>,
 ) {
-    assert_eq!(pg::header(bytes), header);
+    assert_eq!(postgres::header(bytes), header);
 }
 
 #[rstest]
@@ -137,7 +137,7 @@
 #[case(b"C53300\0\0more", None)]
 #[case(b"", None)]
 fn an_error_tells_its_code(#[case] body: &[u8], #[case] code: Option<[u8; 5]>) {
-    assert_eq!(pg::sqlstate(body), code);
+    assert_eq!(postgres::sqlstate(body), code);
 }
 
 #[rstest]
@@ -147,7 +147,7 @@
 #[case(b"mode\0read-only\0more", None)]
 #[case(b"mode\0\xff\0", None)]
 fn a_parameter_is_a_pair_of_strings(#[case] body: &[u8], #[case] pair: Option<(&str, &str)>) {
-    assert_eq!(pg::parameter(body), pair);
+    assert_eq!(postgres::parameter(body), pair);
 }
 
 #[rstest]
@@ -156,7 +156,7 @@
 #[case("inflight=inf,util=nan", &[])]
 #[case("", &[])]
 fn a_load_report_is_a_row_of_figures(#[case] text: &str, #[case] pairs: &[(&str, f64)]) {
-    assert_eq!(pg::load_report(text), pairs);
+    assert_eq!(postgres::load_report(text), pairs);
 }
 
 #[rstest]
@@ -166,7 +166,7 @@
 #[case(&[0, 1, 0, 0, 0, 1, b'o', b'k'], None)]
 #[case(&[0, 2, 0, 0, 0, 2, b'o', b'k'], None)]
 fn the_only_column_is_read_by_its_length(#[case] body: &[u8], #[case] column: Option<&[u8]>) {
-    assert_eq!(pg::only_column(body), column);
+    assert_eq!(postgres::only_column(body), column);
 }
 
 #[rstest]
@@ -197,7 +197,7 @@
 #[case::past_the_end(10, 20)]
 fn a_chain_keeps_its_bytes_and_gives_its_buffers_back(#[case] length: usize, #[case] at: usize) {
     let bytes: Vec<u8> = (0..length).map(|i| (i % 251) as u8).collect();
-    let pool = Pool::default();
+    let pool = BufferPool::default();
     let mut rest = pool.chain();
     rest.extend(&bytes);
     let first = rest.split_to(at);
@@ -206,18 +206,18 @@
     rest.copy(0..rest.len(), &mut tail);
     assert_eq!((head.len(), [head, tail].concat()), (at.min(length), bytes));
     let held = first.len().div_ceil(SIZE) + rest.len().div_ceil(SIZE);
-    let before = pool.unused();
+    let before = pool.free_bytes();
     drop((first, rest));
-    assert_eq!(pool.unused(), before + held);
+    assert_eq!(pool.free_bytes(), before + held);
 }
 
 #[rstest]
-#[case::ready("GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n", Ok(Call::Ready))]
-#[case::bare("GET /control/ready?x=1 HTTP/1.0\r\n\r\n", Ok(Call::Ready))]
-#[case::out("POST /control/data-servers/s-1/offline HTTP/1.1\r\n\r\n", Ok(Call::Offline("s-1".into())))]
-#[case::back("POST /control/data-servers/a%2fb/online HTTP/1.1\r\n\r\n", Ok(Call::Online("a/b".into())))]
-#[case::away("POST /control/out-of-service HTTP/1.1\r\n\r\n", Ok(Call::OutOfService))]
-#[case::again("POST /control/in-service HTTP/1.1\r\n\r\n", Ok(Call::InService))]
+#[case::ready("GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n", Ok(AdminCall::Ready))]
+#[case::bare("GET /control/ready?x=1 HTTP/1.0\r\n\r\n", Ok(AdminCall::Ready))]
+#[case::out("POST /control/data-servers/s-1/offline HTTP/1.1\r\n\r\n", Ok(AdminCall::Offline("s-1".into())))]
+#[case::back("POST /control/data-servers/a%2fb/online HTTP/1.1\r\n\r\n", Ok(AdminCall::Online("a/b".into())))]
+#[case::away("POST /control/out-of-service HTTP/1.1\r\n\r\n", Ok(AdminCall::OutOfService))]
+#[case::again("POST /control/in-service HTTP/1.1\r\n\r\n", Ok(AdminCall::InService))]
 #[case::wrong_method("GET /control/in-service HTTP/1.1\r\n\r\n", Err(405))]
 #[case::no_id("POST /control/data-servers//online HTTP/1.1\r\n\r\n", Err(404))]
 #[case::unknown("GET / HTTP/1.1\r\n\r\n", Err(404))]
@@ -225,6 +225,6 @@
 #[case::noise("\u{1}\u{2}\r\n\r\n", Err(400))]
 #[case::no_version("GET /control/ready\r\n\r\n", Err(400))]
 #[case::bad_field("GET /control/ready HTTP/1.1\r\nno field\r\n\r\n", Err(400))]
-fn calls_are_read(#[case] head: &str, #[case] wanted: Result<Call, u16>) {
+fn calls_are_read(#[case] head: &str, #[case] wanted: Result<AdminCall, u16>) {
     assert_eq!(call(head.as_bytes()), wanted);
 }
--- a/tests/moments.rs
+++ b/tests/race_conditions.rs
@@ -8,7 +8,7 @@
 use std::sync::{mpsc, Mutex};
 use std::time::{Duration, Instant};
 
-use pipittack_peers::script::*;
+use pipittack_testkit::script::*;
 use rstest::rstest;
 use support::*;
 
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -7,9 +7,9 @@
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-use pipittack_peers::list::{ListServer, Target};
-use pipittack_peers::program::Program;
-use pipittack_peers::script::*;
+use pipittack_testkit::list::{ListServer, Target};
+use pipittack_testkit::program::Program;
+use pipittack_testkit::script::*;
 
 const PATIENCE: Duration = Duration::from_secs(20);
 /// Proxies side by side, and how often each is told to end.
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -3,12 +3,12 @@
 
 use std::path::Path;
 
-use pipittack_peers::fleet::live::{play, Place};
-use pipittack_peers::fleet::scenario;
+use pipittack_testkit::fleet::live::{play, Place};
+use pipittack_testkit::fleet::scenario;
 
 #[test]
 fn no_read_misses_what_its_session_wrote_through_upgrades_and_restarts() {
-    let plan = scenario::read(include_str!("../peers/scenarios/sessions.scm")).expect("a sound script");
+    let plan = scenario::read(include_str!("../testkit/scenarios/sessions.scm")).expect("a sound script");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("sessions-{}", std::process::id()));
     let place = Place { program: env!("CARGO_BIN_EXE_pipittack").into(), folder };
     let proxies = plan.proxies;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use pipittack_peers::script::*;
+use pipittack_testkit::script::*;
 
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
