--- a/core/src/concurrency_limit.rs
+++ b/core/src/concurrency_limit.rs
@@ -20,75 +20,101 @@
 /// A server's window: mplmax, and what the present period has shown.
 #[derive(Default)]
 pub(crate) struct ConcurrencyLimit {
-    pub max: f64,
-    pub peak: f64,
-    pub peaks: Vec<f64>,
-    pub began: f64,
-    pub done: f64,
-    pub good: f64,
-    pub clean: bool,
-    pub thrash_to: Option<f64>,
+    pub limit: f64,
+    pub peak_in_flight: f64,
+    pub recent_peaks: Vec<f64>,
+    pub period_started_at: f64,
+    pub record_completion: f64,
+    pub completed_in_time: f64,
+    pub is_period_valid: bool,
+    pub shrink_target: Option<f64>,
     pub fit: crate::throughput_fit::ThroughputFit,
-    pub levels: BTreeMap<u32, f64>,
-    pub rate: Option<f64>,
+    pub throughput_by_level: BTreeMap<u32, f64>,
+    pub completion_rate: Option<f64>,
 }
 
 impl ConcurrencyLimit {
     /// `share` is the part of the server's work that comes through this gateway.
     pub fn new(now: f64, share: f64) -> Self {
-        Self::of(now, (INITIAL_LIMIT * share).clamp(MIN_LIMIT, INITIAL_LIMIT / 2.0))
+        Self::with_limit(now, (INITIAL_LIMIT * share).clamp(MIN_LIMIT, INITIAL_LIMIT / 2.0))
     }
 
     /// A window of this width, as another process had it.
-    pub fn of(now: f64, width: f64) -> Self {
+    pub fn with_limit(now: f64, width: f64) -> Self {
         let width = if width.is_finite() { width } else { MIN_LIMIT };
         let max = width.clamp(MIN_LIMIT, MAX_LIMIT);
-        Self { max, peaks: vec![max; PEAKS_KEPT], began: now, clean: true, ..Self::default() }
+        Self {
+            limit: max,
+            recent_peaks: vec![max; PEAKS_KEPT],
+            period_started_at: now,
+            is_period_valid: true,
+            ..Self::default()
+        }
     }
 
     /// `good` if it came within its class's aim: a late answer is no throughput.
-    pub fn completed(&mut self, good: bool) {
-        self.done += 1.0;
-        self.good += f64::from(u8::from(good));
-        if let Some(to) = self.thrash_to.filter(|to| self.max > *to) {
-            self.max = (self.max - 1.0).max(to);
+    pub fn record_completion(&mut self, good: bool) {
+        self.record_completion += 1.0;
+        self.completed_in_time += f64::from(u8::from(good));
+        if let Some(to) = self.shrink_target.filter(|to| self.limit > *to) {
+            self.limit = (self.limit - 1.0).max(to);
         }
     }
 
     /// Ends the period when it has seen enough, and sets the window from it. `waiting` is the design's r.
-    pub fn period(&mut self, now: f64, in_flight: f64, waiting: f64) {
-        let length = now - self.began;
-        let pressed = waiting > 0.0 && self.peak >= self.max && self.done >= PERIOD_WAITING;
-        if !(pressed || length >= PERIOD_MOST || (length >= PERIOD_LEAST && self.done >= PERIOD_DONE)) {
+    pub fn end_period_if_due(&mut self, now: f64, in_flight: f64, waiting: f64) {
+        let length = now - self.period_started_at;
+        let pressed =
+            waiting > 0.0 && self.peak_in_flight >= self.limit && self.record_completion >= PERIOD_WAITING;
+        if !(pressed
+            || length >= PERIOD_MOST
+            || (length >= PERIOD_LEAST && self.record_completion >= PERIOD_DONE))
+        {
             return;
         }
         // A server that was silent, failing or cold, or that did nothing, teaches the fit nothing.
-        if self.clean && self.done > 0.0 {
-            let (m, throughput) = (self.peak, self.good / length.max(1e-3));
-            self.rate = Some(self.rate.map_or(self.done / length, |r| r + 0.3 * (self.done / length - r)));
-            self.fit.learn(m, throughput, FORGET);
-            let level = self.levels.entry(m as u32).or_insert(throughput);
+        if self.is_period_valid && self.record_completion > 0.0 {
+            let (m, throughput) = (self.peak_in_flight, self.completed_in_time / length.max(1e-3));
+            self.completion_rate = Some(self.completion_rate.map_or(self.record_completion / length, |r| {
+                r + 0.3 * (self.record_completion / length - r)
+            }));
+            self.fit.record(m, throughput, FORGET);
+            let level = self.throughput_by_level.entry(m as u32).or_insert(throughput);
             *level += 0.3 * (throughput - *level);
-            self.peaks.rotate_right(1);
-            self.peaks[0] = self.peak;
-            let best = self.levels.iter().max_by(|a, b| a.1.total_cmp(b.1)).map_or(m, |l| f64::from(*l.0));
-            let vertex = self.fit.vertex().filter(|_| self.levels.len() >= LEVELS_NEEDED);
-            let opt = vertex.unwrap_or_else(|| if waiting > 0.0 { best.max(self.max) + 1.0 } else { best });
+            self.recent_peaks.rotate_right(1);
+            self.recent_peaks[0] = self.peak_in_flight;
+            let best = self
+                .throughput_by_level
+                .iter()
+                .max_by(|a, b| a.1.total_cmp(b.1))
+                .map_or(m, |l| f64::from(*l.0));
+            let vertex = self.fit.vertex().filter(|_| self.throughput_by_level.len() >= LEVELS_NEEDED);
+            let opt = vertex.unwrap_or_else(|| if waiting > 0.0 { best.max(self.limit) + 1.0 } else { best });
             let opt = opt.clamp(MIN_LIMIT, MAX_LIMIT);
-            let current = self.peaks.iter().fold(0.0, |a: f64, b| a.max(*b));
-            self.thrash_to = None;
+            let current = self.recent_peaks.iter().fold(0.0, |a: f64, b| a.max(*b));
+            self.shrink_target = None;
             // Where most answers come late the curve has no peak left to find: that is thrashing as well.
-            let opt = if self.good < LATE_SHARE * self.done { opt.min(self.max * 0.75) } else { opt };
+            let opt = if self.completed_in_time < LATE_SHARE * self.record_completion {
+                opt.min(self.limit * 0.75)
+            } else {
+                opt
+            };
             let opt = opt.max(MIN_LIMIT);
-            if self.peak >= self.max && self.max > opt {
-                self.thrash_to = Some(opt);
-            } else if self.peak >= self.max {
-                self.max += (opt - self.max) * (waiting / (waiting + 2.0));
+            if self.peak_in_flight >= self.limit && self.limit > opt {
+                self.shrink_target = Some(opt);
+            } else if self.peak_in_flight >= self.limit {
+                self.limit += (opt - self.limit) * (waiting / (waiting + 2.0));
             } else {
-                self.max = self.max.min(current);
+                self.limit = self.limit.min(current);
             }
-            self.max = self.max.clamp(MIN_LIMIT, MAX_LIMIT);
+            self.limit = self.limit.clamp(MIN_LIMIT, MAX_LIMIT);
         }
-        (self.began, self.done, self.good, self.peak, self.clean) = (now, 0.0, 0.0, in_flight, true);
+        (
+            self.period_started_at,
+            self.record_completion,
+            self.completed_in_time,
+            self.peak_in_flight,
+            self.is_period_valid,
+        ) = (now, 0.0, 0.0, in_flight, true);
     }
 }
--- a/core/src/discovery_schedule.rs
+++ b/core/src/discovery_schedule.rs
@@ -76,7 +76,7 @@
 
 impl DiscoverySchedule {
     /// Discovery told something.
-    pub fn heard(&mut self, now: f64) {
+    pub fn update_received(&mut self, now: f64) {
         if self.called.take().is_some_and(|called| now - called < AT_ONCE) {
             self.rate = (self.rate + RATE_STEP).min(RATE * RATE_BOUNDS.1);
         }
@@ -84,12 +84,12 @@
     }
 
     /// The list is known from elsewhere.
-    pub fn remembered(&mut self) {
+    pub fn list_cached(&mut self) {
         (self.watching, self.holds) = (false, true);
     }
 
     /// A call failed, or what was subscribed to broke. `chance` gives random numbers up to 1.
-    pub fn refused(&mut self, now: f64, settings: &Settings, mut chance: impl FnMut() -> f64) {
+    pub fn call_failed(&mut self, now: f64, settings: &Settings, mut chance: impl FnMut() -> f64) {
         let waited = self.called.take().is_some_and(|called| now - called >= WAITED);
         // Where all had to call sooner than the queue bears, that was to be expected.
         if waited && !self.cut {
@@ -105,7 +105,7 @@
     }
 
     /// Whether a call is due; it is made then. The first one comes at once only where all may.
-    pub fn asks(&mut self, now: f64, settings: &Settings, chance: impl FnOnce() -> f64) -> bool {
+    pub fn is_call_due(&mut self, now: f64, settings: &Settings, chance: impl FnOnce() -> f64) -> bool {
         if self.watching {
             return false;
         }
--- a/core/src/discovery_schedule/tests.rs
+++ b/core/src/discovery_schedule/tests.rs
@@ -68,7 +68,7 @@
     let mut rng = Pcg64Mcg::seed_from_u64(u64::from(gateways));
     let mut all = vec![DiscoverySchedule::default(); gateways as usize];
     if holds {
-        all.iter_mut().for_each(DiscoverySchedule::remembered);
+        all.iter_mut().for_each(DiscoverySchedule::list_cached);
     }
     let mut ends: Vec<Option<(f64, bool)>> = vec![None; all.len()];
     let (mut free_at, mut calls, mut failed, mut last) = (0.0, 0, 0, 0.0);
@@ -77,13 +77,13 @@
         for (one, end) in all.iter_mut().zip(&mut ends) {
             if let Some((_, well)) = end.take_if(|(at, _)| *at <= now) {
                 if well {
-                    one.heard(now);
+                    one.update_received(now);
                     last = now - down;
                 } else {
-                    one.refused(now, &settings, || rng.random());
+                    one.call_failed(now, &settings, || rng.random());
                 }
             }
-            if end.is_none() && one.asks(now, &settings, || rng.random()) {
+            if end.is_none() && one.is_call_due(now, &settings, || rng.random()) {
                 let wait = f64::max(free_at, now) + 1.0 / BEARS - now;
                 let (up, well) = (now >= down, wait <= FAILS_AFTER);
                 free_at = if up { now + wait } else { free_at };
@@ -128,22 +128,22 @@
         let mut settings = settings(10);
         settings.rules.poll_interval = Duration::from_millis(ask_every);
         let (mut one, mut now) = (DiscoverySchedule::default(), 0.0);
-        one.remembered();
+        one.list_cached();
         let next = |one: &mut DiscoverySchedule, now: &mut f64| {
             let since = *now;
-            while !one.asks(*now, &settings, || 1.0) {
+            while !one.is_call_due(*now, &settings, || 1.0) {
                 *now += 0.01;
             }
             *now - since
         };
         for _ in 0..20 {
             next(&mut one, &mut now);
-            one.refused(now, &settings, || 1.0);
+            one.call_failed(now, &settings, || 1.0);
         }
         // It is back right after the last one failed; the next call fails after a wait for its turn, and one
         // more is due.
         let first = next(&mut one, &mut now);
-        one.refused(now + 0.4, &settings, || 1.0);
+        one.call_failed(now + 0.4, &settings, || 1.0);
         now += 0.4;
         let second = next(&mut one, &mut now);
         assert!(first + 0.4 + second <= 5.5, "{ask_every}: {first} s and {second} s");
--- a/core/src/failover/attempt_log.rs
+++ b/core/src/failover/attempt_log.rs
@@ -10,11 +10,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionEvidence {
     /// None yet: it is out, and may run.
-    Out,
+    InFlight,
     /// It ran: this is its answer.
-    Answered,
+    Executed,
     /// It never ran: it was turned away untouched, or its last byte was not written.
-    NeverRan,
+    RuledOut,
     /// Nothing: it may have run, and may yet.
     Unknown,
 }
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetrySafety {
     /// Nothing ran, or it may run again: asking again is harmless.
-    Harmless,
+    Safe,
     /// It may have run, and must not run again.
     Unknown,
 }
@@ -45,10 +45,10 @@
 
 impl ExecutionEvidence {
     /// What an outcome proves.
-    pub fn of(outcome: Outcome) -> Self {
+    pub fn from_outcome(outcome: Outcome) -> Self {
         match outcome {
-            Outcome::Success => Self::Answered,
-            _ if outcome.rules_out_execution() => Self::NeverRan,
+            Outcome::Success => Self::Executed,
+            _ if outcome.rules_out_execution() => Self::RuledOut,
             _ => Self::Unknown,
         }
     }
@@ -56,45 +56,45 @@
 
 impl AttemptLog {
     /// An attempt goes out.
-    pub fn sent(&mut self, attempt: u32, server: ServerId, now: f64) {
-        self.legs.push(LoggedAttempt { attempt, server, sent: now, proof: ExecutionEvidence::Out });
+    pub fn record_sent(&mut self, attempt: u32, server: ServerId, now: f64) {
+        self.legs.push(LoggedAttempt { attempt, server, sent: now, proof: ExecutionEvidence::InFlight });
     }
 
     /// An attempt ended. One that is not known, or has ended before, changes nothing.
-    pub fn ended(&mut self, attempt: AttemptNumber, outcome: Outcome) {
-        let leg =
-            self.legs.iter_mut().find(|leg| leg.attempt == attempt.0 && leg.proof == ExecutionEvidence::Out);
+    pub fn record_ended(&mut self, attempt: AttemptNumber, outcome: Outcome) {
+        let leg = self
+            .legs
+            .iter_mut()
+            .find(|leg| leg.attempt == attempt.0 && leg.proof == ExecutionEvidence::InFlight);
         if let Some(leg) = leg {
-            leg.proof = ExecutionEvidence::of(outcome);
+            leg.proof = ExecutionEvidence::from_outcome(outcome);
         }
     }
 
     /// The first attempt that has ended and may have run: when it was sent, and where.
-    pub fn ran(&self) -> Option<(f64, ServerId)> {
+    pub fn first_possible_execution(&self) -> Option<(f64, ServerId)> {
         let ran = |leg: &&LoggedAttempt| {
-            matches!(leg.proof, ExecutionEvidence::Answered | ExecutionEvidence::Unknown)
+            matches!(leg.proof, ExecutionEvidence::Executed | ExecutionEvidence::Unknown)
         };
         self.legs.iter().find(ran).map(|leg| (leg.sent, leg.server))
     }
 
     /// Whether an attempt is out at a server.
-    pub fn is_out_at(&self, server: ServerId) -> bool {
-        self.legs.iter().any(|leg| leg.server == server && leg.proof == ExecutionEvidence::Out)
+    pub fn is_in_flight_at(&self, server: ServerId) -> bool {
+        self.legs.iter().any(|leg| leg.server == server && leg.proof == ExecutionEvidence::InFlight)
     }
 
     /// Whether some server has taken it up, so far as is known.
-    pub fn reached(&self) -> bool {
-        self.legs.iter().any(|leg| leg.proof != ExecutionEvidence::NeverRan)
+    pub fn may_have_executed(&self) -> bool {
+        self.legs.iter().any(|leg| leg.proof != ExecutionEvidence::RuledOut)
     }
 
     /// What its client may be told now.
-    pub fn verdict(&self, effect: Idempotency) -> RetrySafety {
+    pub fn retry_safety(&self, effect: Idempotency) -> RetrySafety {
         match effect {
-            Idempotency::Idempotent | Idempotency::WithKey { scope: KeyScope::All, .. } => {
-                RetrySafety::Harmless
-            }
-            _ if self.reached() => RetrySafety::Unknown,
-            _ => RetrySafety::Harmless,
+            Idempotency::Idempotent | Idempotency::WithKey { scope: KeyScope::All, .. } => RetrySafety::Safe,
+            _ if self.may_have_executed() => RetrySafety::Unknown,
+            _ => RetrySafety::Safe,
         }
     }
 }
@@ -119,8 +119,10 @@
 
     #[test]
     fn only_four_ends_prove_that_nothing_ran() {
-        let proved: Vec<_> =
-            ALL.into_iter().filter(|o| ExecutionEvidence::of(*o) == ExecutionEvidence::NeverRan).collect();
+        let proved: Vec<_> = ALL
+            .into_iter()
+            .filter(|o| ExecutionEvidence::from_outcome(*o) == ExecutionEvidence::RuledOut)
+            .collect();
         assert_eq!(
             proved,
             [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Misdirected]
@@ -130,14 +132,17 @@
     #[test]
     fn what_is_out_may_run() {
         let mut fate = AttemptLog::default();
-        assert_eq!(fate.verdict(Idempotency::NonIdempotent), RetrySafety::Harmless);
-        fate.sent(0, ServerId(1), 5.0);
-        assert_eq!((fate.verdict(Idempotency::NonIdempotent), fate.ran()), (RetrySafety::Unknown, None));
-        assert!(fate.is_out_at(ServerId(1)) && !fate.is_out_at(ServerId(2)));
-        fate.ended(AttemptNumber(0), Outcome::Misdirected);
-        assert_eq!(fate.verdict(Idempotency::NonIdempotent), RetrySafety::Harmless);
-        fate.ended(AttemptNumber(0), Outcome::Timeout); // it has ended before
-        assert_eq!(fate.verdict(Idempotency::NonIdempotent), RetrySafety::Harmless);
+        assert_eq!(fate.retry_safety(Idempotency::NonIdempotent), RetrySafety::Safe);
+        fate.record_sent(0, ServerId(1), 5.0);
+        assert_eq!(
+            (fate.retry_safety(Idempotency::NonIdempotent), fate.first_possible_execution()),
+            (RetrySafety::Unknown, None)
+        );
+        assert!(fate.is_in_flight_at(ServerId(1)) && !fate.is_in_flight_at(ServerId(2)));
+        fate.record_ended(AttemptNumber(0), Outcome::Misdirected);
+        assert_eq!(fate.retry_safety(Idempotency::NonIdempotent), RetrySafety::Safe);
+        fate.record_ended(AttemptNumber(0), Outcome::Timeout); // it has ended before
+        assert_eq!(fate.retry_safety(Idempotency::NonIdempotent), RetrySafety::Safe);
     }
 
     proptest! {
@@ -147,12 +152,13 @@
             let mut fate = AttemptLog::default();
             let mut doubted = false;
             for (n, end) in ends.iter().enumerate() {
-                fate.sent(n as u32, ServerId(n as u32), n as f64);
-                fate.ended(AttemptNumber(n as u32), ALL[*end]);
+                fate.record_sent(n as u32, ServerId(n as u32), n as f64);
+                fate.record_ended(AttemptNumber(n as u32), ALL[*end]);
                 doubted |= !ALL[*end].rules_out_execution();
-                prop_assert_eq!(fate.verdict(Idempotency::NonIdempotent) == RetrySafety::Unknown, doubted);
-                prop_assert_eq!(fate.ran().is_some(), doubted);
-                prop_assert_eq!(fate.verdict(Idempotency::Idempotent), RetrySafety::Harmless);
+                let safety = fate.retry_safety(Idempotency::NonIdempotent);
+                prop_assert_eq!(safety == RetrySafety::Unknown, doubted);
+                prop_assert_eq!(fate.first_possible_execution().is_some(), doubted);
+                prop_assert_eq!(fate.retry_safety(Idempotency::Idempotent), RetrySafety::Safe);
             }
         }
     }
--- a/core/src/failover/failover_duration.rs
+++ b/core/src/failover/failover_duration.rs
@@ -45,7 +45,7 @@
     }
 
     /// Learns how long a change took, in s.
-    pub fn learn(&mut self, change: FailoverKind, took: f64) {
+    pub fn record(&mut self, change: FailoverKind, took: f64) {
         if !took.is_finite() || took < 0.0 {
             return;
         }
@@ -57,7 +57,7 @@
     }
 
     /// The outlook on a change of a kind that has lasted so many seconds.
-    pub fn outlook(&self, change: FailoverKind, elapsed: f64) -> RecoveryForecast<'_> {
+    pub fn forecast(&self, change: FailoverKind, elapsed: f64) -> RecoveryForecast<'_> {
         let sample = match change {
             FailoverKind::Planned => &self.planned[..],
             FailoverKind::Unplanned => &self.unplanned[..],
@@ -72,18 +72,18 @@
 
     /// The durations of a kind, oldest first.
     pub fn sample(&self, change: FailoverKind) -> &[f64] {
-        self.outlook(change, 0.0).sample
+        self.forecast(change, 0.0).sample
     }
 
     /// Takes over what another process has learned.
-    pub fn recall(&mut self, change: FailoverKind, sample: &[f64]) {
-        sample.iter().for_each(|took| self.learn(change, *took));
+    pub fn restore(&mut self, change: FailoverKind, sample: &[f64]) {
+        sample.iter().for_each(|took| self.record(change, *took));
     }
 }
 
 impl RecoveryForecast<'_> {
     /// The chance that it ends within so many seconds from now.
-    pub fn chance(&self, within: f64) -> f64 {
+    pub fn chance_within(&self, within: f64) -> f64 {
         if within <= 0.0 {
             return 0.0;
         }
@@ -96,7 +96,7 @@
     }
 
     /// The time from now by which the given share of such changes has ended, in s.
-    pub fn within(&self, share: f64) -> f64 {
+    pub fn quantile(&self, share: f64) -> f64 {
         let mut longer: Vec<f64> = self.sample.iter().copied().filter(|d| *d > self.elapsed).collect();
         longer.sort_by(f64::total_cmp);
         let rank = (share.clamp(0.0, 1.0) * longer.len() as f64).ceil() as usize;
@@ -116,27 +116,27 @@
     #[test]
     fn what_was_seen_takes_the_place_of_the_guess() {
         let mut forecast = FailoverDurations::default();
-        assert!((forecast.outlook(FailoverKind::Unplanned, 0.0).within(0.5) - 4.5).abs() < 1e-9);
+        assert!((forecast.forecast(FailoverKind::Unplanned, 0.0).quantile(0.5) - 4.5).abs() < 1e-9);
         for n in 0..KEPT {
-            forecast.learn(FailoverKind::Unplanned, 1.0 + n as f64 / 100.0);
+            forecast.record(FailoverKind::Unplanned, 1.0 + n as f64 / 100.0);
         }
-        let outlook = forecast.outlook(FailoverKind::Unplanned, 0.5);
-        assert!((0.4..0.8).contains(&outlook.within(0.5)), "{}", outlook.within(0.5));
-        assert!(outlook.chance(1.0) > 0.9 && outlook.chance(0.2) < 0.1);
+        let outlook = forecast.forecast(FailoverKind::Unplanned, 0.5);
+        assert!((0.4..0.8).contains(&outlook.quantile(0.5)), "{}", outlook.quantile(0.5));
+        assert!(outlook.chance_within(1.0) > 0.9 && outlook.chance_within(0.2) < 0.1);
         assert_eq!(forecast.sample(FailoverKind::Planned).len(), GUESS_PLANNED.len(), "kinds are apart");
     }
 
     #[test]
     fn a_change_that_outlasts_all_is_not_promised_soon() {
-        let outlook = FailoverDurations::default().outlook(FailoverKind::Planned, 30.0).within(0.5);
+        let outlook = FailoverDurations::default().forecast(FailoverKind::Planned, 30.0).quantile(0.5);
         assert!((outlook - 30.0).abs() < 1e-9);
-        assert!(FailoverDurations::default().outlook(FailoverKind::Planned, 30.0).chance(1.0) < 0.1);
+        assert!(FailoverDurations::default().forecast(FailoverKind::Planned, 30.0).chance_within(1.0) < 0.1);
     }
 
     #[test]
     fn nonsense_is_not_learned() {
         let mut forecast = FailoverDurations::default();
-        [f64::NAN, f64::INFINITY, -1.0].into_iter().for_each(|d| forecast.learn(FailoverKind::Planned, d));
+        [f64::NAN, f64::INFINITY, -1.0].into_iter().for_each(|d| forecast.record(FailoverKind::Planned, d));
         assert_eq!(forecast, FailoverDurations::default());
     }
 
@@ -148,12 +148,12 @@
             a in 0.0..30.0f64, b in 0.0..30.0f64,
         ) {
             let mut forecast = FailoverDurations::default();
-            forecast.recall(FailoverKind::Unplanned, &sample);
+            forecast.restore(FailoverKind::Unplanned, &sample);
             prop_assert!(forecast.sample(FailoverKind::Unplanned).len() <= KEPT);
-            let outlook = forecast.outlook(FailoverKind::Unplanned, elapsed);
-            let (less, more) = (outlook.chance(a.min(b)), outlook.chance(a.max(b)));
+            let outlook = forecast.forecast(FailoverKind::Unplanned, elapsed);
+            let (less, more) = (outlook.chance_within(a.min(b)), outlook.chance_within(a.max(b)));
             prop_assert!((0.0..=1.0).contains(&less) && less <= more + 1e-12 && more <= 1.0);
-            prop_assert!(outlook.within(0.5) <= outlook.within(0.9) && outlook.within(0.5) >= 0.0);
+            prop_assert!(outlook.quantile(0.5) <= outlook.quantile(0.9) && outlook.quantile(0.5) >= 0.0);
         }
     }
 }
--- a/core/src/failover/failure_detector.rs
+++ b/core/src/failover/failure_detector.rs
@@ -32,7 +32,7 @@
 
 impl ResponseTimes {
     /// An answer came after so many seconds.
-    pub fn learn(&mut self, took: f64) {
+    pub fn record(&mut self, took: f64) {
         if !took.is_finite() || took < 0.0 {
             return;
         }
@@ -50,29 +50,29 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SilenceThreshold {
     /// How long an answer takes as a rule where none has come yet, in s.
-    pub usual: f64,
+    pub typical_response_secs: f64,
     /// How much slower it is than its set is as a rule, because it is cold.
-    pub slow: f64,
+    pub slowdown: f64,
     /// Usual times that are waited for.
-    pub times: f64,
+    pub suspicion_factor: f64,
     /// Attempts whose answers it owes.
-    pub owed: usize,
+    pub unanswered: usize,
 }
 
 impl SilenceThreshold {
     /// Silence in s from which on writes are held.
-    pub fn bound(&self, pulse: ResponseTimes) -> f64 {
+    pub fn threshold_secs(&self, pulse: ResponseTimes) -> f64 {
         let own = (pulse.answers / OWN_AFTER).min(1.0);
-        let mean = self.usual + own * (pulse.mean - self.usual);
-        let dev = self.usual / 2.0 + own * (pulse.dev - self.usual / 2.0);
-        let alone = (WITNESSES / self.owed.max(1) as f64).max(1.0);
-        (self.slow * alone * (self.times * mean + DEVIATIONS * dev)).clamp(LEAST, MOST)
+        let mean = self.typical_response_secs + own * (pulse.mean - self.typical_response_secs);
+        let dev = self.typical_response_secs / 2.0 + own * (pulse.dev - self.typical_response_secs / 2.0);
+        let alone = (WITNESSES / self.unanswered.max(1) as f64).max(1.0);
+        (self.slowdown * alone * (self.suspicion_factor * mean + DEVIATIONS * dev)).clamp(LEAST, MOST)
     }
 
     /// When, if nothing is heard, the primary is suspected: it was last heard at `heard`, and the oldest
     /// attempt that it has not answered was sent at `oldest`. Never where it owes nothing.
     pub fn suspects_at(&self, pulse: ResponseTimes, heard: f64, oldest: Option<f64>) -> Option<f64> {
-        Some(oldest?.max(heard) + self.bound(pulse))
+        Some(oldest?.max(heard) + self.threshold_secs(pulse))
     }
 }
 
@@ -80,11 +80,12 @@
 mod tests {
     use super::*;
 
-    const PATIENCE: SilenceThreshold = SilenceThreshold { usual: 0.1, slow: 1.0, times: 1.25, owed: 3 };
+    const PATIENCE: SilenceThreshold =
+        SilenceThreshold { typical_response_secs: 0.1, slowdown: 1.0, suspicion_factor: 1.25, unanswered: 3 };
 
     fn steady(took: f64) -> ResponseTimes {
         let mut pulse = ResponseTimes::default();
-        (0..100).for_each(|_| pulse.learn(took));
+        (0..100).for_each(|_| pulse.record(took));
         pulse
     }
 
@@ -92,7 +93,7 @@
     fn silence_counts_only_where_an_answer_is_owed() {
         let pulse = steady(0.08);
         assert_eq!(PATIENCE.suspects_at(pulse, 5.0, None), None);
-        let bound = PATIENCE.bound(pulse);
+        let bound = PATIENCE.threshold_secs(pulse);
         assert!((bound - 0.1).abs() < 1e-6, "{bound}");
         assert_eq!(
             PATIENCE.suspects_at(pulse, 5.0, Some(4.0)),
@@ -105,39 +106,52 @@
     #[test]
     fn the_bound_follows_answers_and_their_spread() {
         let mut pulse = steady(0.08);
-        (0..50).for_each(|n| pulse.learn(if n % 2 == 0 { 0.06 } else { 0.1 }));
-        assert!(PATIENCE.bound(pulse) > 0.15, "{}", PATIENCE.bound(pulse));
-        assert!((SilenceThreshold { slow: 2.0, ..PATIENCE }.bound(steady(0.08)) - 0.2).abs() < 1e-6);
-        assert!((PATIENCE.bound(ResponseTimes::default()) - 0.275).abs() < 1e-9, "a guess is generous");
+        (0..50).for_each(|n| pulse.record(if n % 2 == 0 { 0.06 } else { 0.1 }));
+        assert!(PATIENCE.threshold_secs(pulse) > 0.15, "{}", PATIENCE.threshold_secs(pulse));
+        assert!(
+            (SilenceThreshold { slowdown: 2.0, ..PATIENCE }.threshold_secs(steady(0.08)) - 0.2).abs() < 1e-6
+        );
+        assert!(
+            (PATIENCE.threshold_secs(ResponseTimes::default()) - 0.275).abs() < 1e-9,
+            "a guess is generous"
+        );
     }
 
     #[test]
     fn one_late_answer_says_less_than_several() {
         // Found on join+vast: 100 proxies that each had one request out suspected 1,006 primaries in 5 s, all
         // sound.
-        let one = SilenceThreshold { owed: 1, ..PATIENCE };
-        assert!((one.bound(steady(0.08)) - 0.3).abs() < 1e-6, "{}", one.bound(steady(0.08)));
+        let one = SilenceThreshold { unanswered: 1, ..PATIENCE };
+        assert!(
+            (one.threshold_secs(steady(0.08)) - 0.3).abs() < 1e-6,
+            "{}",
+            one.threshold_secs(steady(0.08))
+        );
         assert_eq!(
-            SilenceThreshold { owed: 9, ..PATIENCE }.bound(steady(0.08)),
-            PATIENCE.bound(steady(0.08))
+            SilenceThreshold { unanswered: 9, ..PATIENCE }.threshold_secs(steady(0.08)),
+            PATIENCE.threshold_secs(steady(0.08))
         );
     }
 
     #[test]
     fn one_quick_answer_makes_no_bound() {
         let mut pulse = ResponseTimes::default();
-        pulse.learn(0.005);
-        assert!(PATIENCE.bound(pulse) > 0.2, "{}", PATIENCE.bound(pulse));
-        (0..9).for_each(|_| pulse.learn(0.08));
-        assert!(PATIENCE.bound(pulse) < 0.25, "it has told its own time by now: {}", PATIENCE.bound(pulse));
+        pulse.record(0.005);
+        assert!(PATIENCE.threshold_secs(pulse) > 0.2, "{}", PATIENCE.threshold_secs(pulse));
+        (0..9).for_each(|_| pulse.record(0.08));
+        assert!(
+            PATIENCE.threshold_secs(pulse) < 0.25,
+            "it has told its own time by now: {}",
+            PATIENCE.threshold_secs(pulse)
+        );
     }
 
     #[test]
     fn the_bound_is_held_within_reason() {
-        assert_eq!(PATIENCE.bound(steady(1e-4)), LEAST);
-        assert_eq!(PATIENCE.bound(steady(9.0)), MOST);
+        assert_eq!(PATIENCE.threshold_secs(steady(1e-4)), LEAST);
+        assert_eq!(PATIENCE.threshold_secs(steady(9.0)), MOST);
         let mut pulse = steady(0.08);
-        [f64::NAN, f64::INFINITY, -1.0].into_iter().for_each(|took| pulse.learn(took));
+        [f64::NAN, f64::INFINITY, -1.0].into_iter().for_each(|took| pulse.record(took));
         assert_eq!(pulse, steady(0.08));
     }
 }
--- a/core/src/failover/mod.rs
+++ b/core/src/failover/mod.rs
@@ -23,6 +23,6 @@
 pub use failure_detector::{ResponseTimes, SilenceThreshold};
 pub use phase::{Phase, PhaseInput};
 pub use primary_tracker::{ClaimVerdict, PrimaryClaim, PrimaryTracker, RoleEvidence};
-pub(crate) use replica_set::ASK_SILENT;
+pub(crate) use replica_set::MAX_SILENCE_TO_ASK;
 pub use replica_set::{PrimaryObservation, ReplicaSet};
-pub use write_buffer::{hint, BufferDecision, BufferUsage, BufferedWrite};
+pub use write_buffer::{retry_after_hint, BufferDecision, BufferUsage, BufferedWrite};
--- a/core/src/failover/replica_set.rs
+++ b/core/src/failover/replica_set.rs
@@ -13,7 +13,7 @@
 /// Time in s between two writes that ask members who the primary is, within a round.
 const ASK_NEXT: f64 = 0.01;
 /// A member that has owed an answer for so many s is not asked: what would be asked of it may hang with it.
-pub(crate) const ASK_SILENT: f64 = 0.15;
+pub(crate) const MAX_SILENCE_TO_ASK: f64 = 0.15;
 /// Pauses in s between rounds of asking: as a rule, and once changes of the kind have been known to end.
 const ASK_PAUSE: (f64, f64) = (0.1, 0.03);
 /// Part of the shortest known change after which its end may be near.
@@ -30,15 +30,15 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrimaryObservation {
     /// When it last answered.
-    pub heard: f64,
+    pub last_response: f64,
     /// When the oldest attempt was sent that it owes an answer to.
-    pub oldest: Option<f64>,
+    pub oldest_unanswered: Option<f64>,
     /// It is taken to be down.
-    pub down: bool,
+    pub is_down: bool,
     /// How long it may be silent.
-    pub patience: SilenceThreshold,
+    pub silence_threshold: SilenceThreshold,
     /// Writes that wait for it.
-    pub waiting: usize,
+    pub queued_writes: usize,
 }
 
 /// Changes of its own from which on a set's forecast goes by these alone.
@@ -106,7 +106,7 @@
     }
 
     /// The server that writes may go to now.
-    pub fn takes_writes(&self) -> Option<ServerId> {
+    pub fn writable_primary(&self) -> Option<ServerId> {
         let claim = self.primacy.claim().filter(|claim| claim.lost.is_none() && self.phase.takes_writes());
         claim.map(|claim| claim.server)
     }
@@ -127,7 +127,7 @@
     }
 
     /// A server says that it is the primary; see [`Primacy::claims`].
-    pub fn claims(
+    pub fn primary_claimed(
         &mut self,
         server: ServerId,
         at: f64,
@@ -158,14 +158,19 @@
     }
 
     /// The list names a server as the primary; see [`Primacy::listed`].
-    pub fn listed(&mut self, server: ServerId, now: f64, forecast: &mut FailoverDurations) -> ClaimVerdict {
+    pub fn primary_listed(
+        &mut self,
+        server: ServerId,
+        now: f64,
+        forecast: &mut FailoverDurations,
+    ) -> ClaimVerdict {
         let old = self.primacy.claim().copied();
         let first = old.is_none() && self.primacy.epoch() == 0;
         let ruling = self.primacy.listed(server, now);
         match ruling {
             ClaimVerdict::Accepted if first => {}
             ClaimVerdict::Accepted => self.accepted(old, now, forecast),
-            ClaimVerdict::Stale if self.takes_writes().is_none() => self.cursor = Some(server),
+            ClaimVerdict::Stale if self.writable_primary().is_none() => self.cursor = Some(server),
             _ => {}
         }
         ruling
@@ -173,8 +178,8 @@
 
     fn accepted(&mut self, old: Option<PrimaryClaim>, now: f64, forecast: &mut FailoverDurations) {
         if let (Some(change), Some(began)) = (self.phase.change(), self.phase.began()) {
-            forecast.learn(change, now - began);
-            self.own.learn(change, now - began);
+            forecast.record(change, now - began);
+            self.own.record(change, now - began);
         }
         if let Some(old) = old {
             self.before = Some((old.server, old.lost.is_some()));
@@ -190,14 +195,14 @@
     }
 
     /// A server says that it is no primary; `at` is when that was heard.
-    pub fn denies(&mut self, server: ServerId, at: f64) {
+    pub fn primary_denied(&mut self, server: ServerId, at: f64) {
         if self.primacy.denies(server, at) {
             self.input(PhaseInput::Denied(at));
         }
     }
 
     /// A server was heard at `at`: what it says of its role, if anything. See [`Primacy::claims`].
-    pub fn heard(
+    pub fn role_reported(
         &mut self,
         server: ServerId,
         primary: Option<bool>,
@@ -208,32 +213,32 @@
     ) {
         match primary {
             Some(true) => {
-                self.claims(server, at, sent, now, forecast);
+                self.primary_claimed(server, at, sent, now, forecast);
             }
-            Some(false) => self.denies(server, at),
+            Some(false) => self.primary_denied(server, at),
             None => {}
         }
     }
 
     /// A server answered what was sent to it at this time, so many seconds after. What the primary serves
     /// tells its pulse.
-    pub fn answered(&mut self, server: ServerId, outcome: Outcome, sent: f64, took: f64) {
+    pub fn response_received(&mut self, server: ServerId, outcome: Outcome, sent: f64, took: f64) {
         if outcome == Outcome::Success && self.primary() == Some(server) {
-            self.pulse.learn(took);
+            self.pulse.record(took);
             self.overtaken = self.overtaken.max(sent);
         }
     }
 
     /// Whether the primary owes an answer to what was sent at this time, so that its silence says something.
     /// One slow request that others have overtaken is no sign of a hang.
-    pub fn is_owed(&self, sent: f64) -> bool {
+    pub fn is_response_owed(&self, sent: f64) -> bool {
         sent > self.overtaken
     }
 
     /// A write that was sent to a server at this time has ended; `served` if by an answer. Gives the primary
     /// before it where that fell silent and this is the first one served since: what is still out there has
     /// no answer to come.
-    pub fn ended(&mut self, server: ServerId, sent: f64, served: bool) -> Option<ServerId> {
+    pub fn write_ended(&mut self, server: ServerId, sent: f64, served: bool) -> Option<ServerId> {
         self.release.ended(sent, served);
         if !served || self.primacy.primary() != Some(server) {
             return None;
@@ -244,7 +249,7 @@
     }
 
     /// A server drains, is out by hand or gone.
-    pub fn withdraws(&mut self, server: ServerId, now: f64, drains: bool) {
+    pub fn server_withdrawn(&mut self, server: ServerId, now: f64, drains: bool) {
         if self.primacy.withdraw(server) {
             self.draining = Some(server);
             self.input(if drains { PhaseInput::Drains(now) } else { PhaseInput::Lost(now) });
@@ -252,29 +257,31 @@
     }
 
     /// Drops what is known of servers that are no members any more. A primary that is none has gone.
-    pub fn retain(&mut self, now: f64, is_member: impl Fn(ServerId) -> bool) {
+    pub fn retain_members(&mut self, now: f64, is_member: impl Fn(ServerId) -> bool) {
         if let Some(gone) = self.primary().filter(|primary| !is_member(*primary)) {
-            self.withdraws(gone, now, false);
+            self.server_withdrawn(gone, now, false);
         }
         self.primacy.retain(is_member);
     }
 
     /// The server whose silence matters: the primary, or the one that drains.
-    pub fn watched(&self) -> Option<ServerId> {
+    pub fn watched_primary(&self) -> Option<ServerId> {
         self.primary().or(self.draining)
     }
 
     /// Looks at [`Self::watched`]. To be called at each step, with what is seen of it. Gives the name of the
     /// phase where it is another since the last look.
-    pub fn watch(&mut self, now: f64, sight: &PrimaryObservation) -> Option<&'static str> {
-        let oldest = sight.oldest;
+    pub fn observe_primary(&mut self, now: f64, sight: &PrimaryObservation) -> Option<&'static str> {
+        let oldest = sight.oldest_unanswered;
         // One that was never heard has been primary since its claim.
-        let heard = self.primacy.claim().map_or(sight.heard, |claim| claim.since.max(sight.heard));
+        let heard =
+            self.primacy.claim().map_or(sight.last_response, |claim| claim.since.max(sight.last_response));
         let since = oldest.map_or(heard, |oldest| oldest.max(heard));
-        let suspected = sight.patience.suspects_at(self.pulse, heard, oldest).is_some_and(|at| now >= at);
+        let suspected =
+            sight.silence_threshold.suspects_at(self.pulse, heard, oldest).is_some_and(|at| now >= at);
         let pulse = self.pulse;
-        let pause = || PAUSE_MOST.0.max(PAUSE_MOST.1 * sight.patience.bound(pulse));
-        if sight.down || (suspected && now - since > pause()) {
+        let pause = || PAUSE_MOST.0.max(PAUSE_MOST.1 * sight.silence_threshold.threshold_secs(pulse));
+        if sight.is_down || (suspected && now - since > pause()) {
             self.primacy.lose(now);
             self.input(PhaseInput::Lost(since));
         } else if suspected {
@@ -291,7 +298,7 @@
                 self.release = BufferRelease::new(now);
             }
         }
-        if self.phase == Phase::Settling && (sight.waiting == 0 || self.release.is_done()) {
+        if self.phase == Phase::Settling && (sight.queued_writes == 0 || self.release.is_done()) {
             self.input(PhaseInput::Settled);
         }
         let name = self.phase.name();
@@ -304,12 +311,12 @@
     }
 
     /// Whether the next place at the primary is for a read that needs it, while what was held goes out.
-    pub fn is_reads_turn(&self) -> bool {
+    pub fn is_read_turn(&self) -> bool {
         matches!(self.phase, Phase::Settling) && self.release.is_reads_turn()
     }
 
     /// A request went to a server; what goes to the primary takes a place of the release.
-    pub fn took_place(&mut self, server: ServerId, write: bool, now: f64) {
+    pub fn attempt_sent(&mut self, server: ServerId, write: bool, now: f64) {
         if self.primary() == Some(server) {
             self.next_canary = now + CANARY_EVERY;
             if !write {
@@ -321,18 +328,18 @@
     }
 
     /// Whether what waits goes out by its deadline, oldest first.
-    pub fn releases(&self) -> bool {
+    pub fn is_releasing(&self) -> bool {
         !matches!(self.phase, Phase::Steady)
     }
 
     /// A silent primary to which a read may be sent to see whether it answers.
-    pub fn canary(&self, now: f64) -> Option<ServerId> {
+    pub fn canary_target(&self, now: f64) -> Option<ServerId> {
         let silent = matches!(self.phase, Phase::Suspected { .. } | Phase::Without { .. });
         self.primary().filter(|_| silent && now >= self.next_canary)
     }
 
     /// Whether a write may ask members now who the primary is.
-    pub fn may_ask(&self, now: f64) -> bool {
+    pub fn may_ask_for_primary(&self, now: f64) -> bool {
         let lost = self.primacy.claim().is_none_or(|claim| claim.lost.is_some());
         lost && now >= self.next_ask
     }
@@ -341,13 +348,13 @@
     /// comes with the time in s for which it has owed an answer. None where the write has to wait. One that
     /// is silent is not asked, nor one that may not know that it was deposed, for it would take the write;
     /// the lost primary itself seldom, for the write's fate is at stake there.
-    pub fn ask(
+    pub fn next_to_ask(
         &mut self,
         members: &[(ServerId, f64)],
         now: f64,
         forecast: &FailoverDurations,
     ) -> Option<ServerId> {
-        if !self.may_ask(now) {
+        if !self.may_ask_for_primary(now) {
             return None;
         }
         let primary = self.primary();
@@ -359,7 +366,7 @@
         let from = self.cursor.unwrap_or_default();
         let may = |(m, silence): &&(ServerId, f64)| {
             let other = *m >= from && primary != Some(*m);
-            other && *silence < ASK_SILENT && self.primacy.may_be_asked(*m, now)
+            other && *silence < MAX_SILENCE_TO_ASK && self.primacy.may_be_asked(*m, now)
         };
         let member = members.iter().find(may).map(|(m, _)| *m);
         let shortest =
@@ -382,18 +389,22 @@
 
     /// When the set takes writes again, if it takes none now and that is no mere pause. `forecast` is that of
     /// all sets.
-    pub fn outlook<'f>(&'f self, now: f64, forecast: &'f FailoverDurations) -> Option<RecoveryForecast<'f>> {
-        if self.takes_writes().is_some() || matches!(self.phase, Phase::Suspected { .. }) {
+    pub fn recovery_forecast<'f>(
+        &'f self,
+        now: f64,
+        forecast: &'f FailoverDurations,
+    ) -> Option<RecoveryForecast<'f>> {
+        if self.writable_primary().is_some() || matches!(self.phase, Phase::Suspected { .. }) {
             return None;
         }
         // Before any change was seen, nobody knows a primary: as if one had just been lost.
         let change = self.phase.change().unwrap_or(FailoverKind::Unplanned);
         let elapsed = self.phase.began().map_or(0.0, |began| now - began);
-        Some(self.known(change, forecast).outlook(change, elapsed))
+        Some(self.known(change, forecast).forecast(change, elapsed))
     }
 
     /// What another process of this proxy must know of a server here.
-    pub fn news(&self, server: ServerId, now: f64) -> ReplicaSetSnapshot {
+    pub fn snapshot(&self, server: ServerId, now: f64) -> ReplicaSetSnapshot {
         let change = self.phase.change().zip(self.phase.began());
         ReplicaSetSnapshot {
             epoch: self.primacy.epoch(),
@@ -403,13 +414,13 @@
     }
 
     /// Takes over what another process knew.
-    pub fn recall(&mut self, server: ServerId, news: &ReplicaSetSnapshot, now: f64) {
+    pub fn restore(&mut self, server: ServerId, news: &ReplicaSetSnapshot, now: f64) {
         self.primacy.recall_epoch(news.epoch);
         if news.deposed {
             self.primacy.recall_deposed(server, now);
         }
         let Some((change, lasted)) = news.failover.filter(|_| self.phase == Phase::Steady) else { return };
-        if self.takes_writes().is_none() && lasted.is_finite() {
+        if self.writable_primary().is_none() && lasted.is_finite() {
             let since = now - lasted.max(0.0);
             self.phase = match change {
                 FailoverKind::Planned => Phase::HandingOver { since },
--- a/core/src/failover/write_buffer.rs
+++ b/core/src/failover/write_buffer.rs
@@ -17,7 +17,7 @@
 
 /// The hint for a client whose set is expected back after so many seconds: that time, but not more than the
 /// longest hint, nor a small part of it.
-pub fn hint(back: f64, longest: Duration) -> Duration {
+pub fn retry_after_hint(back: f64, longest: Duration) -> Duration {
     let part = back / longest.as_secs_f64().max(1e-9);
     longest.mul_f64(if part.is_finite() { part.clamp(HINT_LEAST, 1.0) } else { 1.0 })
 }
@@ -30,17 +30,17 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum BufferDecision {
     /// It waits on.
-    Held,
+    Keep,
     /// It is given up now: nothing ran. Come back after so many seconds.
-    Refused(f64),
+    Reject(f64),
 }
 
 impl BufferDecision {
     /// When to come back, if it is given up.
-    pub fn refused(self) -> Option<f64> {
+    pub fn retry_after_secs(self) -> Option<f64> {
         match self {
-            Self::Held => None,
-            Self::Refused(back) => Some(back),
+            Self::Keep => None,
+            Self::Reject(back) => Some(back),
         }
     }
 }
@@ -53,25 +53,25 @@
     /// When its time is up.
     pub deadline: f64,
     /// How long serving it takes.
-    pub takes: f64,
+    pub service_secs: f64,
     /// Some server has turned it away already, so that its way was not for nothing.
-    pub reached: bool,
+    pub was_declined: bool,
     /// When its set takes writes again.
-    pub outlook: RecoveryForecast<'f>,
+    pub forecast: RecoveryForecast<'f>,
 }
 
 impl BufferedWrite<'_> {
     /// Decides, at a time.
     pub fn decide(&self, now: f64, tuning: &FailoverSettings) -> BufferDecision {
-        let chance = self.outlook.chance(self.deadline - now - self.takes);
-        let past_half = !self.reached && now >= self.arrived + HALF * (self.deadline - self.arrived);
+        let chance = self.forecast.chance_within(self.deadline - now - self.service_secs);
+        let past_half = !self.was_declined && now >= self.arrived + HALF * (self.deadline - self.arrived);
         let least = if past_half { tuning.min_late_recovery_chance } else { tuning.min_recovery_chance };
         if chance < least {
-            BufferDecision::Refused(
-                self.outlook.within(0.5).min(BACK_WITHIN * (self.deadline - now).max(0.0)),
+            BufferDecision::Reject(
+                self.forecast.quantile(0.5).min(BACK_WITHIN * (self.deadline - now).max(0.0)),
             )
         } else {
-            BufferDecision::Held
+            BufferDecision::Keep
         }
     }
 }
@@ -86,7 +86,7 @@
 impl BufferUsage {
     /// Whether one more write, whose statement has so many bytes, may be held for a set. Its place is taken
     /// if so.
-    pub fn admits(&mut self, set: GroupId, bytes: u64, tuning: &FailoverSettings) -> bool {
+    pub fn try_reserve(&mut self, set: GroupId, bytes: u64, tuning: &FailoverSettings) -> bool {
         let mine = self.sets.entry(set).or_default();
         let share = |most: f64| (most * tuning.max_share_per_set).max(1.0);
         let fits = self.all.0 < tuning.max_buffered_writes
@@ -109,50 +109,68 @@
 
     fn at(now: f64, elapsed: f64) -> BufferDecision {
         let mut forecast = FailoverDurations::default();
-        forecast.recall(FailoverKind::Unplanned, &[4.0; 24]);
-        let outlook = forecast.outlook(FailoverKind::Unplanned, elapsed);
-        BufferedWrite { arrived: 100.0, deadline: 103.0, takes: 0.1, reached: false, outlook }
-            .decide(now, &FailoverSettings { min_recovery_chance: 0.03, ..FailoverSettings::default() })
+        forecast.restore(FailoverKind::Unplanned, &[4.0; 24]);
+        let outlook = forecast.forecast(FailoverKind::Unplanned, elapsed);
+        BufferedWrite {
+            arrived: 100.0,
+            deadline: 103.0,
+            service_secs: 0.1,
+            was_declined: false,
+            forecast: outlook,
+        }
+        .decide(now, &FailoverSettings { min_recovery_chance: 0.03, ..FailoverSettings::default() })
     }
 
     #[test]
     fn hope_decides_between_holding_and_refusing() {
         assert!(
-            matches!(at(100.0, 0.0), BufferDecision::Refused(hint) if (hint - 0.45).abs() < 1e-9),
+            matches!(at(100.0, 0.0), BufferDecision::Reject(after) if (after - 0.45).abs() < 1e-9),
             "it lasts 4 s"
         );
-        assert_eq!(at(100.0, 2.0), BufferDecision::Held, "2 s are left of it");
-        assert_eq!(at(101.6, 3.6), BufferDecision::Held, "past half, but it is all but over");
-        assert!(matches!(at(101.6, 1.0), BufferDecision::Refused(_)), "past half, and 3 s are left");
+        assert_eq!(at(100.0, 2.0), BufferDecision::Keep, "2 s are left of it");
+        assert_eq!(at(101.6, 3.6), BufferDecision::Keep, "past half, but it is all but over");
+        assert!(matches!(at(101.6, 1.0), BufferDecision::Reject(_)), "past half, and 3 s are left");
     }
 
     #[test]
     fn what_a_server_has_turned_away_is_held_while_there_is_any_hope() {
         let forecast = FailoverDurations::default();
-        let outlook = forecast.outlook(FailoverKind::Unplanned, 2.0);
-        let hold = BufferedWrite { arrived: 100.0, deadline: 103.0, takes: 0.1, reached: true, outlook };
-        assert_eq!(hold.decide(101.6, &FailoverSettings::default()), BufferDecision::Held);
-        assert!(matches!(hold.decide(102.9, &FailoverSettings::default()), BufferDecision::Refused(_)));
+        let outlook = forecast.forecast(FailoverKind::Unplanned, 2.0);
+        let hold = BufferedWrite {
+            arrived: 100.0,
+            deadline: 103.0,
+            service_secs: 0.1,
+            was_declined: true,
+            forecast: outlook,
+        };
+        assert_eq!(hold.decide(101.6, &FailoverSettings::default()), BufferDecision::Keep);
+        assert!(matches!(hold.decide(102.9, &FailoverSettings::default()), BufferDecision::Reject(_)));
     }
 
     #[test]
     fn without_a_sample_a_write_is_held_for_half_its_time() {
         let forecast = FailoverDurations::default();
         let decide = |now: f64| {
-            let outlook = forecast.outlook(FailoverKind::Unplanned, now - 100.0);
-            BufferedWrite { arrived: 100.0, deadline: 103.0, takes: 0.1, reached: false, outlook }
-                .decide(now, &FailoverSettings::default())
+            let outlook = forecast.forecast(FailoverKind::Unplanned, now - 100.0);
+            BufferedWrite {
+                arrived: 100.0,
+                deadline: 103.0,
+                service_secs: 0.1,
+                was_declined: false,
+                forecast: outlook,
+            }
+            .decide(now, &FailoverSettings::default())
         };
-        assert_eq!((decide(100.0), decide(101.4)), (BufferDecision::Held, BufferDecision::Held));
-        assert!(matches!(decide(101.5), BufferDecision::Refused(_)));
+        assert_eq!((decide(100.0), decide(101.4)), (BufferDecision::Keep, BufferDecision::Keep));
+        assert!(matches!(decide(101.5), BufferDecision::Reject(_)));
     }
 
     #[test]
     fn a_hint_is_the_time_expected_within_bounds() {
         let ms = Duration::from_millis;
-        let hints = [0.3, 9.0, 0.0, f64::INFINITY].map(|back| hint(back, ms(500)));
+        let hints = [0.3, 9.0, 0.0, f64::INFINITY].map(|back| retry_after_hint(back, ms(500)));
         assert_eq!(hints, [ms(300), ms(500), ms(100), ms(500)]);
-        assert_eq!(hint(1.0, Duration::ZERO), Duration::ZERO);
+        assert_eq!(retry_after_hint(1.0, Duration::ZERO), Duration::ZERO);
     }
 
     #[test]
@@ -163,11 +181,13 @@
             ..FailoverSettings::default()
         };
         let mut holding = BufferUsage::default();
-        let first: Vec<_> = (0..8).map(|_| holding.admits(GroupId(1), 10, &tuning)).collect();
+        let first: Vec<_> = (0..8).map(|_| holding.try_reserve(GroupId(1), 10, &tuning)).collect();
         assert_eq!(first.iter().filter(|held| **held).count(), 5);
-        assert!(!holding.admits(GroupId(2), 501, &tuning), "half of the bytes are a set's");
-        assert!(holding.admits(GroupId(2), 500, &tuning));
-        assert!(!holding.admits(GroupId(3), 451, &tuning) && holding.admits(GroupId(3), 450, &tuning));
-        assert!(!holding.admits(GroupId(4), u64::MAX, &tuning), "a claim of any size is only counted");
+        assert!(!holding.try_reserve(GroupId(2), 501, &tuning), "half of the bytes are a set's");
+        assert!(holding.try_reserve(GroupId(2), 500, &tuning));
+        assert!(
+            !holding.try_reserve(GroupId(3), 451, &tuning) && holding.try_reserve(GroupId(3), 450, &tuning)
+        );
+        assert!(!holding.try_reserve(GroupId(4), u64::MAX, &tuning), "a claim of any size is only counted");
     }
 }
--- a/core/src/graceful_shutdown.rs
+++ b/core/src/graceful_shutdown.rs
@@ -14,13 +14,13 @@
 use std::time::Duration;
 
 /// Time after the word for which the front still sends new connections.
-pub const NOTICE: Duration = Duration::from_millis(450);
+pub const NOTICE_PERIOD: Duration = Duration::from_millis(450);
 /// Part of the time between the word and the end for which connections are kept as before.
 const KEPT: f64 = 0.5;
 /// Time after a connection was let go in which a client whose query crossed that comes again.
-pub const RETURNS_WITHIN: Duration = Duration::from_millis(250);
+pub const RETURN_GRACE_PERIOD: Duration = Duration::from_millis(250);
 /// Time in which a connection that has asked nothing yet is owed the chance to, from when it came.
-pub const ASKS_WITHIN: Duration = Duration::from_secs(1);
+pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// What the platform waits for at the most, beside the notice and the time to settle: the longest deadline,
 /// counted as this where it is longer.
 const LONGEST: Duration = Duration::from_secs(3);
@@ -33,9 +33,9 @@
     /// All goes on as before.
     Notice,
     /// Connections end as soon as they stand between requests. New ones are taken, each for a request.
-    Leaving,
+    Draining,
     /// The door is to be closed; what stands in its queue is taken in, each for a request.
-    Closing,
+    ListenerClosing,
     /// Nothing is owed any more, or the time is up.
     AttemptEnded,
 }
@@ -44,11 +44,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IdleState {
     /// It has asked nothing yet.
-    Silent,
+    NoRequestYet,
     /// All that it asked was answered.
-    Between,
+    BetweenRequests,
     /// A part of a message has come.
-    Begun,
+    PartialMessage,
 }
 
 /// The course of one process's end.
@@ -57,14 +57,14 @@
     told: Duration,
     /// When connections begin to be let go.
     leaves: Duration,
-    ends: Duration,
+    deadline: Duration,
     connected: usize,
     /// When the last connection was let go.
     last_left: Duration,
     /// A successor has the door's queue and takes over connections.
     handed: bool,
     /// The door is closed, and what stood in its queue was taken in.
-    shut: bool,
+    listener_closed: bool,
 }
 
 impl GracefulShutdown {
@@ -72,74 +72,86 @@
     /// the process had stood still for a while: the word may have waited for as long, and so long less is
     /// left.
     pub fn new(told: Duration, longest: Duration, connected: usize, stood: Duration) -> Self {
-        let ends = told + NOTICE + longest.min(LONGEST) + SETTLE;
-        let kept = (ends - told).mul_f64(KEPT).max(NOTICE).saturating_sub(stood);
-        Self { told, leaves: told + kept, ends, connected, last_left: told, handed: false, shut: false }
+        let ends = told + NOTICE_PERIOD + longest.min(LONGEST) + SETTLE;
+        let kept = (ends - told).mul_f64(KEPT).max(NOTICE_PERIOD).saturating_sub(stood);
+        Self {
+            told,
+            leaves: told + kept,
+            deadline: ends,
+            connected,
+            last_left: told,
+            handed: false,
+            listener_closed: false,
+        }
     }
 
     /// When the time is up.
-    pub fn ends(&self) -> Duration {
-        self.ends
+    pub fn deadline(&self) -> Duration {
+        self.deadline
     }
 
     /// A connection was taken in.
-    pub fn came(&mut self) {
+    pub fn connection_opened(&mut self) {
         self.connected += 1;
     }
 
     /// A connection is gone.
-    pub fn left(&mut self, now: Duration) {
+    pub fn connection_closed(&mut self, now: Duration) {
         self.connected = self.connected.saturating_sub(1);
         self.last_left = now;
     }
 
     /// Whether a successor has the queue and takes connections over.
-    pub fn set_handed(&mut self, handed: bool) {
+    pub fn set_handed_over(&mut self, handed: bool) {
         self.handed = handed;
     }
 
     /// The door is closed, and its queue is empty.
-    pub fn shut(&mut self) {
-        self.shut = true;
+    pub fn listener_closed(&mut self) {
+        self.listener_closed = true;
     }
 
     /// How far it has come.
     pub fn phase(&self, now: Duration) -> ShutdownPhase {
         match () {
-            () if now >= self.ends || (self.shut && self.connected == 0) => ShutdownPhase::AttemptEnded,
-            () if self.handed || self.shut => ShutdownPhase::Closing,
-            () if self.connected == 0 && now >= self.quiet() => ShutdownPhase::Closing,
+            () if now >= self.deadline || (self.listener_closed && self.connected == 0) => {
+                ShutdownPhase::AttemptEnded
+            }
+            () if self.handed || self.listener_closed => ShutdownPhase::ListenerClosing,
+            () if self.connected == 0 && now >= self.quiet() => ShutdownPhase::ListenerClosing,
             () if now < self.leaves => ShutdownPhase::Notice,
-            () => ShutdownPhase::Leaving,
+            () => ShutdownPhase::Draining,
         }
     }
 
     /// When the phase changes without anything else happening.
-    pub fn next(&self, now: Duration) -> Duration {
-        let times = [self.leaves, self.quiet(), self.ends];
-        times.into_iter().filter(|at| *at > now).min().unwrap_or(self.ends)
+    pub fn next_transition(&self, now: Duration) -> Duration {
+        let times = [self.leaves, self.quiet(), self.deadline];
+        times.into_iter().filter(|at| *at > now).min().unwrap_or(self.deadline)
     }
 
     /// Until when a connection may stand so that came at `since`; past it, it ends, but only once it was seen
     /// that nothing of it lies unread. None where only the rules of service bound it.
-    pub fn stands_until(&self, standing: IdleState, since: Duration) -> Option<Duration> {
+    pub fn idle_deadline(&self, standing: IdleState, since: Duration) -> Option<Duration> {
         match standing {
-            IdleState::Begun => None,
+            IdleState::PartialMessage => None,
             // A successor goes on with what has asked nothing as well.
             _ if self.handed => Some(self.told),
-            IdleState::Between => Some(self.leaves),
-            IdleState::Silent => Some((since + ASKS_WITHIN).max(self.leaves).min(self.ends)),
+            IdleState::BetweenRequests => Some(self.leaves),
+            IdleState::NoRequestYet => {
+                Some((since + FIRST_REQUEST_TIMEOUT).max(self.leaves).min(self.deadline))
+            }
         }
     }
 
     /// How much of the time that its client waits a request may take that comes now: it is over before the
     /// process is.
-    pub fn time_left(&self, now: Duration, wanted: Duration) -> Duration {
-        wanted.min((self.ends - SETTLE / 3).saturating_sub(now))
+    pub fn request_time_left(&self, now: Duration, wanted: Duration) -> Duration {
+        wanted.min((self.deadline - SETTLE / 3).saturating_sub(now))
     }
 
     /// When nobody returns any more, if none comes before.
     fn quiet(&self) -> Duration {
-        self.last_left.max(self.told + NOTICE.min(self.leaves - self.told)) + RETURNS_WITHIN
+        self.last_left.max(self.told + NOTICE_PERIOD.min(self.leaves - self.told)) + RETURN_GRACE_PERIOD
     }
 }
--- a/core/src/primary_read_admission.rs
+++ b/core/src/primary_read_admission.rs
@@ -17,7 +17,7 @@
 const AMPLE: f64 = 0.5;
 /// Of all primaries together, far more answers come than of one: some 50 tell, over 2 s, and 5 of no late
 /// answer stand in for what has not been seen.
-const ALL: EwmaConfig = EwmaConfig { most: 50.0, fade: 2.0, prior: 5.0 };
+const ALL: EwmaConfig = EwmaConfig { max_weight: 50.0, decay_secs: 2.0, prior_weight: 5.0 };
 
 /// How late the primaries of all sets answered.
 #[derive(Debug, Default, Clone)]
@@ -28,7 +28,7 @@
 impl PrimaryReadAdmission {
     /// An attempt at a primary ended after so many s. `set` is what is known of its set alone. What was given
     /// up early, or ended in another way than by its time, says nothing.
-    pub fn ended(
+    pub fn record(
         &mut self,
         set: &mut Ewma,
         now: f64,
@@ -40,17 +40,17 @@
         let over = took > AMPLE * secs(class.latency_objective);
         if outcome == Outcome::Success || (over && outcome == Outcome::Timeout) {
             let late = f64::from(u8::from(over));
-            set.learn(now, late, memory);
+            set.record(now, late, memory);
             // What never came may be cut off or dead, which says nothing of other sets.
             if outcome == Outcome::Success {
-                self.late.learn(now, late, &ALL);
+                self.late.record(now, late, &ALL);
             }
         }
     }
 
     /// Whether a set's primary has room for reads of a class beside its writes: no larger a share of its
     /// answers came late than what a read is worth of a write.
-    pub fn spares(
+    pub fn admits(
         &self,
         set: &Ewma,
         now: f64,
@@ -62,7 +62,7 @@
         let Some(write) = writes.map(|class| class.priority_weight).max_by(f64::total_cmp) else {
             return true;
         };
-        set.read(now, self.late.read(now, 0.0, &ALL), memory) * write <= class.priority_weight
+        set.estimate(now, self.late.estimate(now, 0.0, &ALL), memory) * write <= class.priority_weight
     }
 }
 
@@ -72,7 +72,7 @@
     use crate::api::{ClassId, Idempotency};
     use std::time::Duration;
 
-    const MEMORY: EwmaConfig = EwmaConfig { most: 10.0, fade: 10.0, prior: 2.0 };
+    const MEMORY: EwmaConfig = EwmaConfig { max_weight: 10.0, decay_secs: 10.0, prior_weight: 2.0 };
     const READ: usize = 0;
     const WRITE: usize = 1;
 
@@ -97,9 +97,9 @@
         let (classes, mut relief, mut set) = (classes(), PrimaryReadAdmission::default(), Ewma::default());
         for (took, ok) in ends {
             let outcome = if *ok { Outcome::Success } else { Outcome::Timeout };
-            relief.ended(&mut set, 1.0, &classes[WRITE], *took, outcome, &MEMORY);
+            relief.record(&mut set, 1.0, &classes[WRITE], *took, outcome, &MEMORY);
         }
-        let spares = |set| relief.spares(set, 1.0, &classes[ClassId(READ).0], &classes, &MEMORY);
+        let spares = |set| relief.admits(set, 1.0, &classes[ClassId(READ).0], &classes, &MEMORY);
         (spares(&set), spares(&Ewma::default()))
     }
 
@@ -117,14 +117,14 @@
     fn what_was_late_is_forgotten_and_what_is_worth_a_write_is_never_kept_away() {
         let (classes, mut relief, mut set) = (classes(), PrimaryReadAdmission::default(), Ewma::default());
         for _ in 0..20 {
-            relief.ended(&mut set, 1.0, &classes[WRITE], 1.0, Outcome::Success, &MEMORY);
+            relief.record(&mut set, 1.0, &classes[WRITE], 1.0, Outcome::Success, &MEMORY);
         }
-        assert!(!relief.spares(&set, 2.0, &classes[READ], &classes, &MEMORY));
-        assert!(relief.spares(&set, 60.0, &classes[READ], &classes, &MEMORY));
+        assert!(!relief.admits(&set, 2.0, &classes[READ], &classes, &MEMORY));
+        assert!(relief.admits(&set, 60.0, &classes[READ], &classes, &MEMORY));
         let dear = Class { priority_weight: 4.0, ..classes[READ].clone() };
-        assert!(relief.spares(&set, 2.0, &dear, &classes, &MEMORY));
+        assert!(relief.admits(&set, 2.0, &dear, &classes, &MEMORY));
         assert!(
-            relief.spares(&set, 2.0, &classes[READ], &classes[..1], &MEMORY),
+            relief.admits(&set, 2.0, &classes[READ], &classes[..1], &MEMORY),
             "no writes to keep room for"
         );
     }
--- a/core/src/request_cost.rs
+++ b/core/src/request_cost.rs
@@ -32,7 +32,7 @@
 
 impl Lowest {
     fn guess(class: &Class) -> Self {
-        Self { mean: LatencyEstimate::guess(class).mean, at: 0.0, count: 0.0 }
+        Self { mean: LatencyEstimate::initial(class).mean, at: 0.0, count: 0.0 }
     }
 }
 
@@ -45,7 +45,7 @@
     }
 
     /// A class is another one from now on.
-    pub fn guess(&mut self, place: usize, class: &Class) {
+    pub fn reset_class(&mut self, place: usize, class: &Class) {
         match self.classes.get_mut(place) {
             Some(known) => *known = Lowest::guess(class),
             None => self.classes.push(Lowest::guess(class)),
@@ -53,7 +53,7 @@
     }
 
     /// A request of a class was answered, whose answers take `mean` of late.
-    pub fn answered(&mut self, place: usize, mean: f64, now: f64) {
+    pub fn record_response(&mut self, place: usize, mean: f64, now: f64) {
         self.classes.iter_mut().for_each(|class| class.count *= KEPT);
         let Some(class) = self.classes.get_mut(place) else { return };
         let passed = if class.at > 0.0 { (now - class.at).max(0.0) } else { 0.0 };
@@ -98,7 +98,7 @@
             for n in 0..20 * seconds {
                 let heavy = n % 20 == 0;
                 now += 0.05;
-                work.answered(usize::from(heavy), wait + if heavy { 0.8 } else { 0.05 }, now);
+                work.record_response(usize::from(heavy), wait + if heavy { 0.8 } else { 0.05 }, now);
             }
         };
         pass(&mut work, 0.0, 20);
--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -48,7 +48,7 @@
 const ROUNDED: f64 = 0.001; // s by which a commit may be told too late
 const GAIN_CLASS: f64 = 0.03; // weight of one answer in a class's mean time
 /// A gauge averages over 10 answers, forgets in 10 s, and weighs what is usual like 2 answers of its own.
-const MEMORY: EwmaConfig = EwmaConfig { most: 10.0, fade: 10.0, prior: 2.0 };
+const MEMORY: EwmaConfig = EwmaConfig { max_weight: 10.0, decay_secs: 10.0, prior_weight: 2.0 };
 
 const DOUBT_MOST: f64 = 2.0; // log odds against a server from which on it is down
 const WEAK_EVIDENCE: f64 = 0.5; // weight of a loss that may be its connection's alone: two are needed
@@ -100,7 +100,7 @@
         settings.validate()?;
         Ok(Self {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            times: settings.classes.iter().map(LatencyEstimate::guess).collect(),
+            times: settings.classes.iter().map(LatencyEstimate::initial).collect(),
             mix: vec![0.0; settings.classes.len()],
             meters: vec![TenantMeter::default(); settings.tenants.len()],
             clock: Clock::default(),
@@ -130,7 +130,7 @@
         let late = self.clock.timer.map_or(0.0, |t| secs(now) - t);
         self.clock.stood = if late > STOOD_LEAST { late } else { 0.0 };
         self.now = self.now.max(secs(now));
-        self.sessions.begin(self.now);
+        self.sessions.start(self.now);
         events.into_iter().for_each(|event| self.learn(event, out));
         self.follow_list(out);
         self.judge(out);
@@ -168,11 +168,11 @@
     fn retune(&mut self, settings: Settings) {
         for (i, class) in settings.classes.iter().enumerate() {
             if self.cfg.classes.get(i) != Some(class) {
-                self.work.guess(i, class);
+                self.work.reset_class(i, class);
                 match self.times.get_mut(i) {
-                    Some(time) => (*time, self.mix[i]) = (LatencyEstimate::guess(class), 0.0),
+                    Some(time) => (*time, self.mix[i]) = (LatencyEstimate::initial(class), 0.0),
                     None => {
-                        self.times.push(LatencyEstimate::guess(class));
+                        self.times.push(LatencyEstimate::initial(class));
                         self.mix.push(0.0);
                     }
                 }
@@ -187,7 +187,7 @@
     fn put_out(&mut self, id: ServerId) {
         self.out_by_hand.insert(id);
         self.servers.entry(id).and_modify(|s| s.out_by_hand = true);
-        self.groups.values_mut().for_each(|g| g.set.withdraws(id, self.now, true));
+        self.groups.values_mut().for_each(|g| g.set.server_withdrawn(id, self.now, true));
     }
 
     /// It may serve again. Its process may have started anew, so it counts as cold and behind.
@@ -201,9 +201,13 @@
 
     fn learn_view(&mut self, view: EndpointUpdate) {
         match view {
-            EndpointUpdate::Changes(_) | EndpointUpdate::Full(_) => self.subscription.heard(self.now),
-            EndpointUpdate::Cached(_) => self.subscription.remembered(),
-            EndpointUpdate::Failed => self.subscription.refused(self.now, &self.cfg, || self.rng.random()),
+            EndpointUpdate::Changes(_) | EndpointUpdate::Full(_) => {
+                self.subscription.update_received(self.now)
+            }
+            EndpointUpdate::Cached(_) => self.subscription.list_cached(),
+            EndpointUpdate::Failed => {
+                self.subscription.call_failed(self.now, &self.cfg, || self.rng.random())
+            }
         }
         let (entries, full) = match view {
             EndpointUpdate::Failed => return,
@@ -229,7 +233,7 @@
             }
             let group = self.groups.entry(server.group).or_default();
             if entry.listed_primary && !server.head && !server.closed() {
-                group.set.listed(entry.server, now, &mut self.forecast);
+                group.set.primary_listed(entry.server, now, &mut self.forecast);
             }
             server.head = entry.listed_primary;
         }
@@ -241,10 +245,10 @@
             let group = self.groups.entry(server.group).or_default();
             group.members.push(*id);
             if server.closed() {
-                group.set.withdraws(*id, now, server.listed);
+                group.set.server_withdrawn(*id, now, server.listed);
             }
         }
-        self.groups.values_mut().for_each(|g| g.set.retain(now, |id| g.members.contains(&id)));
+        self.groups.values_mut().for_each(|g| g.set.retain_members(now, |id| g.members.contains(&id)));
     }
 
     fn accept(&mut self, request: Request, actions: &mut Vec<Action>) {
@@ -257,7 +261,7 @@
                 request.last_write_age.map_or(0.0, |ago| now - secs(ago))
             }
             (Consistency::Causal, SessionTokens::Tracked) => {
-                self.sessions.required(request.session.as_deref(), now)
+                self.sessions.required_position(request.session.as_deref(), now)
             }
             (Consistency::Linearizable, _) => now,
             _ => 0.0,
@@ -290,7 +294,7 @@
     fn spares(&self, p: &OpenRequest) -> bool {
         let class = &self.cfg.classes[p.request.class.0];
         let late = self.groups.get(&p.request.group).map(|g| &g.late);
-        late.is_none_or(|late| self.relief.spares(late, self.now, class, &self.cfg.classes, &MEMORY))
+        late.is_none_or(|late| self.relief.admits(late, self.now, class, &self.cfg.classes, &MEMORY))
     }
 
     /// Whether only the primary could serve a read that has come, and has no room for it: best said at once.
@@ -333,13 +337,13 @@
         }
         // Where gateways can't tell each other, a read's end moves all groups, each by what is known of it.
         let (now, pooled) = (self.now, !self.cfg.limits.allow_gossip);
-        self.in_time.learn(now, f64::from(u8::from(good)), &MEMORY);
-        let usual = if pooled { self.in_time.read(now, 1.0, &MEMORY) } else { 1.0 };
+        self.in_time.record(now, f64::from(u8::from(good)), &MEMORY);
+        let usual = if pooled { self.in_time.estimate(now, 1.0, &MEMORY) } else { 1.0 };
         for (id, load) in self.groups.iter_mut().filter(|(id, _)| pooled || **id == group) {
             if *id == group {
-                load.in_time.learn(now, f64::from(u8::from(good)), &MEMORY);
+                load.in_time.record(now, f64::from(u8::from(good)), &MEMORY);
             }
-            let good = load.in_time.read(now, usual, &MEMORY) >= GOOD_SHARE;
+            let good = load.in_time.estimate(now, usual, &MEMORY) >= GOOD_SHARE;
             let step = if good { PASS_UP } else { PASS_DOWN };
             load.shed = 1.0 - ((1.0 - load.shed) * step).clamp(PASS_LEAST, 1.0);
         }
@@ -366,7 +370,7 @@
     fn learn_peer(&mut self, bytes: &[u8]) {
         let Some(GossipMessage { server, ratio, flags }) = GossipMessage::decode(bytes) else { return };
         let Some(server) = self.servers.get_mut(&server) else { return };
-        server.slowness.learn(self.now, ratio.min(10.0), &MEMORY);
+        server.slowness.record(self.now, ratio.min(10.0), &MEMORY);
         let group = server.group;
         if flags & TOLD_READ != 0 {
             self.adjust_pass(group, flags & TOLD_GOOD != 0);
@@ -384,7 +388,7 @@
         let Some(server) = self.servers.get_mut(&id) else { return };
         let set = &mut self.groups.entry(server.group).or_default().set;
         let role = note.1.filter(|primary| !(*primary && server.closed()));
-        set.heard(id, role, at, sent, self.now, &mut self.forecast);
+        set.role_reported(id, role, at, sent, self.now, &mut self.forecast);
         // What one said of itself while it took itself for the primary may never have been true.
         let anew = role == Some(false) && server.replica_at.is_none();
         if role == Some(true) && set.primary() == Some(id) {
@@ -439,16 +443,16 @@
         let set = self.servers.get(&id).and_then(|s| self.groups.get_mut(&s.group));
         if let Some(group) = set.filter(|g| g.set.primary() == Some(id)) {
             let class = &self.cfg.classes[flight.class.0];
-            self.relief.ended(&mut group.late, now, class, took, outcome, &MEMORY);
+            self.relief.record(&mut group.late, now, class, took, outcome, &MEMORY);
         }
         let warm = |s: &&Server| outcome == Outcome::Success && s.cold(now, &self.cfg.rules) >= 1.0;
         if let Some(group) = self.servers.get(&id).filter(warm).map(|s| s.group) {
-            self.pace.answered(self.whole(group) == Some(id));
-            self.work.answered(flight.class.0, self.times[flight.class.0].mean, now);
+            self.pace.record_response(self.whole(group) == Some(id));
+            self.work.record_response(flight.class.0, self.times[flight.class.0].mean, now);
         }
         if outcome.is_response() {
             self.servers.entry(id).and_modify(|s| s.heard = now);
-            self.groups.values_mut().for_each(|g| g.set.answered(id, outcome, flight.sent, took));
+            self.groups.values_mut().for_each(|g| g.set.response_received(id, outcome, flight.sent, took));
             // A commit is rounded up, and its server may not have got so far.
             let up = if outcome == Outcome::Success && need == Consistency::Write { ROUNDED } else { 0.0 };
             let position = note.position.map(|position| secs(position) - up);
@@ -457,7 +461,7 @@
         self.learn_report(id, report);
         let wrote = flight.session.as_ref().filter(|_| outcome == Outcome::Success);
         if let Some((session, commit)) = wrote.zip(note.position) {
-            self.sessions.wrote(session.clone(), secs(commit));
+            self.sessions.record_write(session.clone(), secs(commit));
         }
         if need == Consistency::Write {
             self.learn_write_end(id, flight.sent, outcome == Outcome::Success, actions);
@@ -480,7 +484,7 @@
             Outcome::Misdirected => p.turned_away.push(id),
             _ => p.failed_at = Some(id),
         }
-        p.fate.ended(attempt, outcome);
+        p.fate.record_ended(attempt, outcome);
         if !blamed {
             self.finish(request, None, actions);
         }
@@ -490,9 +494,11 @@
     /// before it get no answer any more, and their clients hear so at once: they may have run.
     fn learn_write_end(&mut self, id: ServerId, sent: f64, ok: bool, actions: &mut Vec<Action>) {
         let Some(group) = self.servers.get(&id).map(|s| s.group) else { return };
-        let Some(before) = self.groups.entry(group).or_default().set.ended(id, sent, ok) else { return };
+        let Some(before) = self.groups.entry(group).or_default().set.write_ended(id, sent, ok) else {
+            return;
+        };
         let write = |p: &OpenRequest| self.cfg.classes[p.request.class.0].consistency == Consistency::Write;
-        let doomed = self.pending.values().filter(|p| write(p) && p.fate.is_out_at(before));
+        let doomed = self.pending.values().filter(|p| write(p) && p.fate.is_in_flight_at(before));
         for request in doomed.map(|p| p.request.id).collect::<Vec<_>>() {
             self.call_off(request, actions);
             self.finish(request, None, actions);
@@ -513,12 +519,12 @@
         let told = matches!(outcome, Outcome::Success | Outcome::ServerError);
         let Some(tenant) = tenant.filter(|_| told) else { return true };
         let now = self.now;
-        self.meters[tenant.0].errors.learn(
+        self.meters[tenant.0].errors.record(
             now,
             f64::from(u8::from(outcome == Outcome::ServerError)),
             &MEMORY,
         );
-        let errors = |m: &TenantMeter| m.errors.read(now, 0.0, &MEMORY);
+        let errors = |m: &TenantMeter| m.errors.estimate(now, 0.0, &MEMORY);
         let others = self.meters.iter().enumerate().filter(|(i, _)| *i != tenant.0);
         let rest = others.fold((0.0, 0.1), |(e, n), (_, m)| (e + errors(m), n + 1.0));
         outcome == Outcome::Success
@@ -544,39 +550,39 @@
         let time = &mut self.times[flight.class.0];
         let usual = time.mean;
         if ok || (outcome == Outcome::Timeout && took > usual) {
-            server.slowness.learn(now, (took / usual.max(1e-4)).min(10.0), &MEMORY);
+            server.slowness.record(now, (took / usual.max(1e-4)).min(10.0), &MEMORY);
             if server.down.is_none() {
                 let seen = took.min(6.0 * usual); // a few costly requests don't speak for the class
-                time.dev += GAIN_CLASS * ((seen - usual).abs() - time.dev);
+                time.deviation += GAIN_CLASS * ((seen - usual).abs() - time.deviation);
                 time.mean += GAIN_CLASS * (seen - usual);
                 let aim = secs(self.cfg.classes[flight.class.0].latency_objective);
-                server.window.completed(ok && took <= 0.5 * aim);
+                server.window.record_completion(ok && took <= 0.5 * aim);
             }
         }
         if end.blamed && !matches!(outcome, Outcome::Cancelled | Outcome::NotSent | Outcome::Misdirected) {
             let failed = matches!(outcome, Outcome::ServerError | Outcome::Rejected);
-            server.errors.learn(now, f64::from(u8::from(failed)), &MEMORY);
+            server.errors.record(now, f64::from(u8::from(failed)), &MEMORY);
         }
         let lost = match outcome {
             Outcome::ConnectFailed | Outcome::Reset => true,
-            Outcome::Timeout => took > usual + 3.0 * self.times[flight.class.0].dev,
+            Outcome::Timeout => took > usual + 3.0 * self.times[flight.class.0].deviation,
             _ => false,
         };
-        let common: f64 = self.lost.read(now, LOST_USUAL, &MEMORY).clamp(LOST_USUAL, 0.9);
+        let common: f64 = self.lost.estimate(now, LOST_USUAL, &MEMORY).clamp(LOST_USUAL, 0.9);
         let refused = outcome == Outcome::ConnectFailed && took < 0.5 * secs(self.cfg.limits.connect_timeout);
         if lost || outcome.is_response() {
-            self.lost.learn(now, f64::from(u8::from(lost)), &MEMORY);
+            self.lost.record(now, f64::from(u8::from(lost)), &MEMORY);
         }
         // One that refuses and soon answers again was short of connections; one that is dead takes longer.
         if outcome.is_response() {
             let short = server.refused_at > 0.0 && now - server.refused_at < DEAD_LEAST;
-            self.refused.learn(now, f64::from(u8::from(short)), &MEMORY);
+            self.refused.record(now, f64::from(u8::from(short)), &MEMORY);
         } else if refused {
             server.refused_at = now;
         }
         // Where connects are refused at once, an idle connection is given back. Guards against few busy
         // servers held by many gateways that seldom send. Harms by further handshakes.
-        if server.in_flight < 1.0 && self.crowd && self.refused.read(now, 0.0, &MEMORY) > REFUSED_SHARE {
+        if server.in_flight < 1.0 && self.crowd && self.refused.estimate(now, 0.0, &MEMORY) > REFUSED_SHARE {
             actions.push(Action::CloseIdle { server: id });
         }
         if outcome.is_response() {
@@ -595,8 +601,8 @@
         }
         let short = outcome == Outcome::ConnectFailed && now - server.heard < 0.5 * TRIAL_FIRST;
         if short || outcome == Outcome::Rejected {
-            server.hold_until = now + (0.1 / (1.0 - server.errors.read(now, 0.0, &MEMORY))).min(1.0);
-            server.window.max = (server.window.max - 1.0).max(MIN_LIMIT);
+            server.hold_until = now + (0.1 / (1.0 - server.errors.estimate(now, 0.0, &MEMORY))).min(1.0);
+            server.window.limit = (server.window.limit - 1.0).max(MIN_LIMIT);
         } else if lost {
             // Speaks against its server the more, the rarer such ends are. Guards against dead, hung and
             // cut off servers where few requests tell, and against blaming one for what ails all. A broken
@@ -633,7 +639,7 @@
     fn follow_list(&mut self, actions: &mut Vec<Action>) {
         // Where the list must be asked for: subscribe, and take a missing answer for a failure.
         let subscribe = self.cfg.discovery == DiscoveryMode::Subscribe;
-        if subscribe && self.subscription.asks(self.now, &self.cfg, || self.rng.random()) {
+        if subscribe && self.subscription.is_call_due(self.now, &self.cfg, || self.rng.random()) {
             actions.push(Action::Watch { on: true });
         }
     }
@@ -657,7 +663,7 @@
         self.clock.judged = now;
         let told = self.servers.values().filter(|s| !s.closed()).map(|s| s.position);
         let behind = told.fold(f64::INFINITY, f64::min); // what all have passed can't matter any more
-        self.sessions.passed(behind);
+        self.sessions.forget_up_to(behind);
         self.servers.values_mut().for_each(|server| server.refresh(now));
         for flight in self.flights.values() {
             self.servers.entry(flight.server).and_modify(|s| s.oldest = s.oldest.min(flight.sent));
@@ -667,10 +673,10 @@
         for (&id, server) in &mut self.servers {
             let cold = server.cold(now, contract);
             if server.down.is_some() || cold < 1.0 {
-                server.window.clean = false;
+                server.window.is_period_valid = false;
             }
             let waiting = self.groups.get(&server.group).map_or(0, |g| g.waiting);
-            server.window.period(now, server.in_flight, waiting as f64);
+            server.window.end_period_if_due(now, server.in_flight, waiting as f64);
             let rate = COLD_MARGIN * contract.overload_factor * cold * pace * server.rating;
             let most = (rate * secs(contract.overload_duration) * 0.5).max(COLD_SAVED);
             server.budget = (server.budget + rate * self.clock.elapsed).min(most);
@@ -700,7 +706,7 @@
         let rated: f64 = self.servers.values().filter(warm).map(|s| s.rating).sum();
         let primaries = self.groups.keys().filter_map(|g| self.servers.get(&self.whole(*g)?));
         let primaries: f64 = primaries.filter(warm).map(|s| s.rating).sum();
-        self.pace.pass(self.clock.elapsed, (rated, primaries), &MEMORY);
+        self.pace.advance(self.clock.elapsed, (rated, primaries), &MEMORY);
         self.pace.per_server()
     }
 
@@ -709,17 +715,29 @@
         let (now, times) = (self.now, self.cfg.failover.suspicion_factor);
         let slowest = self.times.iter().max_by(|a, b| a.mean.total_cmp(&b.mean));
         for (id, Group { set, writes_waiting: waiting, .. }) in &mut self.groups {
-            let server = set.watched().and_then(|watched| Some((watched, self.servers.get(&watched)?)));
+            let server =
+                set.watched_primary().and_then(|watched| Some((watched, self.servers.get(&watched)?)));
             let Some(((watched, server), time)) = server.zip(slowest) else { continue };
-            let owed = self.flights.values().filter(|f| f.server == watched && set.is_owed(f.sent));
+            let owed = self.flights.values().filter(|f| f.server == watched && set.is_response_owed(f.sent));
             let (owed, oldest) = owed
                 .fold((0, None), |(n, first), f| (n + 1, Some(first.map_or(f.sent, |t: f64| t.min(f.sent)))));
             let (heard, down, cold) = (server.heard, server.down.is_some(), &self.cfg.rules);
-            let patience =
-                SilenceThreshold { usual: time.mean, slow: 1.0 / server.cold(now, cold), times, owed };
-            if let Some(phase) =
-                set.watch(now, &PrimaryObservation { heard, oldest, down, patience, waiting: *waiting })
-            {
+            let patience = SilenceThreshold {
+                typical_response_secs: time.mean,
+                slowdown: 1.0 / server.cold(now, cold),
+                suspicion_factor: times,
+                unanswered: owed,
+            };
+            if let Some(phase) = set.observe_primary(
+                now,
+                &PrimaryObservation {
+                    last_response: heard,
+                    oldest_unanswered: oldest,
+                    is_down: down,
+                    silence_threshold: patience,
+                    queued_writes: *waiting,
+                },
+            ) {
                 actions.push(Action::Log(format!("group {} is {phase}; {waiting} writes wait", id.0)));
             }
         }
@@ -735,7 +753,7 @@
             let (group, bytes) = (p.request.group, p.request.statement_bytes);
             let write = self.cfg.classes[p.request.class.0].consistency == Consistency::Write;
             let stay = self.stay(p).filter(|_| write);
-            let refused = stay.and_then(BufferDecision::refused);
+            let refused = stay.and_then(BufferDecision::retry_after_secs);
             if refused.is_some() || !self.may_send(p) || self.hopeless(p) {
                 self.groups.entry(group).or_default().shed_at = self.now;
                 self.finish(id, refused, actions);
@@ -748,9 +766,9 @@
             }
             let length = queued.entry(group).or_default();
             *length += f64::from(u8::from(stay.is_none()));
-            let windows = self.members(group).filter(|(_, s)| !s.closed()).map(|(_, s)| s.window.max);
+            let windows = self.members(group).filter(|(_, s)| !s.closed()).map(|(_, s)| s.window.limit);
             let room = QUEUE_PER_WINDOW * windows.sum::<f64>().max(INITIAL_LIMIT);
-            let held = stay.is_none() || holding.admits(group, bytes, &self.cfg.failover);
+            let held = stay.is_none() || holding.try_reserve(group, bytes, &self.cfg.failover);
             if *length > room || !held {
                 self.finish(id, None, actions);
             }
@@ -768,7 +786,7 @@
         let youngest = class.consistency != Consistency::Write && self.now - shed < PRESSED;
         let turn = if youngest { -p.arrived } else { p.arrived };
         // What a change of primary held goes out by its deadline.
-        let held = |g: &Group| class.consistency == Consistency::Write && g.set.releases();
+        let held = |g: &Group| class.consistency == Consistency::Write && g.set.is_releasing();
         let held = self.groups.get(&p.request.group).is_some_and(held);
         (worth / time, if held { p.deadline } else { turn }, p.request.id)
     }
@@ -779,7 +797,7 @@
         // The estimate never shuts a class out by itself: a class that is never sent teaches nothing again.
         let time = &self.times[p.request.class.0];
         let mean = time.mean.min(0.8 * secs(class.latency_objective).min(p.deadline - p.arrived));
-        self.now + time.needed(mean, class.idempotency) >= until || self.unplaced(p)
+        self.now + time.min_time_left(mean, class.idempotency) >= until || self.unplaced(p)
     }
 
     /// A read where reads have just waited in vain, for near half its time. Guards against keeping its client
@@ -793,16 +811,22 @@
 
     /// Whether a write waits on where its group takes none; nothing where it takes some, or only pauses.
     fn stay(&self, p: &OpenRequest) -> Option<BufferDecision> {
-        let outlook = self.groups.get(&p.request.group)?.set.outlook(self.now, &self.forecast)?;
+        let outlook = self.groups.get(&p.request.group)?.set.recovery_forecast(self.now, &self.forecast)?;
         let takes = 0.8 * self.times[p.request.class.0].mean.min(p.deadline - p.arrived);
         let (arrived, deadline, reached) = (p.arrived, p.deadline, !p.turned_away.is_empty());
-        let hold = BufferedWrite { arrived, deadline, takes, reached, outlook };
+        let hold = BufferedWrite {
+            arrived,
+            deadline,
+            service_secs: takes,
+            was_declined: reached,
+            forecast: outlook,
+        };
         Some(hold.decide(self.now, &self.cfg.failover))
     }
 
     fn may_send(&self, p: &OpenRequest) -> bool {
         let class = &self.cfg.classes[p.request.class.0];
-        let again = match (p.fate.ran(), class.idempotency) {
+        let again = match (p.fate.first_possible_execution(), class.idempotency) {
             (None, _) => true,
             (Some(_), Idempotency::Idempotent) => self.retries >= 1.0,
             (Some((first, _)), Idempotency::WithKey { window, .. }) => self.now + 0.01 < first + secs(window),
@@ -815,8 +839,10 @@
     fn permitted(&self, p: &OpenRequest, id: ServerId, server: &Server) -> bool {
         let class = &self.cfg.classes[p.request.class.0];
         let zoned = matches!(class.idempotency, Idempotency::WithKey { scope: KeyScope::Zone, .. });
-        let first = p.fate.ran().and_then(|(_, first)| self.servers.get(&first));
-        let scope = !zoned || p.fate.ran().is_none() || first.is_some_and(|f| f.zone == server.zone);
+        let first = p.fate.first_possible_execution().and_then(|(_, first)| self.servers.get(&first));
+        let scope = !zoned
+            || p.fate.first_possible_execution().is_none()
+            || first.is_some_and(|f| f.zone == server.zone);
         let cost = self.work.cost(p.request.class.0);
         let cold = server.cold(self.now, &self.cfg.rules) >= 1.0 || server.budget >= cost;
         let primary = self.groups.get(&server.group).and_then(|g| g.set.primary()) == Some(id);
@@ -843,7 +869,8 @@
         let now = self.now;
         let p = self.pending.get(&id)?;
         let set = &self.groups.get(&p.request.group)?.set;
-        if let Some((primary, server)) = set.takes_writes().and_then(|i| Some((i, self.servers.get(&i)?))) {
+        if let Some((primary, server)) = set.writable_primary().and_then(|i| Some((i, self.servers.get(&i)?)))
+        {
             let fits = set.admits_write() && server.has_room(now) && self.permitted(p, primary, server);
             if !fits {
                 return None;
@@ -856,14 +883,14 @@
             return Some((asked.unwrap_or(primary), self.timeout(p, server)));
         }
         // No primary: one write at a time asks the members in id order; after a round the next one waits.
-        if !set.may_ask(now) || p.attempts + 2 > p.most_attempts {
+        if !set.may_ask_for_primary(now) || p.attempts + 2 > p.most_attempts {
             return None;
         }
         let may = |m: &(ServerId, &Server)| m.1.has_room(now) && self.permitted(p, m.0, m.1);
         let (group, left) = (p.request.group, p.deadline - now);
         let members = self.members(group).filter(may).map(|m| (m.0, m.1.silence(now)));
         let members: Vec<_> = members.collect();
-        Some((self.groups.get_mut(&group)?.set.ask(&members, now, &self.forecast)?, left))
+        Some((self.groups.get_mut(&group)?.set.next_to_ask(&members, now, &self.forecast)?, left))
     }
 
     fn choose_read(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Option<(ServerId, f64)> {
@@ -894,8 +921,10 @@
             return Some((i, timeout));
         }
         // A silent primary gets a read, to see whether it answers.
-        let canary =
-            group.set.canary(now).filter(|_| class.idempotency == Idempotency::Idempotent && p.attempts == 0);
+        let canary = group
+            .set
+            .canary_target(now)
+            .filter(|_| class.idempotency == Idempotency::Idempotent && p.attempts == 0);
         let canary = up.iter().find(|(i, s)| canary == Some(*i) && s.has_room(now)).copied();
         let busy = |s: &Server| self.busy(s, p);
         // Where replicas check, one is taken to be as far behind as when it last told: a wrong guess costs
@@ -937,9 +966,9 @@
         // The primary serves what no replica can, or only far later. Room is kept for writes: of many
         // gateways none sends it reads while it is slow, for the writes of all meet there.
         let pauses = matches!(group.set.phase(), Phase::Suspected { .. });
-        let turn = group.writes_waiting == 0 || (chosen.is_none() && group.set.is_reads_turn());
+        let turn = group.writes_waiting == 0 || (chosen.is_none() && group.set.is_read_turn());
         let primary = up.iter().find(|(i, _)| primary == Some(*i) && !pauses).filter(|(_, s)| {
-            let most = (s.window.max * (1.0 - WRITE_SHARE)).max(1.0);
+            let most = (s.window.limit * (1.0 - WRITE_SHARE)).max(1.0);
             let spare = !self.crowd || (s.slowness_at(now) < SPILL && self.spares(p));
             spare && s.has_room(now) && turn && s.in_flight < most
         });
@@ -963,7 +992,7 @@
         let overdue =
             if s.oldest.is_finite() { (self.now - s.oldest.max(s.heard)) / (2.0 * mine) } else { 0.0 };
         let slowness = s.slowness_at(self.now).max(overdue).max(1.0) / cold;
-        let sure = (1.0 - s.errors.read(self.now, 0.0, &MEMORY)).max(0.05).powi(3);
+        let sure = (1.0 - s.errors.estimate(self.now, 0.0, &MEMORY)).max(0.05).powi(3);
         let crossing = if s.zone == self.cfg.zone { 0.0 } else { self.cfg.prices.cross_zone };
         (s.load + mine) * slowness / sure
             + 2.0 * crossing * secs(self.cfg.classes[p.request.class.0].latency_objective)
@@ -974,7 +1003,7 @@
         let left = p.deadline - self.now;
         let class = &self.cfg.classes[p.request.class.0];
         let time = &self.times[p.request.class.0];
-        let enough = (time.mean + 6.0 * time.dev) * server.slowness_at(self.now).clamp(1.0, 3.0);
+        let enough = (time.mean + 6.0 * time.deviation) * server.slowness_at(self.now).clamp(1.0, 3.0);
         let shedding = self.groups.get(&server.group).is_some_and(|g| g.shed > 0.05);
         match class.idempotency {
             Idempotency::NonIdempotent => left,
@@ -990,16 +1019,16 @@
         server.in_flight += 1.0;
         server.load += expected;
         server.oldest = server.oldest.min(now);
-        server.window.peak = server.window.peak.max(server.in_flight);
+        server.window.peak_in_flight = server.window.peak_in_flight.max(server.in_flight);
         if server.cold(now, &self.cfg.rules) < 1.0 {
             server.budget -= self.work.cost(p.request.class.0);
         }
-        if p.fate.ran().is_some() {
+        if p.fate.first_possible_execution().is_some() {
             self.retries -= 1.0;
         }
-        p.fate.sent(p.attempts, to, now);
+        p.fate.record_sent(p.attempts, to, now);
         let write = self.cfg.classes[p.request.class.0].consistency == Consistency::Write;
-        self.groups.entry(p.request.group).and_modify(|g| g.set.took_place(to, write, now));
+        self.groups.entry(p.request.group).and_modify(|g| g.set.attempt_sent(to, write, now));
         let kept = write && self.cfg.session_tokens == SessionTokens::Tracked;
         let session = p.request.session.clone().filter(|_| kept);
         let flight = InFlightAttempt { server: to, class: p.request.class, session, sent: now, expected };
@@ -1013,14 +1042,17 @@
     /// Gives the final answer, at once; `back`: in so many s its group is expected to take writes again.
     fn finish(&mut self, id: RequestId, back: Option<f64>, actions: &mut Vec<Action>) {
         let Some(p) = self.pending.remove(&id) else { return };
-        if p.fate.verdict(self.cfg.classes[p.request.class.0].idempotency) == RetrySafety::Unknown {
+        if p.fate.retry_safety(self.cfg.classes[p.request.class.0].idempotency) == RetrySafety::Unknown {
             return actions.push(Action::Fail { request: id });
         }
         // What no late answer can earn is better not asked again soon; the rest is worth a second try.
         let (late, limits) = (self.cfg.classes[p.request.class.0].late_weight, &self.cfg.limits);
         let usual = limits.max_retry_after.mul_f64(if late > 0.0 { 0.5 } else { 1.0 });
-        let hint = back.map_or(usual, |back| hint(back, limits.max_retry_after));
-        actions.push(Action::Reject { request: id, retry_after: limits.send_retry_after.then_some(hint) });
+        let retry_after_hint = back.map_or(usual, |back| retry_after_hint(back, limits.max_retry_after));
+        actions.push(Action::Reject {
+            request: id,
+            retry_after: limits.send_retry_after.then_some(retry_after_hint),
+        });
     }
 
     fn wake(&mut self, actions: &mut Vec<Action>) {
@@ -1039,10 +1071,10 @@
 
 impl Server {
     fn slowness_at(&self, now: f64) -> f64 {
-        self.slowness.read(now, 1.0, &MEMORY)
+        self.slowness.estimate(now, 1.0, &MEMORY)
     }
 
     fn has_room(&self, now: f64) -> bool {
-        self.down.is_none() && self.in_flight < self.window.max.floor() && now >= self.hold_until
+        self.down.is_none() && self.in_flight < self.window.limit.floor() && now >= self.hold_until
     }
 }
--- a/core/src/routing/position_probe.rs
+++ b/core/src/routing/position_probe.rs
@@ -12,7 +12,7 @@
 
 use super::state::Server;
 use crate::api::{Consistency, LoadReports, ServerId, SessionTokens, Settings, StaleReadPolicy};
-use crate::failover::ASK_SILENT;
+use crate::failover::MAX_SILENCE_TO_ASK;
 use crate::time::secs;
 
 /// Part of the bound on age for which what a replica told must still hold. Of a set that is asked for
@@ -70,7 +70,7 @@
             return None;
         }
         let asks = wanted.position.is_some() || server.position <= 0.0;
-        if asks && server.silence(now) < ASK_SILENT && may(id, server) {
+        if asks && server.silence(now) < MAX_SILENCE_TO_ASK && may(id, server) {
             able.push(id);
         }
     }
--- a/core/src/routing/snapshot.rs
+++ b/core/src/routing/snapshot.rs
@@ -8,7 +8,7 @@
 impl RoutingEngine {
     /// What another process of this proxy must know.
     pub fn snapshot(&self) -> StateSnapshot {
-        let (floor, marks) = self.sessions.known();
+        let (floor, marks) = self.sessions.snapshot();
         let stood = |(id, s): (&ServerId, &Server)| {
             let set = self.groups.get(&s.group).map(|group| &group.set);
             ServerSnapshot {
@@ -19,9 +19,9 @@
                 replica_at: s.replica_at,
                 started: s.started,
                 warm_up_budget: s.budget,
-                concurrency_limit: Some(s.window.max),
+                concurrency_limit: Some(s.window.limit),
                 down: s.down.as_ref().map(|down| (down.since, down.dead)),
-                replica_set: set.map(|set| set.news(*id, self.now)).unwrap_or_default(),
+                replica_set: set.map(|set| set.snapshot(*id, self.now)).unwrap_or_default(),
             }
         };
         StateSnapshot {
@@ -34,11 +34,11 @@
     /// Takes over what another process knew; its times are on this gateway's clock by now.
     pub(super) fn restore(&mut self, heritage: StateSnapshot) {
         let now = self.now;
-        self.sessions.inherit(heritage.session_floor, now);
+        self.sessions.restore(heritage.session_floor, now);
         heritage
             .session_tokens
             .into_iter()
-            .for_each(|(session, mark)| self.sessions.wrote(session, mark.min(now)));
+            .for_each(|(session, mark)| self.sessions.record_write(session, mark.min(now)));
         for stood in heritage.servers {
             self.restore_server(&stood);
         }
@@ -65,24 +65,24 @@
                 server.budget.min(Some(stood.warm_up_budget).filter(|b| b.is_finite()).unwrap_or(0.0));
         }
         if let Some(most) = stood.concurrency_limit {
-            server.window = ConcurrencyLimit::of(now, most);
+            server.window = ConcurrencyLimit::with_limit(now, most);
         }
         if let Some((since, dead)) = stood.down.filter(|(since, _)| past(*since).is_some()) {
             server.down.get_or_insert_with(|| DownState { since, ..DownState::soon(now, dead) });
         }
         let set = &mut self.groups.entry(server.group).or_default().set;
-        set.recall(id, &stood.replica_set, now);
+        set.restore(id, &stood.replica_set, now);
     }
 
     /// Learns what the other process told.
     pub(crate) fn learn_word(&mut self, word: PeerMessage) {
         match word {
-            PeerMessage::SessionWrite { session, commit } => self.sessions.wrote(session, commit),
-            PeerMessage::PeerUnreachable(blind) => self.sessions.set_blind(blind, self.now),
-            PeerMessage::ProcessPaused(long) => self.sessions.doubt(self.now + long.as_secs_f64()),
+            PeerMessage::SessionWrite { session, commit } => self.sessions.record_write(session, commit),
+            PeerMessage::PeerUnreachable(blind) => self.sessions.set_peer_unreachable(blind, self.now),
+            PeerMessage::ProcessPaused(long) => self.sessions.distrust_until(self.now + long.as_secs_f64()),
             PeerMessage::ServerWithdrawn(id) => {
                 self.servers.entry(id).and_modify(|server| server.barred = true);
-                self.groups.values_mut().for_each(|group| group.set.withdraws(id, self.now, true));
+                self.groups.values_mut().for_each(|group| group.set.server_withdrawn(id, self.now, true));
             }
         }
     }
--- a/core/src/server_throughput.rs
+++ b/core/src/server_throughput.rs
@@ -44,14 +44,14 @@
     }
 
     /// A warm server answered; `primary` if it is that of a whole group.
-    pub fn answered(&mut self, primary: bool) {
+    pub fn record_response(&mut self, primary: bool) {
         self.all.answers += 1.0;
         self.primaries.answers += f64::from(u8::from(primary));
     }
 
     /// Time passed with these ratings warm: of all, and of the primaries of whole groups among them.
-    pub fn pass(&mut self, elapsed: f64, (all, primaries): (f64, f64), memory: &EwmaConfig) {
-        let fade = (-elapsed / memory.fade).exp();
+    pub fn advance(&mut self, elapsed: f64, (all, primaries): (f64, f64), memory: &EwmaConfig) {
+        let fade = (-elapsed / memory.decay_secs).exp();
         self.all.pass(fade, elapsed * all);
         self.primaries.pass(fade, elapsed * primaries);
     }
@@ -63,7 +63,7 @@
 
     /// Answers a second of all.
     pub fn total(&self, memory: &EwmaConfig) -> f64 {
-        self.all.answers / memory.fade // what has not faded yet came in about that time
+        self.all.answers / memory.decay_secs // what has not faded yet came in about that time
     }
 }
 
@@ -71,7 +71,7 @@
 mod tests {
     use super::*;
 
-    const MEMORY: EwmaConfig = EwmaConfig { most: 10.0, fade: 10.0, prior: 2.0 };
+    const MEMORY: EwmaConfig = EwmaConfig { max_weight: 10.0, decay_secs: 10.0, prior_weight: 2.0 };
 
     #[test]
     fn the_busier_kind_of_server_tells_what_one_manages() {
@@ -79,15 +79,15 @@
         assert!((pace.per_server() - 0.02).abs() < 1e-9);
         // For 60 s: each second 3 answers of three primaries, and 2 of nine replicas.
         for n in 0..300 {
-            pace.pass(0.2, (12.0, 3.0), &MEMORY);
-            pace.answered(n % 5 < 3);
+            pace.advance(0.2, (12.0, 3.0), &MEMORY);
+            pace.record_response(n % 5 < 3);
         }
         assert!((0.9..1.1).contains(&pace.per_server()), "{}", pace.per_server());
         assert!((4.5..5.5).contains(&pace.total(&MEMORY)), "{}", pace.total(&MEMORY));
         // Where replicas serve most, they count.
         for _ in 0..600 {
-            pace.pass(0.2, (5.0, 4.0), &MEMORY);
-            pace.answered(false);
+            pace.advance(0.2, (5.0, 4.0), &MEMORY);
+            pace.record_response(false);
         }
         assert!((0.9..1.1).contains(&pace.per_server()), "{}", pace.per_server());
     }
--- a/core/src/session_tokens.rs
+++ b/core/src/session_tokens.rs
@@ -30,12 +30,12 @@
 
 impl SessionTokenStore {
     /// A process begins to serve; whatever was written before is unknown.
-    pub fn begin(&mut self, now: f64) {
+    pub fn start(&mut self, now: f64) {
         self.start.get_or_insert(now);
     }
 
     /// A write of a session was acknowledged with this commit.
-    pub fn wrote(&mut self, session: String, commit: f64) {
+    pub fn record_write(&mut self, session: String, commit: f64) {
         if !commit.is_finite() {
             return;
         }
@@ -56,7 +56,7 @@
     }
 
     /// The position that a session's read must see which came at `now`.
-    pub fn required(&self, session: Option<&str>, now: f64) -> f64 {
+    pub fn required_position(&self, session: Option<&str>, now: f64) -> f64 {
         if self.blind {
             return now;
         }
@@ -67,7 +67,7 @@
 
     /// All servers that may be read from have passed a position: what was committed by then matters no more
     /// to any of them, but would to one that comes later.
-    pub fn passed(&mut self, position: f64) {
+    pub fn forget_up_to(&mut self, position: f64) {
         let (mut floor, mut bytes) = (self.floor, self.bytes);
         self.marks.retain(|session, commit| {
             let kept = *commit > position;
@@ -85,26 +85,26 @@
         let middle = commits.len() / 2;
         let (_, median, _) = commits.select_nth_unstable_by(middle, f64::total_cmp);
         let median = *median;
-        self.passed(median);
+        self.forget_up_to(median);
     }
 
     /// Another process's floor takes the place of this one's start: what was written before is known. Without
     /// one, every session may have written just now.
-    pub fn inherit(&mut self, floor: Option<f64>, now: f64) {
+    pub fn restore(&mut self, floor: Option<f64>, now: f64) {
         let floor = floor.filter(|floor| floor.is_finite()).unwrap_or(now).min(now);
         (self.start, self.floor) = (Some(0.0), self.floor.max(floor));
     }
 
     /// Whether another process serves whose marks can't be heard. What it acknowledged meanwhile stays
     /// unknown.
-    pub fn set_blind(&mut self, blind: bool, now: f64) {
+    pub fn set_peer_unreachable(&mut self, blind: bool, now: f64) {
         if std::mem::replace(&mut self.blind, blind) {
             self.floor = self.floor.max(now);
         }
     }
 
     /// Up to `until`, another process may serve that was not heard yet.
-    pub fn doubt(&mut self, until: f64) {
+    pub fn distrust_until(&mut self, until: f64) {
         self.floor = self.floor.max(until);
     }
 
@@ -114,7 +114,7 @@
     }
 
     /// What another process of this proxy must know: the floor, and the marks above it.
-    pub fn known(&self) -> (f64, impl Iterator<Item = (&str, f64)>) {
+    pub fn snapshot(&self) -> (f64, impl Iterator<Item = (&str, f64)>) {
         let floor = self.floor();
         (
             floor,
@@ -130,41 +130,55 @@
     #[test]
     fn what_was_forgotten_still_binds_who_comes_later() {
         let mut sessions = SessionTokenStore::default();
-        sessions.begin(10.0);
-        assert_eq!(sessions.required(Some("a"), 11.0), 10.0, "a process can't know what was written before");
-        sessions.begin(20.0);
-        sessions.wrote("a".into(), 12.0);
-        sessions.wrote("a".into(), 11.0);
-        assert_eq!(sessions.required(Some("a"), 13.0), 12.0, "marks don't go back");
-        sessions.passed(11.9);
-        assert_eq!((sessions.required(Some("a"), 13.0), sessions.required(Some("b"), 13.0)), (12.0, 10.0));
-        sessions.passed(12.5);
-        assert_eq!(sessions.required(Some("b"), 13.0), 12.0, "the floor is what was forgotten, and no more");
+        sessions.start(10.0);
+        assert_eq!(
+            sessions.required_position(Some("a"), 11.0),
+            10.0,
+            "a process can't know what was written before"
+        );
+        sessions.start(20.0);
+        sessions.record_write("a".into(), 12.0);
+        sessions.record_write("a".into(), 11.0);
+        assert_eq!(sessions.required_position(Some("a"), 13.0), 12.0, "marks don't go back");
+        sessions.forget_up_to(11.9);
+        assert_eq!(
+            (sessions.required_position(Some("a"), 13.0), sessions.required_position(Some("b"), 13.0)),
+            (12.0, 10.0)
+        );
+        sessions.forget_up_to(12.5);
+        assert_eq!(
+            sessions.required_position(Some("b"), 13.0),
+            12.0,
+            "the floor is what was forgotten, and no more"
+        );
         assert_eq!(sessions.bytes, 0);
     }
 
     #[test]
     fn marks_that_cannot_be_heard_count_as_written_just_now() {
         let mut sessions = SessionTokenStore::default();
-        sessions.begin(10.0);
-        sessions.wrote("a".into(), 11.0);
-        sessions.set_blind(true, 12.0);
-        assert_eq!(sessions.required(Some("a"), 13.0), 13.0);
-        sessions.set_blind(false, 14.0);
-        assert_eq!(sessions.required(Some("a"), 15.0), 14.0);
-        sessions.set_blind(false, 20.0);
-        assert_eq!(sessions.required(None, 21.0), 14.0, "it was not blind again");
+        sessions.start(10.0);
+        sessions.record_write("a".into(), 11.0);
+        sessions.set_peer_unreachable(true, 12.0);
+        assert_eq!(sessions.required_position(Some("a"), 13.0), 13.0);
+        sessions.set_peer_unreachable(false, 14.0);
+        assert_eq!(sessions.required_position(Some("a"), 15.0), 14.0);
+        sessions.set_peer_unreachable(false, 20.0);
+        assert_eq!(sessions.required_position(None, 21.0), 14.0, "it was not blind again");
     }
 
     #[test]
     fn while_in_doubt_every_session_may_have_written_just_now() {
         let mut sessions = SessionTokenStore::default();
-        sessions.begin(10.0);
-        sessions.wrote("a".into(), 11.0);
-        sessions.doubt(12.5);
-        assert_eq!([12.0, 12.4, 13.0].map(|now| sessions.required(Some("a"), now)), [12.0, 12.4, 12.5]);
-        sessions.wrote("a".into(), 12.6);
-        assert_eq!(sessions.required(Some("a"), 13.0), 12.6);
+        sessions.start(10.0);
+        sessions.record_write("a".into(), 11.0);
+        sessions.distrust_until(12.5);
+        assert_eq!(
+            [12.0, 12.4, 13.0].map(|now| sessions.required_position(Some("a"), now)),
+            [12.0, 12.4, 12.5]
+        );
+        sessions.record_write("a".into(), 12.6);
+        assert_eq!(sessions.required_position(Some("a"), 13.0), 12.6);
     }
 
     #[test]
@@ -172,12 +186,12 @@
         let mut sessions = SessionTokenStore::default();
         let most = BYTES_MOST / (MARK_BYTES + 8) + 100;
         for n in 0..most {
-            sessions.wrote(format!("{n:08}"), n as f64);
+            sessions.record_write(format!("{n:08}"), n as f64);
             assert!(sessions.bytes <= BYTES_MOST);
         }
         let newest = format!("{:08}", most - 1);
-        assert_eq!(sessions.required(Some(&newest), 1e9), (most - 1) as f64);
-        let floor = sessions.required(None, 1e9);
+        assert_eq!(sessions.required_position(Some(&newest), 1e9), (most - 1) as f64);
+        let floor = sessions.required_position(None, 1e9);
         assert!(floor > 0.4 * most as f64 && floor < 0.6 * most as f64, "{floor}");
         let counted: usize = sessions.marks.keys().map(|session| session.len() + MARK_BYTES).sum();
         assert_eq!(counted, sessions.bytes);
--- a/core/src/throughput_fit.rs
+++ b/core/src/throughput_fit.rs
@@ -18,7 +18,7 @@
 
 impl ThroughputFit {
     /// Learns that `m` in flight gave `throughput`; `forget` is what is left of the memory after each lesson.
-    pub fn learn(&mut self, m: f64, throughput: f64, forget: f64) {
+    pub fn record(&mut self, m: f64, throughput: f64, forget: f64) {
         let x = [1.0, m / 10.0, m * m / 100.0]; // scaled, so that the three columns are of like size
         let px: [f64; 3] = std::array::from_fn(|i| (0..3).map(|j| self.cov[i][j] * x[j]).sum());
         let denominator = forget + (0..3).map(|i| x[i] * px[i]).sum::<f64>();
--- a/core/tests/graceful_shutdown.rs
+++ b/core/tests/graceful_shutdown.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use pipittack_core::graceful_shutdown::{
-    GracefulShutdown, IdleState, ShutdownPhase, ASKS_WITHIN, NOTICE, RETURNS_WITHIN,
+    GracefulShutdown, IdleState, ShutdownPhase, FIRST_REQUEST_TIMEOUT, NOTICE_PERIOD, RETURN_GRACE_PERIOD,
 };
 
 /// When connections begin to be let go: half way to the end.
@@ -60,7 +60,7 @@
     for now in 0..KILLED + 2000 {
         if now == TOLD {
             let mut told = GracefulShutdown::new(ms(now), LONGEST, connections.len(), ms(0));
-            told.set_handed(handed);
+            told.set_handed_over(handed);
             farewell = Some(told);
         }
         let (arrived, later) = coming.into_iter().partition(|(client, _)| client.connects <= now);
@@ -70,7 +70,7 @@
                 fates[of].unheard = true;
                 continue;
             }
-            farewell.iter_mut().for_each(GracefulShutdown::came);
+            farewell.iter_mut().for_each(GracefulShutdown::connection_opened);
             connections.push(Connection { client, came: now, open: vec![], taken: 0, asked: false, of });
         }
         let mut returning = Vec::new();
@@ -80,7 +80,7 @@
                 // It is read and taken, however late: nothing of it lies unread where a connection ends.
                 (c.taken, c.asked) = (c.taken + 1, true);
                 let wait = ms(c.client.answer);
-                let most = farewell.as_ref().map_or(wait, |f| f.time_left(ms(now), wait));
+                let most = farewell.as_ref().map_or(wait, |f| f.request_time_left(ms(now), wait));
                 c.open.push(now + most.as_millis() as u64);
             }
             if c.open.first().is_some_and(|at| *at <= now) {
@@ -90,15 +90,15 @@
             let unread = c.taken < wanted && c.client.asks <= now;
             let Some(told) = farewell.as_mut() else { return true };
             let standing = match () {
-                () if c.client.begins <= now && c.taken == 0 => IdleState::Begun,
-                () if c.asked => IdleState::Between,
-                () => IdleState::Silent,
+                () if c.client.begins <= now && c.taken == 0 => IdleState::PartialMessage,
+                () if c.asked => IdleState::BetweenRequests,
+                () => IdleState::NoRequestYet,
             };
             let stays = !c.open.is_empty()
                 || unread
-                || told.stands_until(standing, ms(c.came)).is_none_or(|until| ms(now) < until);
+                || told.idle_deadline(standing, ms(c.came)).is_none_or(|until| ms(now) < until);
             if !stays {
-                told.left(ms(now));
+                told.connection_closed(ms(now));
                 if c.taken == 0 && c.client.asks < u64::MAX {
                     fates[c.of].crossed = true;
                     returning.push((c.client, c.of));
@@ -112,10 +112,12 @@
             coming.push((Client { connects: late, begins: late, asks: late, ..client }, of));
         }
         let Some(told) = farewell.as_mut() else { continue };
-        assert!(told.next(ms(now)) > ms(now) || told.phase(ms(now)) == ShutdownPhase::AttemptEnded);
-        if told.phase(ms(now)) == ShutdownPhase::Closing && !shut {
+        assert!(
+            told.next_transition(ms(now)) > ms(now) || told.phase(ms(now)) == ShutdownPhase::AttemptEnded
+        );
+        if told.phase(ms(now)) == ShutdownPhase::ListenerClosing && !shut {
             shut = true;
-            told.shut();
+            told.listener_closed();
         }
         if told.phase(ms(now)) == ShutdownPhase::AttemptEnded {
             return (fates, now);
@@ -126,8 +128,9 @@
 
 /// Moments around those at which the phases change.
 fn moments() -> Vec<u64> {
-    let (notice, returns) = (TOLD + NOTICE.as_millis() as u64, RETURNS_WITHIN.as_millis() as u64);
-    let at = [TOLD, notice + returns, LEAVES, LEAVES + returns, LEAVES + ASKS_WITHIN.as_millis() as u64];
+    let (notice, returns) = (TOLD + NOTICE_PERIOD.as_millis() as u64, RETURN_GRACE_PERIOD.as_millis() as u64);
+    let at =
+        [TOLD, notice + returns, LEAVES, LEAVES + returns, LEAVES + FIRST_REQUEST_TIMEOUT.as_millis() as u64];
     let mut all: Vec<_> = at.iter().flat_map(|at| [at - 1, *at, at + 1, at + 60]).collect();
     all.extend([0, TOLD + 2500, TOLD + 3400]);
     all
@@ -174,7 +177,7 @@
 #[test]
 fn a_process_without_clients_ends_once_none_can_return() {
     let (_, ended) = play(&[], false);
-    assert_eq!(ms(ended), ms(TOLD) + NOTICE + RETURNS_WITHIN);
+    assert_eq!(ms(ended), ms(TOLD) + NOTICE_PERIOD + RETURN_GRACE_PERIOD);
 }
 
 /// A connection that has asked nothing is given the time to, and does not keep the process for longer.
@@ -183,9 +186,12 @@
     let silent =
         Client { connects: TOLD + 400, begins: u64::MAX, asks: u64::MAX, answer: 0, pipelined: false };
     let (fates, ended) = play(&[silent], false);
-    assert_eq!((fates, ms(ended)), (vec![AttemptLog::default()], ms(LEAVES) + RETURNS_WITHIN));
+    assert_eq!((fates, ms(ended)), (vec![AttemptLog::default()], ms(LEAVES) + RETURN_GRACE_PERIOD));
     let late = Client { connects: LEAVES - 100, ..silent };
-    assert_eq!(ms(play(&[silent, late], false).1), ms(LEAVES - 100) + ASKS_WITHIN + RETURNS_WITHIN);
+    assert_eq!(
+        ms(play(&[silent, late], false).1),
+        ms(LEAVES - 100) + FIRST_REQUEST_TIMEOUT + RETURN_GRACE_PERIOD
+    );
 }
 
 /// Guards against clients that are sent away before the front knows: those of one session have no other proxy to go to.
@@ -210,9 +216,9 @@
 #[test]
 fn no_request_outlasts_the_process_and_no_long_deadline_does() {
     let told = GracefulShutdown::new(ms(TOLD), ms(60_000), 1, ms(0));
-    assert_eq!(told.time_left(ms(TOLD + 100), ms(500)), ms(500));
+    assert_eq!(told.request_time_left(ms(TOLD + 100), ms(500)), ms(500));
     for at in (TOLD..KILLED).step_by(10).map(ms) {
-        assert!(at + told.time_left(at, ms(60_000)) < ms(KILLED - 100) || at > ms(KILLED - 200));
+        assert!(at + told.request_time_left(at, ms(60_000)) < ms(KILLED - 100) || at > ms(KILLED - 200));
     }
     assert_eq!(told.phase(ms(KILLED - 100)), ShutdownPhase::AttemptEnded);
 }
@@ -221,11 +227,12 @@
 #[test]
 fn a_word_that_may_have_waited_leaves_less_time() {
     let standing = |stood| {
-        GracefulShutdown::new(ms(TOLD), LONGEST, 1, ms(stood)).stands_until(IdleState::Between, ms(0))
+        GracefulShutdown::new(ms(TOLD), LONGEST, 1, ms(stood))
+            .idle_deadline(IdleState::BetweenRequests, ms(0))
     };
     assert_eq!(standing(0), Some(ms(LEAVES)));
     assert_eq!(standing(700), Some(ms(LEAVES - 700)));
     assert_eq!(standing(5000), Some(ms(TOLD)));
     let told = GracefulShutdown::new(ms(TOLD), LONGEST, 1, ms(5000));
-    assert_eq!(told.phase(ms(TOLD)), ShutdownPhase::Leaving, "what is open still gets its answer");
+    assert_eq!(told.phase(ms(TOLD)), ShutdownPhase::Draining, "what is open still gets its answer");
 }
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -243,7 +243,7 @@
             }
         }
         if let Some(farewell) = &mut *self.0.farewell.borrow_mut() {
-            farewell.shut();
+            farewell.listener_closed();
         }
         self.0.nearer.notify_waiters();
     }
@@ -272,7 +272,7 @@
         let clock = side.driver.clock();
         let farewell =
             GracefulShutdown::new(clock.now(), side.driver.max_deadline(), side.served.get(), side.stood());
-        let ends = clock.to_instant(farewell.ends());
+        let ends = clock.to_instant(farewell.deadline());
         side.farewell.replace(Some(farewell));
         loop {
             let mut nearer = std::pin::pin!(side.nearer.notified());
@@ -281,13 +281,13 @@
             let (phase, next) = {
                 let mut farewell = side.farewell.borrow_mut();
                 let farewell = farewell.as_mut().expect("it was just begun, and none takes it");
-                farewell.set_handed(self.has_successor() || self.0.beside.borrow().is_some());
-                (farewell.phase(now), farewell.next(now))
+                farewell.set_handed_over(self.has_successor() || self.0.beside.borrow().is_some());
+                (farewell.phase(now), farewell.next_transition(now))
             };
             match phase {
                 ShutdownPhase::Notice => {}
-                ShutdownPhase::Leaving => self.shut_to(ServicePhase::Leaving),
-                ShutdownPhase::Closing => self.shut_to(ServicePhase::Closed),
+                ShutdownPhase::Draining => self.shut_to(ServicePhase::Leaving),
+                ShutdownPhase::ListenerClosing => self.shut_to(ServicePhase::Closed),
                 ShutdownPhase::AttemptEnded => break,
             }
             tokio::select! {
@@ -441,7 +441,7 @@
             }
         });
         if let Some(farewell) = &mut *side.farewell.borrow_mut() {
-            farewell.came();
+            farewell.connection_opened();
         }
         side.share_sockets();
     }
@@ -549,7 +549,7 @@
         loop {
             let now = *door.borrow_and_update();
             let until = match (&*self.farewell.borrow(), stage) {
-                (Some(farewell), _) if now >= ServicePhase::Leaving => farewell.stands_until(standing, came),
+                (Some(farewell), _) if now >= ServicePhase::Leaving => farewell.idle_deadline(standing, came),
                 // Who connects while clients are sent away is told so; its startup may be on its way.
                 (_, Stage::Started) if now == ServicePhase::SentAway => return,
                 _ => None,
@@ -567,7 +567,9 @@
     /// How much of its time a request may take that comes now.
     fn time_left(&self, wanted: Duration) -> Duration {
         let farewell = self.farewell.borrow();
-        farewell.as_ref().map_or(wanted, |farewell| farewell.time_left(self.driver.clock().now(), wanted))
+        farewell
+            .as_ref()
+            .map_or(wanted, |farewell| farewell.request_time_left(self.driver.clock().now(), wanted))
     }
 
     /// Warns of a client that is turned away, not more often than whoever reads the log can bear.
@@ -600,7 +602,7 @@
     fn new(side: &Rc<Side>, number: u64) -> Self {
         side.served.set(side.served.get() + 1);
         if let Some(farewell) = &mut *side.farewell.borrow_mut() {
-            farewell.came();
+            farewell.connection_opened();
         }
         Self { side: side.clone(), number, served: Cell::new(true) }
     }
@@ -611,7 +613,7 @@
         if self.served.replace(false) {
             side.served.set(side.served.get() - 1);
             if let Some(farewell) = &mut *side.farewell.borrow_mut() {
-                farewell.left(side.driver.clock().now());
+                farewell.connection_closed(side.driver.clock().now());
             }
             side.nearer.notify_waiters();
         }
@@ -757,18 +759,18 @@
     /// message that keeps its place for good.
     async fn more(&mut self, late: Option<Instant>) -> io::Result<bool> {
         let standing = match self.stage {
-            _ if !self.inbound.bytes().is_empty() => IdleState::Begun,
-            Stage::Started if self.unasked.is_none() => IdleState::Between,
-            _ => IdleState::Silent,
+            _ if !self.inbound.bytes().is_empty() => IdleState::PartialMessage,
+            Stage::Started if self.unasked.is_none() => IdleState::BetweenRequests,
+            _ => IdleState::NoRequestYet,
         };
-        let hurries = self.hurried && standing == IdleState::Silent;
+        let hurries = self.hurried && standing == IdleState::NoRequestYet;
         let asks_by = hurries.then(|| self.side.driver.clock().to_instant(self.came) + ANSWERED_WITHIN);
         let late = late.into_iter().chain(asks_by).min();
         let goes = tokio::select! {
             biased;
             read = self.inbound.fill() => return Ok(read? > 0),
-            () = self.side.lets_go(standing, self.stage, self.came), if standing != IdleState::Begun => true,
-            () = self.unwanted.notified(), if standing != IdleState::Begun => true,
+            () = self.side.lets_go(standing, self.stage, self.came), if standing != IdleState::PartialMessage => true,
+            () = self.unwanted.notified(), if standing != IdleState::PartialMessage => true,
             () = sleep_until(late.unwrap_or_else(Instant::now)), if late.is_some() => false,
         };
         if goes {
@@ -780,7 +782,7 @@
             self.leaves = true;
             return Ok(false);
         }
-        if standing == IdleState::Begun {
+        if standing == IdleState::PartialMessage {
             self.expel("08P01", "a message was not complete in time").await?;
         } else if hurries && self.stage == Stage::Started {
             self.reply(|out| postgres::error(out, Severity::Fatal, "53300", TOO_MANY, None)).await?;
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -52,7 +52,7 @@
 /// How much more often than young ones older connections may break at their next query.
 const WORN: (f64, f64) = (2.0, 0.1);
 /// A share of breaks averages over 60 queries, forgets in 20 s, and weighs what is usual like 3 of its own.
-const BREAKS: EwmaConfig = EwmaConfig { most: 60.0, fade: 20.0, prior: 3.0 };
+const BREAKS: EwmaConfig = EwmaConfig { max_weight: 60.0, decay_secs: 20.0, prior_weight: 3.0 };
 
 /// How connections that were kept have fared at their next query, by how long they had stood idle. Guards
 /// against peers, or machines on the way, that drop a connection much sooner than the settings say, and tell
@@ -72,13 +72,13 @@
     /// Learns, at a time in seconds, whether a connection broke that had stood so long.
     pub fn learn(&mut self, now: f64, stood: Duration, broke: bool) {
         let gauge = Self::age(stood).map_or(&mut self.young, |age| &mut self.old[age]);
-        gauge.learn(now, f64::from(u8::from(broke)), &BREAKS);
+        gauge.record(now, f64::from(u8::from(broke)), &BREAKS);
     }
 
     /// The idle time from which on a connection had better not be used again, if there is one.
     pub fn most(&self, now: f64) -> Option<Duration> {
-        let usual = self.young.read(now, 0.0, &BREAKS);
-        let worn = |gauge: &Ewma| gauge.read(now, usual, &BREAKS) > WORN.0 * usual + WORN.1;
+        let usual = self.young.estimate(now, 0.0, &BREAKS);
+        let worn = |gauge: &Ewma| gauge.estimate(now, usual, &BREAKS) > WORN.0 * usual + WORN.1;
         self.old.iter().position(worn).map(|age| YOUNG * (1 << age))
     }
 }
