--- a/testkit/src/fleet/live/mod.rs
+++ b/testkit/src/fleet/live/mod.rs
@@ -222,7 +222,7 @@
         spawn_local(async move {
             let clock = shared.clock();
             clock.until(START + at).await;
-            processes::start(&shared, proxy);
+            processes::start(&shared, proxy).await;
             clock.until(START + at + 0.05).await;
             clients::ask_on(&shared, proxy).await;
         });
--- a/testkit/src/fleet/live/processes.rs
+++ b/testkit/src/fleet/live/processes.rs
@@ -31,9 +31,25 @@
 /// Ports from which listeners take theirs: below those that the system gives to whoever connects.
 const PORTS: std::ops::Range<u32> = 10_000..32_000;
 
+/// A child process that is killed and reaped when it is dropped.
+struct OwnedChild(Child);
+
+impl Drop for OwnedChild {
+    fn drop(&mut self) {
+        let _ = self.0.kill();
+        let _ = self.0.wait();
+    }
+}
+
+/// A command that starts a process, and the address of that process's admin API.
+struct PreparedStart {
+    command: Command,
+    ops: SocketAddr,
+}
+
 /// A process of a proxy.
 struct Process {
-    child: Child,
+    child: OwnedChild,
     ops: SocketAddr,
     /// Its place among the starts of the report.
     start: usize,
@@ -108,7 +124,8 @@
         self.proxies[proxy].struck.is_some_and(|at| at >= since)
     }
 
-    fn spawn(&mut self, proxy: usize, config: &str, start: usize) -> io::Result<()> {
+    /// Writes a process's configuration and opens its log.
+    fn prepare_start(&mut self, proxy: usize, config: &str) -> io::Result<PreparedStart> {
         let ops = self.free_address()?;
         let own = &mut self.proxies[proxy];
         let path = own.folder.join("config.json");
@@ -118,16 +135,15 @@
         std::fs::rename(&written, &path)?;
         let log = File::create(own.folder.join(format!("log-{}.txt", own.started)))?;
         own.started += 1;
-        let child = Command::new(&self.place.program)
+        let mut command = Command::new(&self.place.program);
+        command
             .args(["serve", "--ops", &ops.to_string()])
             .env("GW_CONFIG", &path)
             .env("TMPDIR", &own.folder)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
-            .stderr(log)
-            .spawn()?;
-        own.processes.push(Process { child, ops, start });
-        Ok(())
+            .stderr(log);
+        Ok(PreparedStart { command, ops })
     }
 
     fn signal(&self, proxy: usize, signal: Signal) {
@@ -156,7 +172,7 @@
     pub fn end_all(&mut self) -> Vec<String> {
         for (number, proxy) in self.proxies.iter_mut().enumerate() {
             for process in &mut proxy.processes {
-                if let Ok(Some(status)) = process.child.try_wait() {
+                if let Ok(Some(status)) = process.child.0.try_wait() {
                     self.unwell.push(format!("Crashed: a process of proxy {number} ended with {status}"));
                 }
             }
@@ -176,23 +192,20 @@
     /// Kills all but so many of the newest processes.
     fn end(&mut self, but: usize) {
         let most = self.processes.len().saturating_sub(but);
-        for mut process in self.processes.drain(..most) {
-            send(&process.child, Signal::CONT);
-            let _ = process.child.kill();
-            let _ = process.child.wait();
-        }
+        self.processes.drain(..most);
     }
 }
 
-fn send(child: &Child, signal: Signal) {
-    if let Some(pid) = Pid::from_raw(child.id() as i32) {
+fn send(child: &OwnedChild, signal: Signal) {
+    if let Some(pid) = Pid::from_raw(child.0.id() as i32) {
         let _ = kill_process(pid, signal);
     }
 }
 
-/// Starts a process of a proxy.
-pub fn start(shared: &Shared, proxy: usize) {
-    let config = shared.with(|world| {
+/// Starts a process of a proxy. The system call runs on a thread of its own: it may take tens of milliseconds, and the
+/// stand-ins of the trial must go on answering meanwhile.
+pub async fn start(shared: &Shared, proxy: usize) {
+    let (config, start) = shared.with(|world| {
         let now = world.clock.now();
         world.report.starts.push(Start { at: now - START, ..Start::default() });
         let settings = Settings {
@@ -211,7 +224,7 @@
             service::listing(world, proxy, &entries, true, version)
         });
         let seed = rand::Rng::random::<u64>(&mut world.rng);
-        json!({
+        let config = json!({
             "name": format!("p{proxy}"),
             "listen": world.processes.address(proxy),
             "discovery": world.services[proxy],
@@ -220,12 +233,19 @@
             "known": known,
             "settings": config::settings(&settings, world.plan.zones, world.plan.idle_s),
         })
-        .to_string()
+        .to_string();
+        (config, world.report.starts.len() - 1)
     });
-    shared.with(|world| {
-        let start = world.report.starts.len() - 1;
-        if let Err(e) = world.processes.spawn(proxy, &config, start) {
-            world.report.broken.push(format!("the trial itself: proxy {proxy} can't be started: {e}"));
+    let prepared = shared.with(|world| world.processes.prepare_start(proxy, &config));
+    let started = match prepared {
+        Ok(prepared) => spawn(prepared).await,
+        Err(e) => Err(e),
+    };
+    shared.with(|world| match started {
+        Ok((child, ops)) => world.processes.proxies[proxy].processes.push(Process { child, ops, start }),
+        Err(e) => {
+            let what = format!("the trial itself: proxy {proxy} can't be started: {e}");
+            world.report.broken.push(what);
         }
     });
     if !shared.with(|world| world.fronts[proxy].open) {
@@ -233,6 +253,12 @@
     }
 }
 
+async fn spawn(prepared: PreparedStart) -> io::Result<(OwnedChild, SocketAddr)> {
+    let PreparedStart { mut command, ops } = prepared;
+    let child = spawn_blocking(move || command.spawn().map(OwnedChild)).await??;
+    Ok((child, ops))
+}
+
 /// Kills a proxy's processes, and starts one anew after so many s.
 pub async fn kill(shared: Shared, proxy: usize, for_s: f64) {
     let clock = shared.clock();
@@ -244,7 +270,7 @@
     });
     clock.until(clock.now() + for_s).await;
     shared.with(|world| world.fronts[proxy].open = false);
-    start(&shared, proxy);
+    start(&shared, proxy).await;
 }
 
 /// Tells a proxy's process to end, and starts one anew so many s after the word.
@@ -263,7 +289,7 @@
         world.fronts[proxy].idle.clear();
     });
     clock.until(told + for_s.max(KILLED_S)).await;
-    start(&shared, proxy);
+    start(&shared, proxy).await;
 }
 
 /// Starts a successor beside a proxy's process, and tells that one to end once the new one is ready.
@@ -273,7 +299,7 @@
     if shared.with(|world| world.processes.proxies[proxy].processes.len() != 1) {
         return;
     }
-    start(&shared, proxy);
+    start(&shared, proxy).await;
     let Some(ops) = shared.with(|world| Some(world.processes.proxies[proxy].processes.get(1)?.ops)) else {
         return;
     };
@@ -296,7 +322,7 @@
     while clock.now() < told + KILLED_S {
         let ended = shared.with(|world| {
             let old = world.processes.proxies[proxy].processes.first_mut();
-            old.is_none_or(|old| matches!(old.child.try_wait(), Ok(Some(_))))
+            old.is_none_or(|old| matches!(old.child.0.try_wait(), Ok(Some(_))))
         });
         if ended {
             break;
