--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -284,7 +284,7 @@
                 head.truncate(end + 4);
                 return Ok::<_, io::Error>(call(&head));
             }
-            if bytes.len() >= buffers::SIZE {
+            if bytes.len() >= buffers::BUFFER_BYTES {
                 return Ok(Err(431));
             }
             if bytes.read_from(&stream).await? == 0 {
--- /dev/null
+++ b/src/net/buffers/write.rs
@@ -0,0 +1,24 @@
+//! Vectored writes.
+
+use std::io::{self, IoSlice};
+
+use tokio::net::TcpStream;
+
+/// Writes all slices.
+///
+/// # Errors
+///
+/// Those of the socket, and `WriteZero` where it accepts nothing more.
+pub async fn write_all(stream: &TcpStream, slices: &mut [IoSlice<'_>]) -> io::Result<()> {
+    let mut remaining = slices;
+    IoSlice::advance_slices(&mut remaining, 0);
+    while !remaining.is_empty() {
+        match stream.try_write_vectored(remaining) {
+            Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
+            Ok(written) => IoSlice::advance_slices(&mut remaining, written),
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => stream.writable().await?,
+            Err(e) => return Err(e),
+        }
+    }
+    Ok(())
+}
--- a/src/net/client/inbound.rs
+++ b/src/net/client/inbound.rs
@@ -81,7 +81,7 @@
     /// Waits until the client is gone. What it sends ahead meanwhile is read up to one buffer; the system keeps the rest.
     pub async fn gone(&mut self) {
         loop {
-            if self.bytes.len() < buffers::SIZE {
+            if self.bytes.len() < buffers::BUFFER_BYTES {
                 if !self.fill().await.is_ok_and(|read| read > 0) {
                     return;
                 }
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -160,7 +160,7 @@
     /// The same, and nobody listens.
     Closed,
     /// The time is up.
-    AttemptEnded,
+    Ended,
 }
 
 /// Since when connections have stood without an open request, and their numbers.
@@ -297,7 +297,7 @@
         }
         // Those that have ended may still have to read their last answers.
         let _ = timeout_at(ends, self.gone()).await;
-        self.shut_to(ServicePhase::AttemptEnded);
+        self.shut_to(ServicePhase::Ended);
         let _ = timeout(LAST_WORD, self.gone()).await;
     }
 
@@ -733,7 +733,7 @@
                 b'X' => Flow::End,
                 b'S' => {
                     skipping = false;
-                    self.reply(postgres::ready).await?
+                    self.reply(postgres::push_ready_for_query).await?
                 }
                 _ if skipping => Flow::GoOn,
                 b'Q' => self.query(message, came).await?,
@@ -743,7 +743,7 @@
                 }
                 b'F' => {
                     self.refuse("0A000", "function calls are not supported").await?;
-                    self.reply(postgres::ready).await?
+                    self.reply(postgres::push_ready_for_query).await?
                 }
                 _ => self.expel("08P01", "unexpected message type").await?,
             };
@@ -785,7 +785,7 @@
         if standing == IdleState::PartialMessage {
             self.expel("08P01", "a message was not complete in time").await?;
         } else if hurries && self.stage == Stage::Started {
-            self.reply(|out| postgres::error(out, Severity::Fatal, "53300", TOO_MANY, None)).await?;
+            self.reply(|out| postgres::push_error(out, Severity::Fatal, "53300", TOO_MANY, None)).await?;
         }
         Ok(false)
     }
@@ -794,7 +794,7 @@
         let late = Some(Instant::now() + if full { ANSWERED_WITHIN } else { MESSAGE_WITHIN });
         loop {
             let length = self.inbound.bytes().array::<4>(0).map(|b| u32::from_be_bytes(b) as usize);
-            if length.is_some_and(|n| !(8..=postgres::STARTUP_MOST).contains(&n)) {
+            if length.is_some_and(|n| !(8..=postgres::MAX_STARTUP_BYTES).contains(&n)) {
                 return self.expel("08P01", "invalid length of startup packet").await;
             }
             let Some(length) = length.filter(|n| self.inbound.bytes().len() >= *n) else {
@@ -808,7 +808,7 @@
             };
             let (packet, _) = self.inbound.split_to(length);
             let body: Vec<u8> = packet.slices(4..length).flatten().copied().collect();
-            match postgres::startup(&body) {
+            match postgres::parse_startup(&body) {
                 Some(Startup::Encryption) => self.write(b"N").await?,
                 Some(Startup::Session(_)) if full => {
                     return self.expel("53300", TOO_MANY).await;
@@ -817,7 +817,7 @@
                     return self.expel("57P03", "the proxy is out of service").await;
                 }
                 Some(Startup::Session(minor)) => {
-                    self.write(&postgres::welcome(minor)).await?;
+                    self.write(&postgres::encode_welcome(minor)).await?;
                     return Ok(Flow::GoOn);
                 }
                 Some(Startup::Cancel) => return Ok(Flow::End), // no query here can be cancelled by key
@@ -835,8 +835,9 @@
         self.room = None;
         loop {
             if let Some(header) = self.inbound.bytes().array(0) {
-                let length =
-                    postgres::header(header).map(|(_, length)| length).filter(|n| *n <= postgres::QUERY_MOST);
+                let length = postgres::parse_header(header)
+                    .map(|header| header.length)
+                    .filter(|n| *n <= postgres::MAX_QUERY_BYTES);
                 let Some(length) = length else {
                     self.expel("08P01", "invalid message length").await?;
                     return Ok(None);
@@ -844,7 +845,7 @@
                 if self.inbound.bytes().len() >= length {
                     return Ok(Some(self.inbound.split_to(length)));
                 }
-                if self.inbound.bytes().len() >= buffers::SIZE && self.room.is_none() {
+                if self.inbound.bytes().len() >= buffers::BUFFER_BYTES && self.room.is_none() {
                     self.room = Some(self.side.pool.reserve(length).await);
                     long = length > WITHIN_MOST;
                     begun = Instant::now();
@@ -870,7 +871,7 @@
             for part in [TEXT_AT..cut.start, cut.end..message.len()] {
                 message.slices(part).for_each(|piece| scratch.extend_from_slice(piece));
             }
-            scratch.split_last().filter(|(end, _)| **end == 0).map(|(_, text)| postgres::query(text))
+            scratch.split_last().filter(|(end, _)| **end == 0).map(|(_, text)| postgres::parse_query(text))
         };
         let Some(parsed) = parsed else {
             return self.expel("08P01", "invalid string in message").await;
@@ -881,15 +882,15 @@
             }
             Some(postgres::Query::Empty) => {
                 self.reply(|out| {
-                    postgres::empty_query(out);
-                    postgres::ready(out);
+                    postgres::push_empty_query_response(out);
+                    postgres::push_ready_for_query(out);
                 })
                 .await
             }
             Some(postgres::Query::Setting(tag)) => {
                 self.reply(|out| {
-                    postgres::complete(out, tag);
-                    postgres::ready(out);
+                    postgres::push_command_complete(out, tag);
+                    postgres::push_ready_for_query(out);
                 })
                 .await
             }
@@ -911,7 +912,7 @@
             return self.reject("42601", "the statement names no known class").await;
         };
         // What a data server would turn away or close on costs a connection there, or passes for its fault.
-        if statement.write != (class.consistency == Consistency::Write) {
+        if statement.is_write != (class.consistency == Consistency::Write) {
             return self.reject("42601", "reads and writes have classes of their own").await;
         }
         if !self.side.driver.knows_group(GroupId(statement.group)) {
@@ -928,19 +929,21 @@
         }
         let place =
             |at: usize| if at + TEXT_AT < cut.start { at + TEXT_AT } else { at + TEXT_AT + cut.len() };
-        let wait_at = place(statement.wait_at.start)..place(statement.wait_at.end);
+        let wait_at = place(statement.timeout_range.start)..place(statement.timeout_range.end);
         let call = NewRequest {
             client: Some(self.stream.clone()),
             class: id,
             group: GroupId(statement.group),
             // No client waits longer over all its tries, and no request outlasts the process. What it waited for its
             // turn, behind others on its connection, was its client's time too.
-            time_left: self.side.time_left(statement.wait.min(class.deadline).saturating_sub(came.elapsed())),
-            is_retry: statement.retry,
+            time_left: self
+                .side
+                .time_left(statement.timeout.min(class.deadline).saturating_sub(came.elapsed())),
+            is_retry: statement.is_retry,
             statement_bytes: message.len() as u64,
             session: matches!(class.consistency, Consistency::Write | Consistency::Causal)
                 .then_some(statement.key),
-            after_unix_ms: statement.after,
+            after_unix_ms: statement.after_unix_ms,
         };
         self.unasked = None;
         let (request, mut answer) =
@@ -952,7 +955,7 @@
         let answer = tokio::select! {
             biased;
             answer = &mut answer => answer,
-            _ = door.wait_for(|door| *door == ServicePhase::AttemptEnded) => {
+            _ = door.wait_for(|door| *door == ServicePhase::Ended) => {
                 self.side.driver.client_gone(request);
                 return self.expel("57P01", "the proxy is shutting down").await;
             }
@@ -967,14 +970,14 @@
             Ok(Response::Rejected(hint)) => {
                 self.reply(|out| {
                     let hint = hint.map(|h| h.as_millis().to_string());
-                    postgres::error(
+                    postgres::push_error(
                         out,
                         Severity::Error,
                         "53300",
                         "no server can take this in time",
                         hint.as_deref(),
                     );
-                    postgres::ready(out);
+                    postgres::push_ready_for_query(out);
                 })
                 .await
             }
@@ -990,7 +993,7 @@
     /// has been passed on can't be taken back, and its client must be able to tell.
     async fn serve_value(&self, mut answer: Answer) -> io::Result<Flow> {
         let mut ready = Vec::new();
-        postgres::ready(&mut ready);
+        postgres::push_ready_for_query(&mut ready);
         let whole = !answer.goes_on();
         let mut pieces: Vec<_> = answer.pieces().map(IoSlice::new).collect();
         if whole {
@@ -1023,21 +1026,21 @@
 
     /// An error, after which the client goes on without a ReadyForQuery.
     async fn refuse(&self, code: &str, text: &str) -> io::Result<Flow> {
-        self.reply(|out| postgres::error(out, Severity::Error, code, text, None)).await
+        self.reply(|out| postgres::push_error(out, Severity::Error, code, text, None)).await
     }
 
     /// An error that ends the query.
     async fn reject(&self, code: &str, text: &str) -> io::Result<Flow> {
         self.reply(|out| {
-            postgres::error(out, Severity::Error, code, text, None);
-            postgres::ready(out);
+            postgres::push_error(out, Severity::Error, code, text, None);
+            postgres::push_ready_for_query(out);
         })
         .await
     }
 
     /// An error that ends the connection.
     async fn expel(&mut self, code: &str, text: &str) -> io::Result<Flow> {
-        self.reply(|out| postgres::error(out, Severity::Fatal, code, text, None)).await?;
+        self.reply(|out| postgres::push_error(out, Severity::Fatal, code, text, None)).await?;
         Ok(Flow::End)
     }
 
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -490,7 +490,7 @@
             if !self.driver.accepts_attempts(server) {
                 return Err(io::ErrorKind::NotConnected.into());
             }
-            write_all(&connection.stream, &mut [IoSlice::new(&postgres::simple_query(text))]).await?;
+            write_all(&connection.stream, &mut [IoSlice::new(&postgres::encode_simple_query(text))]).await?;
             let reply = self.reply(&connection.stream, Asked::Statement).await?;
             if reply.reusable() {
                 self.give_back(server, connection);
@@ -547,7 +547,7 @@
     async fn connect(&self, address: SocketAddr, place: OwnedSemaphorePermit) -> io::Result<Checkout> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let hello = postgres::startup_packet(LOGIN.0, LOGIN.1);
+        let hello = postgres::encode_startup_packet(LOGIN.0, LOGIN.1);
         write_all(&stream, &mut [IoSlice::new(&hello)]).await?;
         let reply = self.reply(&stream, Asked::Welcome).await?;
         Ok(match reply.code {
@@ -619,7 +619,7 @@
     let (message, length) = (&query.message, query.message.len());
     let wait = left.as_millis().max(1).to_string();
     let at = query.wait_at.clone();
-    let header = postgres::query_header(length - at.len() + wait.len());
+    let header = postgres::encode_query_header(length - at.len() + wait.len());
     let mut pieces = vec![IoSlice::new(&header)];
     pieces.extend(message.slices(header.len()..at.start).map(IoSlice::new));
     pieces.push(IoSlice::new(wait.as_bytes()));
@@ -675,9 +675,10 @@
     /// Takes in the messages that are whole; says whether the last one was ReadyForQuery.
     fn take_in(&mut self) -> io::Result<bool> {
         while let Some(header) = self.bytes.array(self.at) {
-            let (kind, length) = postgres::header(header).ok_or(io::ErrorKind::InvalidData)?;
+            let parsed = postgres::parse_header(header).ok_or(io::ErrorKind::InvalidData)?;
+            let postgres::MessageHeader { kind, length } = parsed;
             let end = self.at.saturating_add(length);
-            if !postgres::may_be(kind, length) || end > postgres::ANSWER_MOST {
+            if !postgres::is_plausible_length(parsed) || end > postgres::MAX_RESPONSE_BYTES {
                 return Err(io::ErrorKind::InvalidData.into());
             }
             if end > self.bytes.len() {
@@ -725,13 +726,14 @@
                 first && body == [0; 4]
             }
             (b'K', _) => !statement && open && self.welcomed,
-            (b'T', 0) => statement && open && postgres::describes_one_column(body),
-            (b'D', 1) => open && postgres::only_column(body).is_some(),
-            (b'C', 2) => open && postgres::is_tag(body),
+            (b'T', 0) => statement && open && postgres::is_single_column_description(body),
+            (b'D', 1) => open && postgres::parse_single_column(body).is_some(),
+            (b'C', 2) => open && postgres::is_command_tag(body),
             (b'E', 0..3) => {
                 // What fails after its row has begun has run, whatever the code says.
                 let code =
-                    postgres::sqlstate(body).map(|code| if self.value.is_empty() { code } else { *b"XX000" });
+                    postgres::parse_sqlstate(body)
+                        .map(|code| if self.value.is_empty() { code } else { *b"XX000" });
                 return (open && code.is_some()).then(|| self.code = code);
             }
             (b'Z', values) => {
@@ -750,7 +752,9 @@
     fn parameter(&mut self) -> Option<()> {
         // An unreadable load report spoils nothing else.
         let is_report = self.scratch.starts_with(b"stats\0");
-        let Some((name, value)) = postgres::parameter(&self.scratch) else { return is_report.then_some(()) };
+        let Some((name, value)) = postgres::parse_parameter_status(&self.scratch) else {
+            return is_report.then_some(());
+        };
         match (name, value) {
             ("mode", "read-write") => self.primary = Some(true),
             ("mode", "read-only") => self.primary = Some(false),
@@ -802,7 +806,7 @@
         let mut row = Vec::new();
         let at = self.value.get(1)?;
         self.bytes.copy(at.start + 5..at.end, &mut row);
-        let text = std::str::from_utf8(postgres::only_column(&row)?).ok()?;
+        let text = std::str::from_utf8(postgres::parse_single_column(&row)?).ok()?;
         text.contains('=').then(|| report(text, clock))
     }
 }
@@ -814,7 +818,7 @@
 
 fn report(text: &str, clock: Clock) -> LoadReport {
     let mut report = LoadReport::default();
-    for (name, value) in postgres::load_report(text) {
+    for (name, value) in postgres::parse_load_report(text) {
         match name {
             "x0" => report.position = position(value * 1e3 - REPORT_ROUNDED, clock),
             "x1" => report.primary = Some(value == 1.0),
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! The program under test between scripted peers, and a client that speaks to it byte by byte.
 #![allow(dead_code)] // each test file uses a part
 
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -141,6 +141,16 @@
     }
 }
 
+/// Reads once, again where a signal interrupts the call.
+pub fn read_once(stream: &mut TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
+    loop {
+        match stream.read(bytes) {
+            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+            other => return other,
+        }
+    }
+}
+
 pub struct Client(pub TcpStream);
 
 pub type Answer = Vec<(u8, Vec<u8>)>;
