--- a/src/main.rs
+++ b/src/main.rs
@@ -214,7 +214,7 @@
             .iter()
             .cloned()
             .zip(settings.classes.iter().cloned().enumerate())
-            .map(|(name, (i, class))| (name, (ClassId(i), class)))
+            .map(|(name, (i, class))| (name, client::NamedClass { id: ClassId(i), class }))
             .collect(),
     };
     let (driver, orders, asks) = Driver::new(settings, seed, clock).map_err(|e| format!("settings: {e}"))?;
--- /dev/null
+++ b/src/net/client/query.rs
@@ -0,0 +1,186 @@
+//! Simple queries: parsing, submission to the driver, and the final answer.
+
+use std::io::{self, IoSlice};
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+use super::class_table::NamedClass;
+use super::connection::{Connection, Flow, ReceivedMessage};
+use super::long_statement::AbridgedText;
+use super::request_ids::IdStatus;
+use super::service_phase::ServicePhase;
+use crate::api::{Consistency, GroupId};
+use crate::net::driver::{NewRequest, Response};
+use crate::net::postgres::{self, Severity, Statement};
+use crate::net::server::{Answer, Query};
+
+impl Connection<'_> {
+    pub(super) async fn query(&mut self, message: ReceivedMessage) -> io::Result<Flow> {
+        let text = AbridgedText::new(&message.bytes);
+        let parsed = {
+            let mut scratch = self.shared.scratch.borrow_mut();
+            text.copy(&message.bytes, &mut scratch);
+            let terminated = scratch.split_last().filter(|(last, _)| **last == 0);
+            terminated.map(|(_, text)| postgres::parse_query(text))
+        };
+        let Some(parsed) = parsed else {
+            return self.fail_connection("08P01", "invalid string in message").await;
+        };
+        match parsed {
+            Some(postgres::Query::Empty) => self.answer_empty_query().await,
+            Some(postgres::Query::Setting(tag)) => {
+                self.reply(|out| {
+                    postgres::push_command_complete(out, tag);
+                    postgres::push_ready_for_query(out);
+                })
+                .await
+            }
+            Some(postgres::Query::Routed(statement)) => self.route(statement, message, &text).await,
+            None => self.fail_query("42601", "not a statement that this proxy can route").await,
+        }
+    }
+
+    /// An empty query is the load balancer's health check.
+    async fn answer_empty_query(&self) -> io::Result<Flow> {
+        if self.shared.phase.current() != ServicePhase::Open {
+            return self.fail_query("57P03", "the proxy is out of service").await;
+        }
+        self.reply(|out| {
+            postgres::push_empty_query_response(out);
+            postgres::push_ready_for_query(out);
+        })
+        .await
+    }
+
+    /// Checks a statement, since a data server would decline it or close its connection, and submits it.
+    async fn route(
+        &mut self,
+        statement: Statement,
+        message: ReceivedMessage,
+        text: &AbridgedText,
+    ) -> io::Result<Flow> {
+        let class = self.shared.classes.borrow().get(&statement.class);
+        let Some(class) = class else {
+            return self.fail_query("42601", "the statement names no known class").await;
+        };
+        if statement.is_write != (class.class.consistency == Consistency::Write) {
+            return self.fail_query("42601", "reads and writes have classes of their own").await;
+        }
+        if !self.shared.driver.knows_group(GroupId(statement.group)) {
+            return self.fail_query("42601", "the statement names no known cluster").await;
+        }
+        match self.shared.request_ids.status(&statement.id) {
+            IdStatus::InUse => {
+                return self.fail_query("08P01", "the statement has the id of another open request").await;
+            }
+            // Its client has come again before the end of its first connection was read.
+            IdStatus::Abandoned(request) => self.shared.driver.client_gone(request),
+            IdStatus::Free => {}
+        }
+        self.submit(statement, &class, message, text).await
+    }
+
+    async fn submit(
+        &mut self,
+        statement: Statement,
+        class: &NamedClass,
+        message: ReceivedMessage,
+        text: &AbridgedText,
+    ) -> io::Result<Flow> {
+        let wait_at = text.message_range(&statement.timeout_range);
+        let id = statement.id.clone();
+        let request = self.new_request(statement, class, message.bytes.len(), message.received_at);
+        self.no_request = None;
+        let query = Query { message: message.bytes, wait_at, room: self.reservation.take() };
+        let (request, mut response) = self.shared.driver.submit(request, query);
+        let id_guard = self.shared.request_ids.claim(id, self.number, request, self.stream.clone());
+        let mut phase = self.shared.phase.subscribe();
+        let response = tokio::select! {
+            biased;
+            response = &mut response => response,
+            _ = phase.wait_for(|phase| *phase == ServicePhase::Ended) => {
+                self.shared.driver.client_gone(request);
+                return self.fail_connection("57P01", "the proxy is shutting down").await;
+            }
+            () = self.inbound.client_gone() => {
+                self.shared.driver.client_gone(request);
+                return Ok(Flow::End);
+            }
+        };
+        drop(id_guard);
+        match response {
+            Ok(response) => self.answer(response).await,
+            // Its client was seen to be gone before anything was sent for it.
+            Err(_) => Ok(Flow::End),
+        }
+    }
+
+    fn new_request(
+        &self,
+        statement: Statement,
+        class: &NamedClass,
+        statement_bytes: usize,
+        received_at: Instant,
+    ) -> NewRequest {
+        let NamedClass { id, class } = class;
+        let has_session = matches!(class.consistency, Consistency::Write | Consistency::Causal);
+        // No client waits longer over all its retries, and no request outlasts the process. What it waited
+        // behind others on its connection was its client's time too.
+        let timeout = statement.timeout.min(class.deadline).saturating_sub(received_at.elapsed());
+        NewRequest {
+            client: Some(self.stream.clone()),
+            class: *id,
+            group: GroupId(statement.group),
+            time_left: self.shared.request_time_left(timeout),
+            is_retry: statement.is_retry,
+            statement_bytes: statement_bytes as u64,
+            session: has_session.then_some(statement.key),
+            after_unix_ms: statement.after_unix_ms,
+        }
+    }
+
+    async fn answer(&mut self, response: Response<Answer>) -> io::Result<Flow> {
+        match response {
+            Response::Served(answer) => self.write_value(answer).await,
+            Response::Rejected(retry_after) => self.answer_rejected(retry_after).await,
+            Response::Failed => {
+                self.fail_query("40003", "no answer from a data server; the statement may have run").await
+            }
+        }
+    }
+
+    async fn answer_rejected(&self, retry_after: Option<Duration>) -> io::Result<Flow> {
+        let retry_after_ms = retry_after.map(|after| after.as_millis().to_string());
+        self.reply(|out| {
+            let text = "no server can take this in time";
+            postgres::push_error(out, Severity::Error, "53300", text, retry_after_ms.as_deref());
+            postgres::push_ready_for_query(out);
+        })
+        .await
+    }
+
+    /// Writes a value. A large one is written as it comes; where its rest fails, the connection fails too:
+    /// what was written can't be taken back, and the client must be able to tell.
+    async fn write_value(&self, mut answer: Answer) -> io::Result<Flow> {
+        let mut ready = Vec::new();
+        postgres::push_ready_for_query(&mut ready);
+        let is_complete = !answer.goes_on();
+        let mut slices: Vec<_> = answer.pieces().map(IoSlice::new).collect();
+        if is_complete {
+            slices.push(IoSlice::new(&ready));
+        }
+        self.write_slices(&mut slices).await?;
+        drop(slices);
+        if is_complete {
+            return Ok(Flow::Continue);
+        }
+        answer.clear();
+        while let Some(part) = answer.more().await? {
+            let mut slices: Vec<_> = part.slices(0..part.len()).map(IoSlice::new).collect();
+            self.write_slices(&mut slices).await?;
+        }
+        self.write(&ready).await?;
+        Ok(Flow::Continue)
+    }
+}
--- /dev/null
+++ b/src/net/client/startup.rs
@@ -0,0 +1,64 @@
+//! The startup of a client connection.
+
+use std::io;
+
+use tokio::time::Instant;
+
+use super::connection::{Connection, Flow, MESSAGE_TIMEOUT, REJECTED_STARTUP_TIMEOUT, TOO_MANY_CLIENTS};
+use super::connection_table::IdleReason;
+use super::service_phase::ServicePhase;
+use crate::net::postgres::{self, Startup};
+
+/// Bytes of the length field of a startup packet.
+const LENGTH_BYTES: usize = 4;
+/// The shortest startup packet: its length and the protocol version.
+const MIN_STARTUP_BYTES: usize = 8;
+
+impl Connection<'_> {
+    /// Reads startup packets until one begins a session or ends the connection. The client is rejected if
+    /// `is_full`.
+    pub(super) async fn start(&mut self, is_full: bool) -> io::Result<Flow> {
+        let timeout = if is_full { REJECTED_STARTUP_TIMEOUT } else { MESSAGE_TIMEOUT };
+        let deadline = Some(Instant::now() + timeout);
+        loop {
+            let length =
+                self.inbound.bytes().array::<LENGTH_BYTES>(0).map(|bytes| u32::from_be_bytes(bytes) as usize);
+            if length.is_some_and(|n| !(MIN_STARTUP_BYTES..=postgres::MAX_STARTUP_BYTES).contains(&n)) {
+                return self.fail_connection("08P01", "invalid length of startup packet").await;
+            }
+            let Some(length) = length.filter(|n| self.inbound.bytes().len() >= *n) else {
+                // A client that has sent a part of its packet is slow, but not idle.
+                let is_idle = self.inbound.bytes().is_empty();
+                let connections = &self.shared.connections;
+                let _idle = is_idle.then(|| connections.mark_idle(IdleReason::NoRequestYet, self.number));
+                if !self.read_more(deadline).await? {
+                    return Ok(Flow::End);
+                }
+                continue;
+            };
+            let packet = self.inbound.split_to(length).bytes;
+            let body: Vec<u8> = packet.slices(LENGTH_BYTES..length).flatten().copied().collect();
+            match postgres::parse_startup(&body) {
+                Some(Startup::Encryption) => self.write(b"N").await?, // declined
+                Some(Startup::Session(minor_version)) => {
+                    return self.begin_session(minor_version, is_full).await
+                }
+                Some(Startup::Cancel) => return Ok(Flow::End), // no query here can be cancelled by key
+                Some(Startup::Unsupported(_)) | None => {
+                    return self.fail_connection("0A000", "unsupported frontend protocol").await;
+                }
+            }
+        }
+    }
+
+    async fn begin_session(&mut self, minor_version: u16, is_full: bool) -> io::Result<Flow> {
+        if is_full {
+            return self.fail_connection("53300", TOO_MANY_CLIENTS).await;
+        }
+        if self.shared.phase.current() == ServicePhase::OutOfService {
+            return self.fail_connection("57P03", "the proxy is out of service").await;
+        }
+        self.write(&postgres::encode_welcome(minor_version)).await?;
+        Ok(Flow::Continue)
+    }
+}
