--- /dev/null
+++ b/src/net/server/load_report/tests.rs
@@ -0,0 +1,18 @@
+//! What a load report proves.
+
+use std::time::Duration;
+
+use super::parse;
+use crate::api::LoadReport;
+use crate::net::driver::Clock;
+
+/// A session's write was committed at a time that the report rounds up to: that does not prove that the server has it.
+#[test]
+fn a_reported_position_is_reduced_by_its_rounding() {
+    let clock = Clock::start();
+    let ms = clock.to_unix_ms(clock.now()).floor();
+    let report = parse(&format!("x0={:.3},x1=0", ms / 1e3), clock);
+    let commit = clock.from_unix_ms(ms - 0.4);
+    assert!(report.position.is_some_and(|at| at < commit && commit - at < Duration::from_millis(1)));
+    assert_eq!((report.primary, parse("", clock)), (Some(false), LoadReport::default()));
+}
