--- a/core/src/failover/attempt_log.rs
+++ b/core/src/failover/attempt_log.rs
@@ -1,50 +1,59 @@
-//! The ledger of one request's attempts: what has become of each, what proves it, and so what its client may
-//! be told.
+//! Records the attempts of one request and what is known of their execution.
 //!
-//! Owns the rule that "never ran" is said only where it was proved: an attempt that is out may run, and one
-//! that ended without such a proof may have run. It must never forget an attempt.
+//! Owns the list of attempts. A request may be reported as not executed only if every attempt's outcome rules
+//! execution out: an attempt in flight may execute, and one that ended without such an outcome may have
+//! executed. Attempts are never removed. Times are seconds on the engine's clock.
 
 use crate::api::{AttemptNumber, Idempotency, KeyScope, Outcome, ServerId};
 
-/// What an attempt's end proves.
+/// What is known of an attempt's execution.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionEvidence {
-    /// None yet: it is out, and may run.
+    /// The attempt has not ended and may execute.
     InFlight,
-    /// It ran: this is its answer.
+    /// The server executed the request and responded.
     Executed,
-    /// It never ran: it was turned away untouched, or its last byte was not written.
+    /// The server did not execute it: it rejected the request, or did not receive all of it.
     RuledOut,
-    /// Nothing: it may have run, and may yet.
+    /// The attempt ended without a response: the request may have been executed, or may be still.
     Unknown,
 }
 
-/// What a client may be told when its request is given up.
+/// Whether a client may repeat a request that the proxy gives up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// Nothing ran, or it may run again: asking again is harmless.
+    /// The request was not executed, or is idempotent.
     Safe,
-    /// It may have run, and must not run again.
+    /// The request may have been executed and is not idempotent.
     Unknown,
 }
 
+/// An attempt that may have executed the request.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct PossibleExecution {
+    /// When the attempt was sent, in seconds on the engine's clock.
+    pub sent_at: f64,
+    /// The server that it was sent to.
+    pub server: ServerId,
+}
+
 /// One attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct LoggedAttempt {
-    attempt: u32,
+    number: u32,
     server: ServerId,
-    sent: f64,
-    proof: ExecutionEvidence,
+    sent_at: f64,
+    evidence: ExecutionEvidence,
 }
 
-/// What has become of a request's attempts.
+/// The attempts of one request, in the order in which they were sent.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AttemptLog {
-    legs: Vec<LoggedAttempt>,
+    attempts: Vec<LoggedAttempt>,
 }
 
 impl ExecutionEvidence {
-    /// What an outcome proves.
+    /// What the outcome of an attempt shows.
     pub fn from_outcome(outcome: Outcome) -> Self {
         match outcome {
             Outcome::Success => Self::Executed,
@@ -55,43 +64,46 @@
 }
 
 impl AttemptLog {
-    /// An attempt goes out.
-    pub fn record_sent(&mut self, attempt: u32, server: ServerId, now: f64) {
-        self.legs.push(LoggedAttempt { attempt, server, sent: now, proof: ExecutionEvidence::InFlight });
+    /// Records that an attempt was sent to a server at `now`.
+    pub fn record_sent(&mut self, number: u32, server: ServerId, now: f64) {
+        let evidence = ExecutionEvidence::InFlight;
+        self.attempts.push(LoggedAttempt { number, server, sent_at: now, evidence });
     }
 
-    /// An attempt ended. One that is not known, or has ended before, changes nothing.
-    pub fn record_ended(&mut self, attempt: AttemptNumber, outcome: Outcome) {
-        let leg = self
-            .legs
+    /// Records the outcome of an attempt. An attempt that is unknown or has ended already is left as it is.
+    pub fn record_ended(&mut self, number: AttemptNumber, outcome: Outcome) {
+        let attempt = self
+            .attempts
             .iter_mut()
-            .find(|leg| leg.attempt == attempt.0 && leg.proof == ExecutionEvidence::InFlight);
-        if let Some(leg) = leg {
-            leg.proof = ExecutionEvidence::from_outcome(outcome);
+            .find(|attempt| attempt.number == number.0 && attempt.evidence == ExecutionEvidence::InFlight);
+        if let Some(attempt) = attempt {
+            attempt.evidence = ExecutionEvidence::from_outcome(outcome);
         }
     }
 
-    /// The first attempt that has ended and may have run: when it was sent, and where.
-    pub fn first_possible_execution(&self) -> Option<(f64, ServerId)> {
-        let ran = |leg: &&LoggedAttempt| {
-            matches!(leg.proof, ExecutionEvidence::Executed | ExecutionEvidence::Unknown)
-        };
-        self.legs.iter().find(ran).map(|leg| (leg.sent, leg.server))
+    /// The first attempt that has ended and may have executed the request.
+    pub fn first_possible_execution(&self) -> Option<PossibleExecution> {
+        let attempt = self.attempts.iter().find(|attempt| {
+            matches!(attempt.evidence, ExecutionEvidence::Executed | ExecutionEvidence::Unknown)
+        })?;
+        Some(PossibleExecution { sent_at: attempt.sent_at, server: attempt.server })
     }
 
-    /// Whether an attempt is out at a server.
+    /// Whether an attempt is in flight at a server.
     pub fn is_in_flight_at(&self, server: ServerId) -> bool {
-        self.legs.iter().any(|leg| leg.server == server && leg.proof == ExecutionEvidence::InFlight)
+        self.attempts
+            .iter()
+            .any(|attempt| attempt.server == server && attempt.evidence == ExecutionEvidence::InFlight)
     }
 
-    /// Whether some server has taken it up, so far as is known.
+    /// Whether any attempt, ended or in flight, may execute or have executed the request.
     pub fn may_have_executed(&self) -> bool {
-        self.legs.iter().any(|leg| leg.proof != ExecutionEvidence::RuledOut)
+        self.attempts.iter().any(|attempt| attempt.evidence != ExecutionEvidence::RuledOut)
     }
 
-    /// What its client may be told now.
-    pub fn retry_safety(&self, effect: Idempotency) -> RetrySafety {
-        match effect {
+    /// Whether the client may repeat the request if it is given up now.
+    pub fn retry_safety(&self, idempotency: Idempotency) -> RetrySafety {
+        match idempotency {
             Idempotency::Idempotent | Idempotency::WithKey { scope: KeyScope::All, .. } => RetrySafety::Safe,
             _ if self.may_have_executed() => RetrySafety::Unknown,
             _ => RetrySafety::Safe,
--- a/core/src/failover/attempt_log/tests.rs
+++ b/core/src/failover/attempt_log/tests.rs
@@ -17,44 +17,47 @@
 ];
 
 #[test]
-fn only_four_ends_prove_that_nothing_ran() {
-    let proved: Vec<_> = ALL
+fn four_outcomes_rule_out_execution() {
+    let ruling_out: Vec<_> = ALL
         .into_iter()
-        .filter(|o| ExecutionEvidence::from_outcome(*o) == ExecutionEvidence::RuledOut)
+        .filter(|outcome| ExecutionEvidence::from_outcome(*outcome) == ExecutionEvidence::RuledOut)
         .collect();
-    assert_eq!(proved, [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Misdirected]);
+    assert_eq!(
+        ruling_out,
+        [Outcome::Rejected, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Misdirected]
+    );
 }
 
 #[test]
-fn what_is_out_may_run() {
-    let mut fate = AttemptLog::default();
-    assert_eq!(fate.retry_safety(Idempotency::NonIdempotent), RetrySafety::Safe);
-    fate.record_sent(0, ServerId(1), 5.0);
+fn an_attempt_in_flight_may_execute() {
+    let mut log = AttemptLog::default();
+    assert_eq!(log.retry_safety(Idempotency::NonIdempotent), RetrySafety::Safe);
+    log.record_sent(0, ServerId(1), 5.0);
     assert_eq!(
-        (fate.retry_safety(Idempotency::NonIdempotent), fate.first_possible_execution()),
+        (log.retry_safety(Idempotency::NonIdempotent), log.first_possible_execution()),
         (RetrySafety::Unknown, None)
     );
-    assert!(fate.is_in_flight_at(ServerId(1)) && !fate.is_in_flight_at(ServerId(2)));
-    fate.record_ended(AttemptNumber(0), Outcome::Misdirected);
-    assert_eq!(fate.retry_safety(Idempotency::NonIdempotent), RetrySafety::Safe);
-    fate.record_ended(AttemptNumber(0), Outcome::Timeout); // it has ended before
-    assert_eq!(fate.retry_safety(Idempotency::NonIdempotent), RetrySafety::Safe);
+    assert!(log.is_in_flight_at(ServerId(1)) && !log.is_in_flight_at(ServerId(2)));
+    log.record_ended(AttemptNumber(0), Outcome::Misdirected);
+    assert_eq!(log.retry_safety(Idempotency::NonIdempotent), RetrySafety::Safe);
+    log.record_ended(AttemptNumber(0), Outcome::Timeout); // it has ended already
+    assert_eq!(log.retry_safety(Idempotency::NonIdempotent), RetrySafety::Safe);
 }
 
 proptest! {
-    /// Whatever comes after it, an attempt that may have run is never taken back.
+    /// Once an attempt may have executed, no later attempt changes that.
     #[test]
-    fn doubt_is_never_taken_back(ends in prop::collection::vec(0..ALL.len(), 1..6)) {
-        let mut fate = AttemptLog::default();
-        let mut doubted = false;
-        for (n, end) in ends.iter().enumerate() {
-            fate.record_sent(n as u32, ServerId(n as u32), n as f64);
-            fate.record_ended(AttemptNumber(n as u32), ALL[*end]);
-            doubted |= !ALL[*end].rules_out_execution();
-            let safety = fate.retry_safety(Idempotency::NonIdempotent);
-            prop_assert_eq!(safety == RetrySafety::Unknown, doubted);
-            prop_assert_eq!(fate.first_possible_execution().is_some(), doubted);
-            prop_assert_eq!(fate.retry_safety(Idempotency::Idempotent), RetrySafety::Safe);
+    fn a_possible_execution_is_never_forgotten(outcomes in prop::collection::vec(0..ALL.len(), 1..6)) {
+        let mut log = AttemptLog::default();
+        let mut may_have_executed = false;
+        for (number, outcome) in outcomes.iter().enumerate() {
+            log.record_sent(number as u32, ServerId(number as u32), number as f64);
+            log.record_ended(AttemptNumber(number as u32), ALL[*outcome]);
+            may_have_executed |= !ALL[*outcome].rules_out_execution();
+            let safety = log.retry_safety(Idempotency::NonIdempotent);
+            prop_assert_eq!(safety == RetrySafety::Unknown, may_have_executed);
+            prop_assert_eq!(log.first_possible_execution().is_some(), may_have_executed);
+            prop_assert_eq!(log.retry_safety(Idempotency::Idempotent), RetrySafety::Safe);
         }
     }
 }
--- a/core/src/failover/buffer_release.rs
+++ b/core/src/failover/buffer_release.rs
@@ -1,71 +1,90 @@
-//! How what was held goes out: a single write first, which proves the new primary; then a few, and more with
-//! each answer, until its window is the only bound again.
+//! Paces the release of buffered writes to a new or returning primary.
 //!
-//! Owns the pace of one set's release, and the count of its writes that are out. It must never keep reads
-//! that need the primary out until all writes are through.
+//! A single write goes first, as a test of the primary. Its response opens a small window, and each further
+//! response widens it, until the primary has served enough writes that only its concurrency limit bounds what
+//! is in flight. Reads that need the primary get a fixed share of the slots, so that they need not wait until
+//! the buffer is empty.
+//!
+//! Owns the state of one replica set's release and the number of its writes in flight. Times are seconds on
+//! the engine's clock.
 
-/// Writes that may be out once the primary has answered one, and further ones for each answer.
-const FIRST: u32 = 4;
-const GROWTH: u32 = 2;
-/// Answers after which only the window counts.
-const DONE: u32 = 24;
-/// Of so many places that a release gives out, one is for a read.
-const READ_EVERY: u32 = 4;
+/// Writes that may be in flight before each served write adds [`WINDOW_GROWTH_PER_RESPONSE`].
+const INITIAL_WINDOW: u32 = 4;
+/// Further writes that may be in flight for each write that was served.
+const WINDOW_GROWTH_PER_RESPONSE: u32 = 2;
+/// Served writes after which the release no longer bounds the writes in flight.
+const RESPONSES_UNTIL_COMPLETE: u32 = 24;
+/// One of so many requests that a release sends is a read.
+const READ_TURN_INTERVAL: u32 = 4;
 
-/// A release under way.
+/// The release of the writes that one replica set has buffered.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct BufferRelease {
-    /// When it began, in s.
-    began: f64,
-    answered: u32,
-    out: u32,
-    places: u32,
+    started_at: f64,
+    writes_served: u32,
+    writes_in_flight: u32,
+    requests_sent: u32,
 }
 
 impl BufferRelease {
-    /// One that begins with a single write.
+    /// A release to a primary that has to prove itself by serving a single write.
     pub fn new(now: f64) -> Self {
-        Self { began: now, ..Self::default() }
+        Self { started_at: now, ..Self::default() }
     }
 
-    /// One to a successor that nobody contests.
+    /// A release after a planned handover: the successor is not in doubt, so the initial window is open.
     pub fn after_handover(now: f64) -> Self {
-        Self { answered: 1, ..Self::new(now) }
+        Self { writes_served: 1, ..Self::new(now) }
     }
 
-    /// One to a primary that has proved itself before, and was only silent.
+    /// A release to a primary that was only suspected: it is complete at once.
     pub fn to_known(now: f64) -> Self {
-        Self { answered: DONE, ..Self::new(now) }
+        Self { writes_served: RESPONSES_UNTIL_COMPLETE, ..Self::new(now) }
+    }
+
+    /// A write that was sent at `sent_at` was served.
+    pub fn write_served(&mut self, sent_at: f64) {
+        if sent_at >= self.started_at {
+            self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
+            self.writes_served += 1;
+        }
     }
 
-    /// A write that was sent at this time has ended; `served` if by an answer.
-    pub fn ended(&mut self, sent: f64, served: bool) {
-        if sent >= self.began {
-            self.out = self.out.saturating_sub(1);
-            self.answered += u32::from(served);
+    /// A write that was sent at `sent_at` ended without being served.
+    pub fn write_failed(&mut self, sent_at: f64) {
+        if sent_at >= self.started_at {
+            self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
         }
     }
 
-    /// Whether the primary has proved itself so far that its window alone counts.
+    /// Whether the primary has served so many writes that only its concurrency limit counts.
     pub fn is_done(&self) -> bool {
-        self.answered >= DONE
+        self.writes_served >= RESPONSES_UNTIL_COMPLETE
     }
 
-    /// Whether one more write may go out, as far as the release goes; the window is another bound.
+    /// Whether the release lets one more write go out. The primary's concurrency limit applies as well.
     pub fn admits(&self) -> bool {
-        let most = if self.answered == 0 { 1 } else { FIRST.saturating_add(GROWTH * self.answered) };
-        self.is_done() || self.out < most
+        let window = match self.writes_served {
+            0 => 1,
+            served => INITIAL_WINDOW.saturating_add(WINDOW_GROWTH_PER_RESPONSE * served),
+        };
+        self.is_done() || self.writes_in_flight < window
+    }
+
+    /// A write was sent to the primary.
+    pub fn write_sent(&mut self) {
+        self.writes_in_flight += 1;
+        self.requests_sent = self.requests_sent.wrapping_add(1);
     }
 
-    /// A request went to the primary.
-    pub fn took_place(&mut self, write: bool) {
-        self.out += u32::from(write);
-        self.places = self.places.wrapping_add(1);
+    /// A read was sent to the primary.
+    pub fn read_sent(&mut self) {
+        self.requests_sent = self.requests_sent.wrapping_add(1);
     }
 
-    /// Whether the next place is for a read that needs the primary.
+    /// Whether the next slot is for a read that needs the primary.
     pub fn is_reads_turn(&self) -> bool {
-        self.answered > 0 && self.places % READ_EVERY == READ_EVERY - 1
+        self.writes_served > 0 && self.requests_sent % READ_TURN_INTERVAL == READ_TURN_INTERVAL - 1
     }
 }
 
--- a/core/src/failover/buffer_release/tests.rs
+++ b/core/src/failover/buffer_release/tests.rs
@@ -2,46 +2,50 @@
 
 use super::*;
 
-/// How many writes go out now.
-fn burst(release: &mut BufferRelease) -> u32 {
+/// Sends writes while the release admits them and counts them.
+fn send_all_admitted(release: &mut BufferRelease) -> u32 {
     let mut count = 0;
     while release.admits() && count < 100 {
-        release.took_place(true);
+        release.write_sent();
         count += 1;
     }
     count
 }
 
 #[test]
-fn one_write_first_then_more_with_each_answer() {
+fn one_write_goes_first_and_each_response_widens_the_window() {
     let mut release = BufferRelease::new(5.0);
-    assert_eq!(burst(&mut release), 1);
-    release.ended(4.0, true); // an older one
-    assert_eq!(burst(&mut release), 0);
-    release.ended(5.0, true);
-    assert_eq!(burst(&mut release), 6);
-    release.ended(5.1, false);
-    assert_eq!(burst(&mut release), 1, "an end without an answer frees its place, no more");
-    for _ in 0..DONE {
-        release.ended(5.2, true);
+    assert_eq!(send_all_admitted(&mut release), 1);
+    release.write_served(4.0); // it was sent before the release
+    assert_eq!(send_all_admitted(&mut release), 0);
+    release.write_served(5.0);
+    assert_eq!(send_all_admitted(&mut release), 6);
+    release.write_failed(5.1);
+    assert_eq!(
+        send_all_admitted(&mut release),
+        1,
+        "a failed write frees its slot and does not widen the window"
+    );
+    for _ in 0..RESPONSES_UNTIL_COMPLETE {
+        release.write_served(5.2);
     }
     assert!(release.is_done());
     assert!(BufferRelease::to_known(5.0).is_done());
-    assert_eq!(burst(&mut BufferRelease::after_handover(5.0)), 6);
+    assert_eq!(send_all_admitted(&mut BufferRelease::after_handover(5.0)), 6);
 }
 
 #[test]
-fn reads_have_every_fourth_place_once_it_is_proved() {
+fn every_fourth_slot_is_for_a_read_once_a_write_was_served() {
     let turns = |release: &mut BufferRelease| {
         let mut turns = 0;
         for _ in 0..8 {
             turns += u32::from(release.is_reads_turn());
-            release.took_place(false);
+            release.read_sent();
         }
         turns
     };
     let mut release = BufferRelease::new(0.0);
     assert_eq!(turns(&mut release), 0);
-    release.ended(0.0, true);
+    release.write_served(0.0);
     assert_eq!(turns(&mut release), 2);
 }
--- a/core/src/failover/failover_duration.rs
+++ b/core/src/failover/failover_duration.rs
@@ -1,23 +1,26 @@
-//! When a set will take writes again: learned from how long its changes took, and honest about the spread.
+//! Estimates how long a failover will last, from the durations of earlier ones.
 //!
-//! Owns a sample of durations for each kind of change. The chance of an end within some time is the share of
-//! the sample's longer durations that end by then, with every value weighed by how many there are; a change
-//! that has outlasted the whole sample is expected to last about as long again (the Lindy rule: the chance of
-//! an end within t after e is t / (t + e)). It must never promise what no change has shown.
+//! Owns a bounded sample of durations for each kind of failover. The chance that a failover ends within some
+//! time is the share of the sample's longer durations that end by then. One further value stands for what the
+//! sample does not cover and follows the Lindy rule: after e seconds, the chance of an end within t more is
+//! t / (t + e). So a failover that has outlasted the whole sample is expected to last about as long again.
+//! Times are seconds.
 
 use crate::api::FailoverKind;
 
-/// Durations that are remembered for each kind.
-const KEPT: usize = 24;
-/// What is taken for a sample before any change: s of planned and of unplanned ones. They weigh as single
-/// values, and the oldest go first.
-const GUESS_PLANNED: [f64; 3] = [0.3, 0.5, 0.8];
-const GUESS_UNPLANNED: [f64; 3] = [3.0, 4.5, 6.0];
+/// Durations that are stored for each kind.
+const MAX_SAMPLES: usize = 24;
+/// Assumed durations of planned failovers before any was observed, in seconds. Each counts like an observed
+/// one and is evicted first.
+const PRIOR_PLANNED_SECS: [f64; 3] = [0.3, 0.5, 0.8];
+/// Assumed durations of unplanned failovers before any was observed, in seconds.
+const PRIOR_UNPLANNED_SECS: [f64; 3] = [3.0, 4.5, 6.0];
+/// A planned failover that took longer counts as unplanned: its primary was lost on the way, unobserved.
+const MAX_PLANNED_SECS: f64 = 2.0;
+/// Least time that is still expected of a failover that has outlasted the sample, in seconds.
+const MIN_REMAINING_SECS: f64 = 0.1;
 
-/// A handover that took longer was none: its primary was lost in the middle, though nobody saw when. In s.
-const PLANNED_MOST: f64 = 2.0;
-
-/// Durations of changes, by kind.
+/// Durations of failovers by kind, in seconds, oldest first.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FailoverDurations {
     planned: Vec<f64>,
@@ -26,83 +29,89 @@
 
 impl Default for FailoverDurations {
     fn default() -> Self {
-        Self { planned: GUESS_PLANNED.to_vec(), unplanned: GUESS_UNPLANNED.to_vec() }
+        Self { planned: PRIOR_PLANNED_SECS.to_vec(), unplanned: PRIOR_UNPLANNED_SECS.to_vec() }
     }
 }
 
-/// What is expected of a change that is under way.
+/// The expected end of a failover in progress.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct RecoveryForecast<'f> {
-    sample: &'f [f64],
-    /// How long it has lasted, in s.
-    elapsed: f64,
+pub struct RecoveryForecast<'sample> {
+    sample: &'sample [f64],
+    elapsed_secs: f64,
 }
 
 impl FailoverDurations {
-    /// One that knows nothing, not even a guess.
+    /// An empty sample, without the assumed durations.
     pub fn empty() -> Self {
         Self { planned: Vec::new(), unplanned: Vec::new() }
     }
 
-    /// Learns how long a change took, in s.
-    pub fn record(&mut self, change: FailoverKind, took: f64) {
-        if !took.is_finite() || took < 0.0 {
+    /// Adds the duration of a failover. Values that are negative or not finite are ignored.
+    pub fn record(&mut self, kind: FailoverKind, duration_secs: f64) {
+        if !duration_secs.is_finite() || duration_secs < 0.0 {
             return;
         }
-        let planned = change == FailoverKind::Planned && took <= PLANNED_MOST;
+        let planned = kind == FailoverKind::Planned && duration_secs <= MAX_PLANNED_SECS;
         let sample = if planned { &mut self.planned } else { &mut self.unplanned };
-        sample.push(took);
-        let over = sample.len().saturating_sub(KEPT);
-        sample.drain(..over);
+        sample.push(duration_secs);
+        let excess = sample.len().saturating_sub(MAX_SAMPLES);
+        sample.drain(..excess);
     }
 
-    /// The outlook on a change of a kind that has lasted so many seconds.
-    pub fn forecast(&self, change: FailoverKind, elapsed: f64) -> RecoveryForecast<'_> {
-        let sample = match change {
-            FailoverKind::Planned => &self.planned[..],
-            FailoverKind::Unplanned => &self.unplanned[..],
-        };
-        RecoveryForecast { sample, elapsed: elapsed.max(0.0) }
+    /// The forecast for a failover that has lasted `elapsed_secs` so far.
+    pub fn forecast(&self, kind: FailoverKind, elapsed_secs: f64) -> RecoveryForecast<'_> {
+        RecoveryForecast { sample: self.sample(kind), elapsed_secs: elapsed_secs.max(0.0) }
     }
 
-    /// The shortest duration of a kind that is remembered, in s.
-    pub fn shortest(&self, change: FailoverKind) -> f64 {
-        self.sample(change).iter().copied().fold(f64::INFINITY, f64::min)
+    /// The shortest stored duration of a kind in seconds; infinite if there is none.
+    pub fn shortest(&self, kind: FailoverKind) -> f64 {
+        self.sample(kind).iter().copied().fold(f64::INFINITY, f64::min)
     }
 
-    /// The durations of a kind, oldest first.
-    pub fn sample(&self, change: FailoverKind) -> &[f64] {
-        self.forecast(change, 0.0).sample
+    /// The stored durations of a kind in seconds, oldest first.
+    pub fn sample(&self, kind: FailoverKind) -> &[f64] {
+        match kind {
+            FailoverKind::Planned => &self.planned,
+            FailoverKind::Unplanned => &self.unplanned,
+        }
     }
 
-    /// Takes over what another process has learned.
-    pub fn restore(&mut self, change: FailoverKind, sample: &[f64]) {
-        sample.iter().for_each(|took| self.record(change, *took));
+    /// Adds the durations that another process of this proxy instance has stored.
+    pub fn restore(&mut self, kind: FailoverKind, sample: &[f64]) {
+        sample.iter().for_each(|duration_secs| self.record(kind, *duration_secs));
     }
 }
 
 impl RecoveryForecast<'_> {
-    /// The chance that it ends within so many seconds from now.
-    pub fn chance_within(&self, within: f64) -> f64 {
-        if within <= 0.0 {
+    /// The stored durations that are longer than the failover has lasted.
+    fn longer_durations(&self) -> impl Iterator<Item = f64> + '_ {
+        self.sample.iter().copied().filter(|duration| *duration > self.elapsed_secs)
+    }
+
+    /// The chance that the failover ends within so many seconds from now.
+    pub fn chance_within(&self, within_secs: f64) -> f64 {
+        if within_secs <= 0.0 {
             return 0.0;
         }
-        let longer = self.sample.iter().filter(|d| **d > self.elapsed);
-        let (all, by_then) = longer
-            .fold((0u32, 0u32), |(all, ended), d| (all + 1, ended + u32::from(*d <= self.elapsed + within)));
-        // One more value stands for what the sample does not know: a change that lasts.
-        let lindy = within / (within + self.elapsed.max(within));
-        (f64::from(by_then) + lindy) / (f64::from(all) + 1.0)
+        let mut longer = 0u32;
+        let mut ended_in_time = 0u32;
+        for duration in self.longer_durations() {
+            longer += 1;
+            ended_in_time += u32::from(duration <= self.elapsed_secs + within_secs);
+        }
+        let lindy = within_secs / (within_secs + self.elapsed_secs.max(within_secs));
+        (f64::from(ended_in_time) + lindy) / (f64::from(longer) + 1.0)
     }
 
-    /// The time from now by which the given share of such changes has ended, in s.
+    /// The time in seconds from now by which the given share of such failovers has ended.
     pub fn quantile(&self, share: f64) -> f64 {
-        let mut longer: Vec<f64> = self.sample.iter().copied().filter(|d| *d > self.elapsed).collect();
+        let mut longer: Vec<f64> = self.longer_durations().collect();
         longer.sort_by(f64::total_cmp);
         let rank = (share.clamp(0.0, 1.0) * longer.len() as f64).ceil() as usize;
         match longer.get(rank.saturating_sub(1)) {
-            Some(duration) => duration - self.elapsed,
-            None => self.elapsed.max(0.1), // it has outlasted all: as long again
+            Some(duration) => duration - self.elapsed_secs,
+            // It has outlasted the sample: the Lindy rule's median is the elapsed time.
+            None => self.elapsed_secs.max(MIN_REMAINING_SECS),
         }
     }
 }
--- a/core/src/failover/failover_duration/tests.rs
+++ b/core/src/failover/failover_duration/tests.rs
@@ -5,45 +5,51 @@
 use super::*;
 
 #[test]
-fn what_was_seen_takes_the_place_of_the_guess() {
-    let mut forecast = FailoverDurations::default();
-    assert!((forecast.forecast(FailoverKind::Unplanned, 0.0).quantile(0.5) - 4.5).abs() < 1e-9);
-    for n in 0..KEPT {
-        forecast.record(FailoverKind::Unplanned, 1.0 + n as f64 / 100.0);
+fn observed_durations_replace_the_prior() {
+    let mut durations = FailoverDurations::default();
+    assert!((durations.forecast(FailoverKind::Unplanned, 0.0).quantile(0.5) - 4.5).abs() < 1e-9);
+    for number in 0..MAX_SAMPLES {
+        durations.record(FailoverKind::Unplanned, 1.0 + number as f64 / 100.0);
     }
-    let outlook = forecast.forecast(FailoverKind::Unplanned, 0.5);
-    assert!((0.4..0.8).contains(&outlook.quantile(0.5)), "{}", outlook.quantile(0.5));
-    assert!(outlook.chance_within(1.0) > 0.9 && outlook.chance_within(0.2) < 0.1);
-    assert_eq!(forecast.sample(FailoverKind::Planned).len(), GUESS_PLANNED.len(), "kinds are apart");
+    let forecast = durations.forecast(FailoverKind::Unplanned, 0.5);
+    assert!((0.4..0.8).contains(&forecast.quantile(0.5)), "{}", forecast.quantile(0.5));
+    assert!(forecast.chance_within(1.0) > 0.9 && forecast.chance_within(0.2) < 0.1);
+    assert_eq!(
+        durations.sample(FailoverKind::Planned).len(),
+        PRIOR_PLANNED_SECS.len(),
+        "each kind has a sample of its own"
+    );
 }
 
 #[test]
-fn a_change_that_outlasts_all_is_not_promised_soon() {
-    let outlook = FailoverDurations::default().forecast(FailoverKind::Planned, 30.0).quantile(0.5);
-    assert!((outlook - 30.0).abs() < 1e-9);
+fn a_failover_that_outlasts_the_sample_is_expected_to_last_as_long_again() {
+    let forecast = FailoverDurations::default().forecast(FailoverKind::Planned, 30.0).quantile(0.5);
+    assert!((forecast - 30.0).abs() < 1e-9);
     assert!(FailoverDurations::default().forecast(FailoverKind::Planned, 30.0).chance_within(1.0) < 0.1);
 }
 
 #[test]
-fn nonsense_is_not_learned() {
-    let mut forecast = FailoverDurations::default();
-    [f64::NAN, f64::INFINITY, -1.0].into_iter().for_each(|d| forecast.record(FailoverKind::Planned, d));
-    assert_eq!(forecast, FailoverDurations::default());
+fn invalid_durations_are_ignored() {
+    let mut durations = FailoverDurations::default();
+    [f64::NAN, f64::INFINITY, -1.0]
+        .into_iter()
+        .for_each(|duration| durations.record(FailoverKind::Planned, duration));
+    assert_eq!(durations, FailoverDurations::default());
 }
 
 proptest! {
-    /// Chances are shares, and more time is never less chance.
+    /// The chance of a recovery is a probability and does not fall as the time grows.
     #[test]
-    fn more_time_is_never_less_chance(
+    fn the_chance_of_recovery_grows_with_time(
         sample in prop::collection::vec(0.0..20.0f64, 0..40), elapsed in 0.0..30.0f64,
         a in 0.0..30.0f64, b in 0.0..30.0f64,
     ) {
-        let mut forecast = FailoverDurations::default();
-        forecast.restore(FailoverKind::Unplanned, &sample);
-        prop_assert!(forecast.sample(FailoverKind::Unplanned).len() <= KEPT);
-        let outlook = forecast.forecast(FailoverKind::Unplanned, elapsed);
-        let (less, more) = (outlook.chance_within(a.min(b)), outlook.chance_within(a.max(b)));
-        prop_assert!((0.0..=1.0).contains(&less) && less <= more + 1e-12 && more <= 1.0);
-        prop_assert!(outlook.quantile(0.5) <= outlook.quantile(0.9) && outlook.quantile(0.5) >= 0.0);
+        let mut durations = FailoverDurations::default();
+        durations.restore(FailoverKind::Unplanned, &sample);
+        prop_assert!(durations.sample(FailoverKind::Unplanned).len() <= MAX_SAMPLES);
+        let forecast = durations.forecast(FailoverKind::Unplanned, elapsed);
+        let (sooner, later) = (forecast.chance_within(a.min(b)), forecast.chance_within(a.max(b)));
+        prop_assert!((0.0..=1.0).contains(&sooner) && sooner <= later + 1e-12 && later <= 1.0);
+        prop_assert!(forecast.quantile(0.5) <= forecast.quantile(0.9) && forecast.quantile(0.5) >= 0.0);
     }
 }
--- a/core/src/failover/failure_detector.rs
+++ b/core/src/failover/failure_detector.rs
@@ -1,78 +1,88 @@
-//! Early suspicion: how long a primary may be silent before writes are held.
+//! Decides how long a primary may be silent before it is suspected and its writes are buffered.
 //!
-//! Holding a write costs little, sending it into a primary that hangs costs its fate. So the bound lies far
-//! under the one at which a server is taken to be down, and a word from the primary lifts the suspicion at
-//! once. It must never be taken for proof: a server that pauses is no dead one.
+//! The threshold is far below the one at which a server counts as down: buffering a write costs little, while
+//! sending it to a primary that hangs makes its outcome unknown. Any response lifts the suspicion, and a
+//! suspicion is no evidence of a failure, since the process may only be paused.
+//!
+//! Owns the response time estimate of one replica set's primary. Times are seconds on the engine's clock.
 
-/// The least bound in s: under it, silence is the noise of a scheduler.
-const LEAST: f64 = 0.03;
-/// The greatest bound in s: whatever a server's usual time, writes don't follow each other into silence for
-/// longer.
-const MOST: f64 = 0.8;
-/// Deviations of the usual time that are waited for as well.
-const DEVIATIONS: f64 = 3.0;
-/// Attempts that must all be late for that bound to hold: where fewer are out, the lateness of each is
-/// likelier to be its own work, and silence has to last for longer to say as much. With exponential times, n
-/// of them are all later than t with a chance of exp(-n t / mean).
-const WITNESSES: f64 = 3.0;
-/// Answers of its own from which on what is usual elsewhere says nothing of a set any more.
-const OWN_AFTER: f64 = 10.0;
-/// Weights of one answer in the mean and in the deviation.
-const GAIN: (f64, f64) = (1.0 / 8.0, 1.0 / 4.0);
+/// Lower bound of the threshold: shorter silence is scheduling noise.
+const MIN_THRESHOLD_SECS: f64 = 0.03;
+/// Upper bound of the threshold, which limits the writes sent to a silent primary that is usually slow.
+const MAX_THRESHOLD_SECS: f64 = 0.8;
+/// Deviations of the response time that the threshold adds to the mean.
+const DEVIATION_FACTOR: f64 = 3.0;
+/// Unanswered attempts at which the threshold applies as it is. With fewer the threshold rises in proportion,
+/// because one late response may be due to the request itself: with exponential response times, n attempts
+/// are all later than t with probability exp(-n t / mean).
+const FULL_EVIDENCE_ATTEMPTS: f64 = 3.0;
+/// Responses from which on the estimate rests on the primary's own response times alone.
+const MIN_RESPONSES: f64 = 10.0;
+/// Weight of a new response time in the mean, as in RFC 6298.
+const MEAN_GAIN: f64 = 1.0 / 8.0;
+/// Weight of a new response time in the deviation, as in RFC 6298.
+const DEVIATION_GAIN: f64 = 1.0 / 4.0;
 
-/// How long a set's primary takes to answer: the smoothed time and its mean deviation, as RFC 6298 keeps them
-/// for TCP's retransmission timer. It learns from answers alone, so that no outage makes it patient.
+/// The response time of a replica set's primary: smoothed mean and mean deviation, as RFC 6298 computes them
+/// for TCP's retransmission timer. Only responses count, so an outage does not raise the estimate.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ResponseTimes {
-    mean: f64,
-    dev: f64,
-    /// Answers that it rests on.
-    answers: f64,
+    mean_secs: f64,
+    deviation_secs: f64,
+    response_count: f64,
 }
 
 impl ResponseTimes {
-    /// An answer came after so many seconds.
-    pub fn record(&mut self, took: f64) {
-        if !took.is_finite() || took < 0.0 {
+    /// Records a response time. Values that are negative or not finite are ignored.
+    pub fn record(&mut self, response_secs: f64) {
+        if !response_secs.is_finite() || response_secs < 0.0 {
             return;
         }
-        if self.answers == 0.0 {
-            (self.mean, self.dev) = (took, took / 2.0);
+        if self.response_count == 0.0 {
+            self.mean_secs = response_secs;
+            self.deviation_secs = response_secs / 2.0;
         }
-        let off = (took - self.mean).abs();
-        self.mean += GAIN.0 * (took - self.mean);
-        self.dev += GAIN.1 * (off - self.dev);
-        self.answers += 1.0;
+        let deviation = (response_secs - self.mean_secs).abs();
+        self.mean_secs += MEAN_GAIN * (response_secs - self.mean_secs);
+        self.deviation_secs += DEVIATION_GAIN * (deviation - self.deviation_secs);
+        self.response_count += 1.0;
     }
 }
 
-/// The bound on a primary's silence.
+/// What the threshold on a primary's silence depends on, beside its response times.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SilenceThreshold {
-    /// How long an answer takes as a rule where none has come yet, in s.
+    /// Assumed response time before the primary has responded often enough, in seconds.
     pub typical_response_secs: f64,
-    /// How much slower it is than its set is as a rule, because it is cold.
+    /// How many times slower the primary is than usual, because it is warming up.
     pub slowdown: f64,
-    /// Usual times that are waited for.
+    /// Multiple of the mean response time that the threshold allows.
     pub suspicion_factor: f64,
-    /// Attempts whose answers it owes.
+    /// Attempts in flight at the primary that count as unanswered.
     pub unanswered: usize,
 }
 
 impl SilenceThreshold {
-    /// Silence in s from which on writes are held.
-    pub fn threshold_secs(&self, pulse: ResponseTimes) -> f64 {
-        let own = (pulse.answers / OWN_AFTER).min(1.0);
-        let mean = self.typical_response_secs + own * (pulse.mean - self.typical_response_secs);
-        let dev = self.typical_response_secs / 2.0 + own * (pulse.dev - self.typical_response_secs / 2.0);
-        let alone = (WITNESSES / self.unanswered.max(1) as f64).max(1.0);
-        (self.slowdown * alone * (self.suspicion_factor * mean + DEVIATIONS * dev)).clamp(LEAST, MOST)
+    /// The silence in seconds from which on the primary is suspected.
+    pub fn threshold_secs(&self, times: ResponseTimes) -> f64 {
+        let typical = self.typical_response_secs;
+        let own_share = (times.response_count / MIN_RESPONSES).min(1.0);
+        let mean = typical + own_share * (times.mean_secs - typical);
+        let deviation = typical / 2.0 + own_share * (times.deviation_secs - typical / 2.0);
+        let evidence_factor = (FULL_EVIDENCE_ATTEMPTS / self.unanswered.max(1) as f64).max(1.0);
+        let response_bound = self.suspicion_factor * mean + DEVIATION_FACTOR * deviation;
+        (self.slowdown * evidence_factor * response_bound).clamp(MIN_THRESHOLD_SECS, MAX_THRESHOLD_SECS)
     }
 
-    /// When, if nothing is heard, the primary is suspected: it was last heard at `heard`, and the oldest
-    /// attempt that it has not answered was sent at `oldest`. Never where it owes nothing.
-    pub fn suspects_at(&self, pulse: ResponseTimes, heard: f64, oldest: Option<f64>) -> Option<f64> {
-        Some(oldest?.max(heard) + self.threshold_secs(pulse))
+    /// When the primary is suspected unless it responds before, given its last response and the time at which
+    /// the oldest unanswered attempt was sent. None if no attempt is unanswered.
+    pub fn suspects_at(
+        &self,
+        times: ResponseTimes,
+        last_response_at: f64,
+        oldest_unanswered_at: Option<f64>,
+    ) -> Option<f64> {
+        Some(oldest_unanswered_at?.max(last_response_at) + self.threshold_secs(times))
     }
 }
 
--- a/core/src/failover/phase.rs
+++ b/core/src/failover/phase.rs
@@ -1,134 +1,140 @@
-//! The state machine of a set's primary.
+//! The state machine of one replica set's primary.
 //!
-//! Owns which phase follows which on what input, and nothing else: a table that can be read and tested whole.
-//! It must never be moved by time alone; who watches the clock gives it an input.
+//! Defines which phase follows which on what input, and owns no other state. Time alone never changes the
+//! phase: the caller watches the clock and passes an input when a timeout expires. Times are seconds on the
+//! engine's clock.
 
 use crate::api::FailoverKind;
 
-/// How a set stands. Times are in s on the caller's clock.
+/// The state of a replica set's primary.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum Phase {
-    /// A primary takes writes.
+    /// A primary takes writes, and no failover is in progress.
     #[default]
     Steady,
-    /// It is silent: writes are held until it speaks.
+    /// The primary has been silent for too long: writes are buffered until it responds.
     Suspected {
-        /// When it was last heard.
+        /// When its silence began.
         since: f64,
     },
-    /// It drains, and no successor has spoken.
+    /// The primary drains, and no server has claimed to be its successor.
     Draining {
-        /// When that was told.
+        /// When the drain was reported.
         since: f64,
     },
-    /// It has said that it is the primary no longer.
+    /// The primary has stepped down by itself, and no successor is known.
     HandingOver {
-        /// When the change began.
+        /// When the failover began.
         since: f64,
     },
-    /// There is none.
-    Without {
-        /// When the last one was last heard.
+    /// The primary is lost, and no successor is known.
+    NoPrimary {
+        /// When the last primary's silence began.
         since: f64,
     },
-    /// One has claimed, and has served no write yet.
+    /// A server has claimed to be the primary, and has served no write yet.
     TakingOver {
-        /// When the change began.
+        /// When the failover began.
         since: f64,
     },
-    /// It serves, and what was held goes out.
-    Settling,
+    /// The primary serves writes, and the buffered ones are being released.
+    Releasing,
 }
 
-/// What moves it.
+/// An input of the state machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PhaseInput {
-    /// The primary has been silent for too long; when it was last heard.
-    Silent(f64),
-    /// It spoke.
-    Spoke,
-    /// It is to drain, by the list or the operators.
-    Drains(f64),
-    /// It says that it is none.
-    Denied(f64),
-    /// It is taken to be down, or is gone; when it was last heard.
+    /// The primary has been silent for longer than the failure detector allows, since this time.
+    ResponseOverdue(f64),
+    /// The primary responded.
+    Responded,
+    /// The primary started to drain at this time.
+    DrainStarted(f64),
+    /// The primary reported at this time that it is no primary.
+    RoleDenied(f64),
+    /// The primary counts as down or was removed; its silence began at this time.
     Lost(f64),
-    /// Another one's claim was accepted.
-    Claimed(f64),
+    /// Another server's claim to be the primary was accepted at this time.
+    ClaimAccepted(f64),
     /// The primary served a write.
-    Served,
-    /// What was held is out, and the primary has proved itself.
-    Settled,
+    WriteServed,
+    /// The buffered writes were released.
+    ReleaseCompleted,
 }
 
 impl Phase {
-    /// The phase after an input.
+    /// The phase that follows on an input.
     pub fn after(self, input: PhaseInput) -> Self {
-        use PhaseInput::{Claimed, Denied, Drains, Lost, Served, Settled, Silent, Spoke};
-        let began = self.began();
+        use PhaseInput::{
+            ClaimAccepted, DrainStarted, Lost, ReleaseCompleted, Responded, ResponseOverdue, RoleDenied,
+            WriteServed,
+        };
+        let began_at = self.failover_began_at();
         match (self, input) {
-            (Self::Steady | Self::Settling, Silent(heard)) => Self::Suspected { since: heard },
-            // A successor that falls silent before it served: the change goes on.
-            (Self::TakingOver { since }, Silent(_) | Lost(_)) => Self::Without { since },
-            (Self::TakingOver { since }, Denied(_) | Drains(_)) => Self::HandingOver { since },
-            (Self::Suspected { .. }, Spoke) => Self::Settling,
-            // It was only silent for long: it must prove itself anew.
-            (Self::Without { since }, Spoke) => Self::TakingOver { since },
-            (Self::Suspected { since }, Lost(_)) => Self::Without { since },
-            (Self::Steady | Self::Settling, Lost(heard)) => Self::Without { since: heard },
-            // A failover that begins while it drains: what is planned is planned no more.
-            (Self::Draining { since } | Self::HandingOver { since }, Lost(_)) => Self::Without { since },
-            (Self::Steady | Self::Settling, Drains(at)) => Self::Draining { since: at },
-            (Self::Suspected { since }, Drains(_)) => Self::Without { since },
-            (Self::Steady | Self::Settling | Self::Draining { .. }, Denied(at)) => {
-                Self::HandingOver { since: began.unwrap_or(at) }
+            (Self::Steady | Self::Releasing, ResponseOverdue(since)) => Self::Suspected { since },
+            // A successor that fails before it has served a write: the same failover goes on.
+            (Self::TakingOver { since }, ResponseOverdue(_) | Lost(_)) => Self::NoPrimary { since },
+            (Self::TakingOver { since }, RoleDenied(_) | DrainStarted(_)) => Self::HandingOver { since },
+            (Self::Suspected { .. }, Responded) => Self::Releasing,
+            // After a long silence it has to serve a write before it is trusted again.
+            (Self::NoPrimary { since }, Responded) => Self::TakingOver { since },
+            (Self::Suspected { since }, Lost(_)) => Self::NoPrimary { since },
+            (Self::Steady | Self::Releasing, Lost(since)) => Self::NoPrimary { since },
+            // The primary is lost during its drain: the failover is no longer a planned one.
+            (Self::Draining { since } | Self::HandingOver { since }, Lost(_)) => Self::NoPrimary { since },
+            (Self::Steady | Self::Releasing, DrainStarted(at)) => Self::Draining { since: at },
+            (Self::Suspected { since }, DrainStarted(_)) => Self::NoPrimary { since },
+            (Self::Steady | Self::Releasing | Self::Draining { .. }, RoleDenied(at)) => {
+                Self::HandingOver { since: began_at.unwrap_or(at) }
             }
-            (Self::Suspected { since } | Self::Without { since }, Denied(_)) => Self::Without { since },
-            (_, Claimed(at)) => Self::TakingOver { since: began.unwrap_or(at) },
-            (Self::TakingOver { .. }, Served) => Self::Settling,
-            (Self::Settling, Settled) => Self::Steady,
-            (same, _) => same,
+            (Self::Suspected { since } | Self::NoPrimary { since }, RoleDenied(_)) => {
+                Self::NoPrimary { since }
+            }
+            (_, ClaimAccepted(at)) => Self::TakingOver { since: began_at.unwrap_or(at) },
+            (Self::TakingOver { .. }, WriteServed) => Self::Releasing,
+            (Self::Releasing, ReleaseCompleted) => Self::Steady,
+            (unchanged, _) => unchanged,
         }
     }
 
-    /// When the change that is under way began.
-    pub fn began(self) -> Option<f64> {
+    /// When the failover in progress began, if there is one.
+    pub fn failover_began_at(self) -> Option<f64> {
         match self {
-            Self::Steady | Self::Settling => None,
+            Self::Steady | Self::Releasing => None,
             Self::Suspected { since }
             | Self::Draining { since }
             | Self::HandingOver { since }
-            | Self::Without { since }
+            | Self::NoPrimary { since }
             | Self::TakingOver { since } => Some(since),
         }
     }
 
-    /// The kind of change that is under way, as far as is known.
-    pub fn change(self) -> Option<FailoverKind> {
+    /// The kind of the failover in progress, as far as is known.
+    pub fn failover_kind(self) -> Option<FailoverKind> {
         match self {
-            Self::Steady | Self::Settling => None,
+            Self::Steady | Self::Releasing => None,
             Self::Draining { .. } | Self::HandingOver { .. } => Some(FailoverKind::Planned),
-            Self::Suspected { .. } | Self::Without { .. } | Self::TakingOver { .. } => {
+            Self::Suspected { .. } | Self::NoPrimary { .. } | Self::TakingOver { .. } => {
                 Some(FailoverKind::Unplanned)
             }
         }
     }
 
-    /// Whether writes may go to the primary that is known.
+    /// Whether writes may be sent to the known primary.
     pub fn takes_writes(self) -> bool {
-        matches!(self, Self::Steady | Self::Settling | Self::TakingOver { .. })
+        matches!(self, Self::Steady | Self::Releasing | Self::TakingOver { .. })
     }
 
-    /// Its name, for the log and the operators.
+    /// The name of the phase in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Steady => "steady",
             Self::Suspected { .. } => "suspected",
             Self::Draining { .. } => "draining",
             Self::HandingOver { .. } => "handing over",
-            Self::Without { .. } => "without a primary",
+            Self::NoPrimary { .. } => "without a primary",
             Self::TakingOver { .. } => "taking over",
-            Self::Settling => "settling",
+            Self::Releasing => "releasing",
         }
     }
 }
--- a/core/src/failover/phase/tests.rs
+++ b/core/src/failover/phase/tests.rs
@@ -7,39 +7,43 @@
 
 const SUSPECTED: Phase = Phase::Suspected { since: 5.0 };
 const DRAINING: Phase = Phase::Draining { since: 5.0 };
-const HANDING: Phase = Phase::HandingOver { since: 5.0 };
-const WITHOUT: Phase = Phase::Without { since: 5.0 };
-const TAKING: Phase = Phase::TakingOver { since: 5.0 };
+const HANDING_OVER: Phase = Phase::HandingOver { since: 5.0 };
+const NO_PRIMARY: Phase = Phase::NoPrimary { since: 5.0 };
+const TAKING_OVER: Phase = Phase::TakingOver { since: 5.0 };
 
 #[rstest]
-#[case::silence(Phase::Steady, Silent(5.0), SUSPECTED)]
-#[case::a_pause_ends(SUSPECTED, Spoke, Phase::Settling)]
-#[case::a_long_pause_ends(WITHOUT, Spoke, TAKING)]
-#[case::a_hang(SUSPECTED, Lost(4.0), WITHOUT)]
-#[case::a_death(Phase::Steady, Lost(5.0), WITHOUT)]
-#[case::a_successor(WITHOUT, Claimed(9.0), TAKING)]
-#[case::found_by_a_claim(SUSPECTED, Claimed(9.0), TAKING)]
-#[case::it_serves(TAKING, Served, Phase::Settling)]
-#[case::all_is_out(Phase::Settling, Settled, Phase::Steady)]
-#[case::a_drain(Phase::Steady, Drains(5.0), DRAINING)]
-#[case::handed_over(DRAINING, Denied(7.0), HANDING)]
-#[case::by_order_of_the_set(Phase::Steady, Denied(5.0), HANDING)]
-#[case::a_hang_in_a_drain(DRAINING, Lost(7.0), WITHOUT)]
-#[case::a_drain_of_the_suspected(SUSPECTED, Drains(7.0), WITHOUT)]
-#[case::the_successor_dies(TAKING, Lost(9.0), WITHOUT)]
-#[case::the_successor_hangs(TAKING, Silent(9.0), WITHOUT)]
-#[case::the_successor_denies(TAKING, Denied(9.0), HANDING)]
-#[case::a_second_change_in_the_release(Phase::Settling, Silent(5.0), SUSPECTED)]
-#[case::a_late_word_of_a_write(SUSPECTED, Served, SUSPECTED)]
-#[case::nothing_new(WITHOUT, Lost(9.0), WITHOUT)]
-fn an_input_moves_it(#[case] from: Phase, #[case] input: PhaseInput, #[case] to: Phase) {
+#[case::silence_raises_a_suspicion(Phase::Steady, ResponseOverdue(5.0), SUSPECTED)]
+#[case::a_suspected_primary_responds(SUSPECTED, Responded, Phase::Releasing)]
+#[case::a_lost_primary_responds(NO_PRIMARY, Responded, TAKING_OVER)]
+#[case::a_suspected_primary_is_lost(SUSPECTED, Lost(4.0), NO_PRIMARY)]
+#[case::a_primary_is_lost(Phase::Steady, Lost(5.0), NO_PRIMARY)]
+#[case::a_successor_claims(NO_PRIMARY, ClaimAccepted(9.0), TAKING_OVER)]
+#[case::a_successor_claims_during_suspicion(SUSPECTED, ClaimAccepted(9.0), TAKING_OVER)]
+#[case::the_successor_serves_a_write(TAKING_OVER, WriteServed, Phase::Releasing)]
+#[case::the_buffer_is_released(Phase::Releasing, ReleaseCompleted, Phase::Steady)]
+#[case::the_primary_drains(Phase::Steady, DrainStarted(5.0), DRAINING)]
+#[case::a_draining_primary_steps_down(DRAINING, RoleDenied(7.0), HANDING_OVER)]
+#[case::a_primary_steps_down(Phase::Steady, RoleDenied(5.0), HANDING_OVER)]
+#[case::a_draining_primary_is_lost(DRAINING, Lost(7.0), NO_PRIMARY)]
+#[case::a_suspected_primary_drains(SUSPECTED, DrainStarted(7.0), NO_PRIMARY)]
+#[case::the_successor_is_lost(TAKING_OVER, Lost(9.0), NO_PRIMARY)]
+#[case::the_successor_falls_silent(TAKING_OVER, ResponseOverdue(9.0), NO_PRIMARY)]
+#[case::the_successor_steps_down(TAKING_OVER, RoleDenied(9.0), HANDING_OVER)]
+#[case::silence_during_the_release(Phase::Releasing, ResponseOverdue(5.0), SUSPECTED)]
+#[case::a_late_response_to_a_write(SUSPECTED, WriteServed, SUSPECTED)]
+#[case::a_repeated_input(NO_PRIMARY, Lost(9.0), NO_PRIMARY)]
+fn an_input_leads_to_the_expected_phase(#[case] from: Phase, #[case] input: PhaseInput, #[case] to: Phase) {
     assert_eq!(from.after(input), to);
 }
 
 #[test]
-fn writes_go_out_in_three_phases_only() {
-    let all = [Phase::Steady, SUSPECTED, DRAINING, HANDING, WITHOUT, TAKING, Phase::Settling];
-    let open: Vec<_> = all.into_iter().filter(|p| p.takes_writes()).map(Phase::name).collect();
-    assert_eq!(open, ["steady", "taking over", "settling"]);
-    assert_eq!(all.map(|p| p.change().is_some()), all.map(|p| p.began().is_some()));
+fn three_phases_take_writes() {
+    let all = [Phase::Steady, SUSPECTED, DRAINING, HANDING_OVER, NO_PRIMARY, TAKING_OVER, Phase::Releasing];
+    let taking_writes: Vec<_> =
+        all.into_iter().filter(|phase| phase.takes_writes()).map(Phase::name).collect();
+    assert_eq!(taking_writes, ["steady", "taking over", "releasing"]);
+    assert_eq!(
+        all.map(|phase| phase.failover_kind().is_some()),
+        all.map(|phase| phase.failover_began_at().is_some())
+    );
 }
--- a/core/src/failover/primary_tracker.rs
+++ b/core/src/failover/primary_tracker.rs
@@ -1,217 +1,241 @@
-//! Who is the primary: claims of servers, ordered by epochs.
+//! Tracks which server is the primary of one replica set, by epochs.
 //!
-//! Each claim that is accepted begins an epoch. A server that was primary in an earlier one counts as
-//! deposed: its word that it is the primary is stale until it has said that it is a replica, which shows that
-//! it has heard of its deposition, or until the primary of the present epoch is lost. Of two that claim at
-//! once the later one is put to the test by a single write; it keeps the epoch once it has served that, and
-//! loses it to the other if it falls silent instead. Guards against the late list, answers in flight, and an
-//! old primary that returns and does not know. It must never go by a claim that was already on its way when
-//! another one was accepted.
+//! Each accepted claim begins an epoch. The primary of the epoch before counts as deposed: its claims are
+//! stale until it reports that it is a replica, which shows that it knows of its deposition, or until the
+//! primary of the current epoch is lost. Of two servers that claim the role, the later one becomes primary
+//! and is tested by a single write. If it falls silent instead of serving that write, it loses the epoch to
+//! the other server's next claim. The rules cover the endpoint list, which is late, responses that were
+//! already in flight, and a former primary that returns unaware of its deposition.
+//!
+//! Owns the current claim, and the last role evidence of every other server. Invariant: a deposed server's
+//! claim is not accepted if it was in flight at the deposition. Times are seconds on the engine's clock; an
+//! attempt that was sent at the time of an observation counts as sent after it.
 
 use std::collections::BTreeMap;
 
 use crate::api::ServerId;
 
-/// Time in s after which a deposed primary that is up has heard of it: then it may be asked as any other, for
-/// it may have been chosen again.
-const KNOWS_AFTER: f64 = 2.0;
+/// After this time a deposed primary that is up has learned of its deposition. It may be asked again then,
+/// because it may have been elected again.
+const DEPOSITION_NOTICE_SECS: f64 = 2.0;
 
-/// Time in s by which two answers of one server may overtake each other on their way. An answer tells a role
-/// as it was when it was written, so a later one counts, also to an older question.
-const IN_FLIGHT: f64 = 0.02;
+/// Two responses of one server may overtake each other by up to this time. A response reports the role at the
+/// time at which it was written, so beyond this time the later response counts, whenever its attempt was
+/// sent.
+const MAX_REORDERING_SECS: f64 = 0.02;
 
-/// What a server last said of itself beside being the primary, or what was found out of it.
+/// What is known of the role of a server that is not the primary.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RoleEvidence {
-    /// It said that it is no primary, at this time.
+    /// The server reported at this time that it is no primary.
     Denied(f64),
-    /// Another one's claim was accepted at this time, and it has not been heard to know of it.
+    /// Another server's claim was accepted at this time, and this server has not acknowledged it since.
     Deposed(f64),
 }
 
-/// The primary of the present epoch.
+/// A server's report on its role.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct RoleReport {
+    /// The server.
+    pub server: ServerId,
+    /// When the response arrived or, for a load report, when it was true.
+    pub observed_at: f64,
+    /// When the attempt was sent that the response answers, where that is known.
+    pub sent_at: Option<f64>,
+}
+
+/// The primary of the current epoch.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrimaryClaim {
     /// The server.
     pub server: ServerId,
     /// When its claim was accepted.
-    pub since: f64,
-    /// It has served a write in this epoch.
-    pub proven: bool,
-    /// Nothing has been heard of it for long, or its ways broke: since when.
-    pub lost: Option<f64>,
+    pub accepted_at: f64,
+    /// Since when it counts as lost: it is silent or down.
+    pub lost_at: Option<f64>,
 }
 
-/// What became of a claim.
+/// The result of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// It is the primary's own, again.
+    /// The server was the primary already.
     Known,
-    /// A new epoch has begun.
+    /// The server is the primary of a new epoch.
     Accepted,
-    /// It is stale, and nothing that came with it is to be believed.
+    /// The claim is out of date, and so is everything that the server reported with it.
     Stale,
 }
 
-/// The claims of one set. What is sent at the time at which something was heard was sent after that.
+/// The current primary of a replica set and the role evidence of its other members.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PrimaryTracker {
     epoch: u64,
     claim: Option<PrimaryClaim>,
-    words: BTreeMap<ServerId, RoleEvidence>,
-    /// When the newest evidence for or against a primary was true.
-    evidence: f64,
+    evidence: BTreeMap<ServerId, RoleEvidence>,
+    /// When the newest evidence for or against a primary was observed.
+    newest_evidence_at: f64,
 }
 
 impl PrimaryTracker {
-    /// The primary, if one is known.
+    /// The primary, if one is known. It may be lost.
     pub fn primary(&self) -> Option<ServerId> {
         self.claim.map(|claim| claim.server)
     }
 
-    /// Its claim.
+    /// The primary's claim.
     pub fn claim(&self) -> Option<&PrimaryClaim> {
         self.claim.as_ref()
     }
 
-    /// How many claims have been accepted.
+    /// The number of claims that were accepted.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whether a server was primary and has not been heard to know that it is no longer.
+    /// Whether a server was primary and has not acknowledged that it no longer is.
     pub fn is_deposed(&self, server: ServerId) -> bool {
-        matches!(self.words.get(&server), Some(RoleEvidence::Deposed(_)))
+        matches!(self.evidence.get(&server), Some(RoleEvidence::Deposed(_)))
     }
 
-    /// Whether a write may ask a server who the primary is. One that was deposed a moment ago may not know,
-    /// and would take it.
+    /// Whether a write may be sent to a server to find out who the primary is. One that was deposed a moment
+    /// ago may be unaware of it, and would execute the write.
     pub fn may_be_asked(&self, server: ServerId, now: f64) -> bool {
-        !matches!(self.words.get(&server), Some(RoleEvidence::Deposed(when)) if now - when < KNOWS_AFTER)
+        !matches!(
+            self.evidence.get(&server),
+            Some(RoleEvidence::Deposed(at)) if now - at < DEPOSITION_NOTICE_SECS
+        )
     }
 
-    /// A server says that it is the primary. `at` is when that was heard or, for a report, when it was true;
-    /// `sent` when the attempt went out whose answer says so, where that is known.
-    pub fn claims(&mut self, server: ServerId, at: f64, sent: Option<f64>) -> ClaimVerdict {
-        if self.primary() == Some(server) {
-            if let Some(claim) = &mut self.claim {
-                // What was on its way when it was lost shows nothing; what was asked since does.
-                let fresh = claim.lost.is_none_or(|lost| sent.is_some_and(|sent| sent >= lost) || at > lost);
-                claim.lost = claim.lost.filter(|_| !fresh);
-            }
-            self.evidence = self.evidence.max(at);
+    /// Whether a primary is known and not lost.
+    pub fn has_live_primary(&self) -> bool {
+        self.claim.is_some_and(|claim| claim.lost_at.is_none())
+    }
+
+    /// A server reports that it is the primary.
+    pub fn record_claim(&mut self, report: RoleReport) -> ClaimVerdict {
+        if self.primary() == Some(report.server) {
+            self.confirm(report);
             return ClaimVerdict::Known;
         }
-        if at < self.evidence {
+        if self.is_stale_claim(report) {
             return ClaimVerdict::Stale;
         }
-        match self.words.get(&server) {
-            // It has said the opposite, and this may be older.
-            Some(RoleEvidence::Denied(when))
-                if sent.is_some_and(|sent| sent < *when) && at - when < IN_FLIGHT =>
-            {
-                return ClaimVerdict::Stale;
+        self.accept(report.server, report.observed_at);
+        ClaimVerdict::Accepted
+    }
+
+    /// The known primary repeats its claim.
+    fn confirm(&mut self, report: RoleReport) {
+        if let Some(claim) = &mut self.claim {
+            // A response that was in flight when the primary was lost is no sign that it works again.
+            let is_fresh = claim.lost_at.is_none_or(|lost_at| {
+                report.sent_at.is_some_and(|sent_at| sent_at >= lost_at) || report.observed_at > lost_at
+            });
+            claim.lost_at = claim.lost_at.filter(|_| !is_fresh);
+        }
+        self.newest_evidence_at = self.newest_evidence_at.max(report.observed_at);
+    }
+
+    /// Whether newer evidence contradicts the claim of a server that is not the primary.
+    fn is_stale_claim(&self, report: RoleReport) -> bool {
+        if report.observed_at < self.newest_evidence_at {
+            return true;
+        }
+        match self.evidence.get(&report.server) {
+            // The denial may have overtaken this claim.
+            Some(RoleEvidence::Denied(at)) => {
+                report.sent_at.is_some_and(|sent_at| sent_at < *at)
+                    && report.observed_at - at < MAX_REORDERING_SECS
             }
-            Some(RoleEvidence::Deposed(when)) => {
-                let fresh = sent.is_some_and(|sent| sent >= *when);
-                let holds = self.claim.is_some_and(|claim| claim.lost.is_none());
-                if !fresh || holds {
-                    return ClaimVerdict::Stale;
-                }
+            Some(RoleEvidence::Deposed(at)) => {
+                let is_fresh = report.sent_at.is_some_and(|sent_at| sent_at >= *at);
+                !is_fresh || self.has_live_primary()
             }
-            _ => {}
+            None => false,
         }
-        self.accept(server, at);
-        ClaimVerdict::Accepted
     }
 
     fn accept(&mut self, server: ServerId, at: f64) {
         if let Some(old) = self.claim {
-            self.words.insert(old.server, RoleEvidence::Deposed(at));
+            self.evidence.insert(old.server, RoleEvidence::Deposed(at));
         }
-        self.words.remove(&server);
+        self.evidence.remove(&server);
         self.epoch += 1;
-        self.claim = Some(PrimaryClaim { server, since: at, proven: false, lost: None });
-        self.evidence = self.evidence.max(at);
+        self.claim = Some(PrimaryClaim { server, accepted_at: at, lost_at: None });
+        self.newest_evidence_at = self.newest_evidence_at.max(at);
     }
 
-    /// The list names a server. It is late, so it counts only where no primary is known, or the one that was
-    /// is lost, and never against a server's own word.
-    pub fn listed(&mut self, server: ServerId, now: f64) -> ClaimVerdict {
+    /// The endpoint list names a server as the primary. The list is late, so it counts only where no primary
+    /// is known or the known one is lost, and never against a server's own report.
+    pub fn record_listed(&mut self, server: ServerId, now: f64) -> ClaimVerdict {
         if self.primary() == Some(server) {
             return ClaimVerdict::Known;
         }
-        if self.words.contains_key(&server) || self.claim.is_some_and(|claim| claim.lost.is_none()) {
+        if self.evidence.contains_key(&server) || self.has_live_primary() {
             return ClaimVerdict::Stale;
         }
-        let evidence = self.evidence;
+        let newest_evidence_at = self.newest_evidence_at;
         self.accept(server, now);
-        self.evidence = evidence; // a server's word, also an older one, counts for more
+        // The list is no evidence: even an older report of a server takes precedence over it.
+        self.newest_evidence_at = newest_evidence_at;
         ClaimVerdict::Accepted
     }
 
-    /// A server says that it is no primary. True if it was taken for the primary until now.
-    pub fn denies(&mut self, server: ServerId, at: f64) -> bool {
-        let was = self.primary() == Some(server);
-        if was && at < self.evidence {
+    /// A server reports at `at` that it is no primary. Returns whether it counted as the primary until now.
+    pub fn record_denial(&mut self, server: ServerId, at: f64) -> bool {
+        let was_primary = self.primary() == Some(server);
+        if was_primary && at < self.newest_evidence_at {
             return false;
         }
-        let later = |word: &RoleEvidence| match word {
-            RoleEvidence::Denied(when) | RoleEvidence::Deposed(when) => at > *when,
-        };
-        if self.words.get(&server).is_none_or(later) {
-            self.words.insert(server, RoleEvidence::Denied(at));
-        }
-        if was {
-            (self.claim, self.evidence) = (None, at);
+        let is_newer = self.evidence.get(&server).is_none_or(|evidence| match evidence {
+            RoleEvidence::Denied(known_at) | RoleEvidence::Deposed(known_at) => at > *known_at,
+        });
+        if is_newer {
+            self.evidence.insert(server, RoleEvidence::Denied(at));
         }
-        was
-    }
-
-    /// It served a write.
-    pub fn served(&mut self, server: ServerId) {
-        if let Some(claim) = self.claim.as_mut().filter(|claim| claim.server == server) {
-            claim.proven = true;
+        if was_primary {
+            self.claim = None;
+            self.newest_evidence_at = at;
         }
+        was_primary
     }
 
-    /// The primary is silent, or the way to it broke; its claim stands against stale word, but not against
-    /// others.
-    pub fn lose(&mut self, now: f64) {
+    /// The primary is silent or down. Stale claims are still rejected, but other servers' fresh claims count.
+    pub fn mark_lost(&mut self, now: f64) {
         if let Some(claim) = &mut self.claim {
-            claim.lost.get_or_insert(now);
+            claim.lost_at.get_or_insert(now);
         }
     }
 
-    /// The primary was heard at this time; true if it was lost until then.
-    pub fn find(&mut self, heard: f64) -> bool {
-        let lost = self.claim.as_mut().and_then(|claim| claim.lost.take_if(|lost| heard > *lost));
-        lost.is_some()
+    /// The primary responded at this time. Returns whether it counted as lost until then.
+    pub fn record_response(&mut self, at: f64) -> bool {
+        let lost_at = self.claim.as_mut().and_then(|claim| claim.lost_at.take_if(|lost_at| at > *lost_at));
+        lost_at.is_some()
     }
 
-    /// A server drains, is out by hand or gone: it is the primary no longer. True if it was until now.
+    /// A server drains, is out of service or was removed. Returns whether it was the primary until now.
     pub fn withdraw(&mut self, server: ServerId) -> bool {
-        let was = self.primary() == Some(server);
-        if was {
+        let was_primary = self.primary() == Some(server);
+        if was_primary {
             self.claim = None;
         }
-        was
+        was_primary
     }
 
-    /// Drops the words of servers that are no members any more.
-    pub fn retain(&mut self, is_member: impl Fn(ServerId) -> bool) {
-        self.words.retain(|server, _| is_member(*server));
+    /// Drops the evidence of servers that are no longer members.
+    pub fn retain_members(&mut self, is_member: impl Fn(ServerId) -> bool) {
+        self.evidence.retain(|server, _| is_member(*server));
     }
 
-    /// Takes over what another process knew: that a server was deposed, at a time.
-    pub fn recall_deposed(&mut self, server: ServerId, at: f64) {
+    /// Restores from another process's snapshot that a server was deposed, with `at` as the time.
+    pub fn restore_deposed(&mut self, server: ServerId, at: f64) {
         if self.primary() != Some(server) {
-            self.words.entry(server).or_insert(RoleEvidence::Deposed(at));
+            self.evidence.entry(server).or_insert(RoleEvidence::Deposed(at));
         }
     }
 
-    /// Takes over its epoch.
-    pub fn recall_epoch(&mut self, epoch: u64) {
+    /// Restores the epoch from another process's snapshot.
+    pub fn restore_epoch(&mut self, epoch: u64) {
         self.epoch = self.epoch.max(epoch);
     }
 }
--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -187,7 +187,7 @@
     fn put_out(&mut self, id: ServerId) {
         self.out_by_hand.insert(id);
         self.servers.entry(id).and_modify(|s| s.out_by_hand = true);
-        self.groups.values_mut().for_each(|g| g.set.server_withdrawn(id, self.now, true));
+        self.groups.values_mut().for_each(|g| g.set.server_draining(id, self.now));
     }
 
     /// It may serve again. Its process may have started anew, so it counts as cold and behind.
@@ -244,8 +244,10 @@
             server.out_by_hand = self.out_by_hand.contains(id);
             let group = self.groups.entry(server.group).or_default();
             group.members.push(*id);
-            if server.closed() {
-                group.set.server_withdrawn(*id, now, server.listed);
+            if server.closed() && server.listed {
+                group.set.server_draining(*id, now);
+            } else if server.closed() {
+                group.set.server_removed(*id, now);
             }
         }
         self.groups.values_mut().for_each(|g| g.set.retain_members(now, |id| g.members.contains(&id)));
@@ -388,7 +390,8 @@
         let Some(server) = self.servers.get_mut(&id) else { return };
         let set = &mut self.groups.entry(server.group).or_default().set;
         let role = note.1.filter(|primary| !(*primary && server.closed()));
-        set.role_reported(id, role, at, sent, self.now, &mut self.forecast);
+        let reported = RoleReport { server: id, observed_at: at, sent_at: sent };
+        set.role_reported(role, reported, self.now, &mut self.forecast);
         // What one said of itself while it took itself for the primary may never have been true.
         let anew = role == Some(false) && server.replica_at.is_none();
         if role == Some(true) && set.primary() == Some(id) {
@@ -494,9 +497,12 @@
     /// before it get no answer any more, and their clients hear so at once: they may have run.
     fn learn_write_end(&mut self, id: ServerId, sent: f64, ok: bool, actions: &mut Vec<Action>) {
         let Some(group) = self.servers.get(&id).map(|s| s.group) else { return };
-        let Some(before) = self.groups.entry(group).or_default().set.write_ended(id, sent, ok) else {
+        let set = &mut self.groups.entry(group).or_default().set;
+        if !ok {
+            set.write_failed(sent);
             return;
-        };
+        }
+        let Some(before) = set.write_served(id, sent) else { return };
         let write = |p: &OpenRequest| self.cfg.classes[p.request.class.0].consistency == Consistency::Write;
         let doomed = self.pending.values().filter(|p| write(p) && p.fate.is_in_flight_at(before));
         for request in doomed.map(|p| p.request.id).collect::<Vec<_>>() {
@@ -829,7 +835,9 @@
         let again = match (p.fate.first_possible_execution(), class.idempotency) {
             (None, _) => true,
             (Some(_), Idempotency::Idempotent) => self.retries >= 1.0,
-            (Some((first, _)), Idempotency::WithKey { window, .. }) => self.now + 0.01 < first + secs(window),
+            (Some(first), Idempotency::WithKey { window, .. }) => {
+                self.now + 0.01 < first.sent_at + secs(window)
+            }
             (Some(_), Idempotency::NonIdempotent) => false,
         };
         again && p.attempts < p.most_attempts && self.now < p.deadline
@@ -839,7 +847,7 @@
     fn permitted(&self, p: &OpenRequest, id: ServerId, server: &Server) -> bool {
         let class = &self.cfg.classes[p.request.class.0];
         let zoned = matches!(class.idempotency, Idempotency::WithKey { scope: KeyScope::Zone, .. });
-        let first = p.fate.first_possible_execution().and_then(|(_, first)| self.servers.get(&first));
+        let first = p.fate.first_possible_execution().and_then(|first| self.servers.get(&first.server));
         let scope = !zoned
             || p.fate.first_possible_execution().is_none()
             || first.is_some_and(|f| f.zone == server.zone);
@@ -888,7 +896,10 @@
         }
         let may = |m: &(ServerId, &Server)| m.1.has_room(now) && self.permitted(p, m.0, m.1);
         let (group, left) = (p.request.group, p.deadline - now);
-        let members = self.members(group).filter(may).map(|m| (m.0, m.1.silence(now)));
+        let members = self
+            .members(group)
+            .filter(may)
+            .map(|(id, s)| InquiryCandidate { server: id, silence_secs: s.silence(now) });
         let members: Vec<_> = members.collect();
         Some((self.groups.get_mut(&group)?.set.next_to_ask(&members, now, &self.forecast)?, left))
     }
@@ -1028,7 +1039,13 @@
         }
         p.fate.record_sent(p.attempts, to, now);
         let write = self.cfg.classes[p.request.class.0].consistency == Consistency::Write;
-        self.groups.entry(p.request.group).and_modify(|g| g.set.attempt_sent(to, write, now));
+        self.groups.entry(p.request.group).and_modify(|g| {
+            if write {
+                g.set.write_sent(to, now);
+            } else {
+                g.set.read_sent(to, now);
+            }
+        });
         let kept = write && self.cfg.session_tokens == SessionTokens::Tracked;
         let session = p.request.session.clone().filter(|_| kept);
         let flight = InFlightAttempt { server: to, class: p.request.class, session, sent: now, expected };
--- a/core/src/routing/snapshot.rs
+++ b/core/src/routing/snapshot.rs
@@ -82,7 +82,7 @@
             PeerMessage::ProcessPaused(long) => self.sessions.distrust_until(self.now + long.as_secs_f64()),
             PeerMessage::ServerWithdrawn(id) => {
                 self.servers.entry(id).and_modify(|server| server.barred = true);
-                self.groups.values_mut().for_each(|group| group.set.server_withdrawn(id, self.now, true));
+                self.groups.values_mut().for_each(|group| group.set.server_draining(id, self.now));
             }
         }
     }
