--- a/core/tests/failover.rs
+++ b/core/tests/failover.rs
@@ -1,206 +1,219 @@
-//! Changes of primary through the whole module: what it sends, holds, refuses and fails.
+//! Failovers through the routing engine: which writes it forwards, buffers, rejects and fails.
 
 mod common;
 
 use common::*;
 use pipittack_core::api::*;
-use pipittack_core::api::{FailoverKind, FailoverSettings, ReplicaSetSnapshot};
-use pipittack_core::api::{ServerSnapshot, StateSnapshot};
 
-/// A gateway that has heard all members, and whose primary has served some writes.
+/// An engine that has a response of every member, and whose primary has served some writes.
 fn steady() -> Bench {
-    let mut b = Bench::new(settings());
-    b.hear_all(ms(10));
+    let mut bench = Bench::new(settings());
+    bench.hear_all(ms(10));
     for _ in 0..10 {
-        assert_eq!(targets(&b.call(ONCE)), [1]);
-        b.now += ms(50);
-        b.end(Outcome::Success, Some(true), ms(0));
+        assert_eq!(targets(&bench.call(ONCE)), [1]);
+        bench.now += ms(50);
+        bench.end(Outcome::Success, Some(true), ms(0));
     }
-    b
+    bench
 }
 
-/// Lets time pass in steps of a tick or so, and gives all that was done.
-fn pass(b: &mut Bench, time: u64) -> Vec<Action> {
-    (0..time / 10).flat_map(|_| b.pass(ms(10))).collect()
+/// Lets time pass in steps of 10 ms and returns all actions.
+fn pass(bench: &mut Bench, time_ms: u64) -> Vec<Action> {
+    (0..time_ms / 10).flat_map(|_| bench.pass(ms(10))).collect()
 }
 
-/// Ends what is out at a server with an answer of this kind.
-fn end_at(b: &mut Bench, server: u32, outcome: Outcome, primary: Option<bool>) -> Vec<Action> {
-    let at = b.sent.iter().position(|(_, _, s)| *s == ServerId(server)).expect("something is out there");
-    let (request, attempt, server) = b.sent.remove(at);
-    b.end_of(request, attempt, server, outcome, primary, ms(0))
+/// Ends the oldest attempt in flight at a server with this outcome.
+fn end_at(bench: &mut Bench, server: u32, outcome: Outcome, primary: Option<bool>) -> Vec<Action> {
+    let index = bench
+        .sent
+        .iter()
+        .position(|(_, _, s)| *s == ServerId(server))
+        .expect("an attempt is in flight at the server");
+    let (request, attempt, server) = bench.sent.remove(index);
+    bench.end_of(request, attempt, server, outcome, primary, ms(0))
 }
 
 #[test]
-fn writes_are_held_while_the_primary_pauses_and_go_on_when_it_speaks() {
-    let mut b = steady();
-    assert_eq!(targets(&b.call(ONCE)), [1]);
-    pass(&mut b, 250);
-    let held: Vec<u32> = (0..3).flat_map(|_| targets(&b.call(ONCE))).collect();
-    assert!(held.is_empty(), "{held:?}");
-    let after = end_at(&mut b, 1, Outcome::Success, Some(true));
+fn writes_are_buffered_while_the_primary_is_silent_and_sent_when_it_responds() {
+    let mut bench = steady();
+    assert_eq!(targets(&bench.call(ONCE)), [1]);
+    pass(&mut bench, 250);
+    let sent: Vec<u32> = (0..3).flat_map(|_| targets(&bench.call(ONCE))).collect();
+    assert!(sent.is_empty(), "{sent:?}");
+    let after = end_at(&mut bench, 1, Outcome::Success, Some(true));
     assert_eq!((targets(&after), refusals(&after)), (vec![1, 1, 1], 0));
 }
 
 #[test]
-fn a_read_shows_whether_a_silent_primary_answers() {
-    let mut b = steady();
-    b.call(ONCE);
-    pass(&mut b, 250);
-    assert_eq!(targets(&b.call(LOOK)), [1], "the canary");
-    assert_ne!(targets(&b.call(LOOK)), [1], "one is enough");
-    let held = b.call(ONCE);
-    assert!(targets(&held).is_empty());
-    let (request, attempt, server) = *b.sent.iter().rev().find(|s| s.2 == ServerId(1)).expect("the canary");
-    b.sent.retain(|s| s.0 != request);
-    let after = b.end_of(request, attempt, server, Outcome::Success, Some(true), ms(0));
-    assert_eq!(targets(&after), [1], "it does, and one slow write is no hang");
+fn a_canary_read_tests_a_silent_primary() {
+    let mut bench = steady();
+    bench.call(ONCE);
+    pass(&mut bench, 250);
+    assert_eq!(targets(&bench.call(LOOK)), [1], "the canary");
+    assert_ne!(targets(&bench.call(LOOK)), [1], "one canary at a time");
+    let write = bench.call(ONCE);
+    assert!(targets(&write).is_empty());
+    let (request, attempt, server) =
+        *bench.sent.iter().rev().find(|s| s.2 == ServerId(1)).expect("the canary");
+    bench.sent.retain(|s| s.0 != request);
+    let after = bench.end_of(request, attempt, server, Outcome::Success, Some(true), ms(0));
+    assert_eq!(targets(&after), [1], "the primary responds, and one slow write is no hang");
 }
 
 #[test]
-fn after_a_failover_one_write_tests_the_successor_and_the_rest_follows() {
-    let mut b = steady();
-    b.call(ONCE);
-    pass(&mut b, 900);
+fn after_a_failover_one_write_tests_the_successor_before_the_others_are_sent() {
+    let mut bench = steady();
+    bench.call(ONCE);
+    pass(&mut bench, 900);
     for _ in 0..4 {
-        b.call(ONCE);
+        bench.call(ONCE);
     }
-    b.sent.retain(|s| s.2 == ServerId(1)); // what asked a member is answered below
-    b.call(ANY);
-    let after = match b.sent.last() {
+    bench.sent.retain(|s| s.2 == ServerId(1)); // the inquiry to a member is answered below
+    bench.call(ANY);
+    let after = match bench.sent.last() {
         Some((_, _, ServerId(server))) if *server != 1 => {
             let server = *server;
-            end_at(&mut b, server, Outcome::Success, Some(true))
+            end_at(&mut bench, server, Outcome::Success, Some(true))
         }
         other => panic!("{other:?}"),
     };
     let first = targets(&after);
     assert_eq!(first.len(), 1, "{after:?}");
     let successor = first[0];
-    let doomed = b.sent.iter().filter(|s| s.2 == ServerId(1)).count();
-    assert!(
-        (1..=2).contains(&doomed),
-        "the one that was there, and one that saw whether it answers: {doomed}"
+    let lost_attempts = bench.sent.iter().filter(|s| s.2 == ServerId(1)).count();
+    assert!((1..=2).contains(&lost_attempts), "the first write and at most one test write: {lost_attempts}");
+    bench.now += ms(40);
+    let after = end_at(&mut bench, successor, Outcome::Success, Some(true));
+    assert!(targets(&after).iter().all(|s| *s == successor) && !targets(&after).is_empty(), "{after:?}");
+    assert_eq!(
+        failures(&after),
+        lost_attempts,
+        "their outcome is unknown, and their clients are notified at once"
     );
-    b.now += ms(40);
-    let then = end_at(&mut b, successor, Outcome::Success, Some(true));
-    assert!(targets(&then).iter().all(|s| *s == successor) && !targets(&then).is_empty(), "{then:?}");
-    assert_eq!(failures(&then), doomed, "their fate is unknown, and their clients hear so at once");
 }
 
 #[test]
-fn a_deposed_primary_that_returns_is_believed_in_nothing() {
-    let mut b = steady();
-    b.step(vec![Event::HealthChecked {
+fn neither_the_role_nor_the_position_that_a_deposed_primary_reports_is_trusted() {
+    let mut bench = steady();
+    bench.step(vec![Event::HealthChecked {
         server: ServerId(2),
         ok: true,
-        load_report: Some(LoadReport { position: Some(b.now), primary: Some(true), ..LoadReport::default() }),
+        load_report: Some(LoadReport {
+            position: Some(bench.now),
+            primary: Some(true),
+            ..LoadReport::default()
+        }),
     }]);
-    assert_eq!(targets(&b.call(ONCE)), [2]);
-    b.now += ms(20);
-    end_at(&mut b, 2, Outcome::Success, Some(true));
-    // The old one answers a read that any replica may serve: it takes itself to be the primary, at the present.
+    assert_eq!(targets(&bench.call(ONCE)), [2]);
+    bench.now += ms(20);
+    end_at(&mut bench, 2, Outcome::Success, Some(true));
+    // The deposed primary answers reads: it reports that it is the primary and up to date.
     let mut asked = false;
     for _ in 0..40 {
-        b.now += ms(10);
-        asked |= targets(&b.call(ANY)) == [1];
-        while let Some((_, _, ServerId(server))) = b.sent.first().copied() {
-            b.end(Outcome::Success, Some(server != 3), ms(if server == 3 { 10 } else { 0 }));
+        bench.now += ms(10);
+        asked |= targets(&bench.call(ANY)) == [1];
+        while let Some((_, _, ServerId(server))) = bench.sent.first().copied() {
+            bench.end(Outcome::Success, Some(server != 3), ms(if server == 3 { 10 } else { 0 }));
         }
     }
-    assert!(asked, "it was heard");
-    assert_eq!(targets(&b.call(ONCE)), [2], "its claim is stale");
-    end_at(&mut b, 2, Outcome::Success, Some(true));
-    b.now += ms(3000); // all that was told before is too old by now
-    let reads: Vec<u32> = (0..10).flat_map(|_| targets(&b.call(LOOK))).collect();
-    assert!(!reads.contains(&1), "nobody knows where it stands: {reads:?}");
+    assert!(asked, "it has answered reads");
+    assert_eq!(targets(&bench.call(ONCE)), [2], "its claim is stale");
+    end_at(&mut bench, 2, Outcome::Success, Some(true));
+    bench.now += ms(3000); // the positions reported before are too old by now
+    let reads: Vec<u32> = (0..10).flat_map(|_| targets(&bench.call(LOOK))).collect();
+    assert!(!reads.contains(&1), "its position is unknown: {reads:?}");
 }
 
-/// Who turns a write away takes none, also where it says that it is the primary: it is about to hand over.
+/// A server that declines a write takes none, even if it reports that it is the primary: it is about to step
+/// down.
 #[test]
-fn a_primary_that_yields_is_not_asked_over_and_over() {
-    let mut b = steady();
-    b.call(ONCE);
-    let mut sends = 0;
-    let mut refused = 0;
+fn a_primary_that_declines_writes_is_not_retried_repeatedly() {
+    let mut bench = steady();
+    bench.call(ONCE);
+    let mut attempts = 0;
+    let mut rejected = 0;
     for _ in 0..40 {
-        while !b.sent.is_empty() {
-            sends += 1;
-            let actions = b.end(Outcome::Misdirected, Some(true), ms(0));
-            refused += refusals(&actions);
+        while !bench.sent.is_empty() {
+            attempts += 1;
+            let actions = bench.end(Outcome::Misdirected, Some(true), ms(0));
+            rejected += refusals(&actions);
         }
-        refused += refusals(&b.pass(ms(10)));
+        rejected += refusals(&bench.pass(ms(10)));
     }
-    assert!(refused == 0 && sends <= 5, "{sends} attempts, {refused} refused");
+    assert!(rejected == 0 && attempts <= 5, "{attempts} attempts, {rejected} rejected");
 }
 
 #[test]
-fn what_is_held_is_bounded_and_the_newest_are_refused() {
+fn the_write_buffer_is_bounded_and_further_writes_are_rejected() {
     let failover = FailoverSettings { max_buffered_writes: 6, ..FailoverSettings::default() };
-    let mut b = Bench::new(Settings { failover, ..settings() });
-    b.hear_all(ms(10));
-    b.step(vec![
+    let mut bench = Bench::new(Settings { failover, ..settings() });
+    bench.hear_all(ms(10));
+    bench.step(vec![
         Event::TakenOutOfService(ServerId(1)),
         Event::TakenOutOfService(ServerId(2)),
         Event::TakenOutOfService(ServerId(3)),
     ]);
-    let refused: Vec<usize> = (0..6).map(|_| refusals(&b.call(ONCE))).collect();
-    assert_eq!(refused, [0, 0, 0, 1, 1, 1], "half of the places are for one set");
+    let rejected: Vec<usize> = (0..6).map(|_| refusals(&bench.call(ONCE))).collect();
+    assert_eq!(rejected, [0, 0, 0, 1, 1, 1], "a set may use half of the buffer");
 }
 
 #[test]
-fn new_settings_in_the_middle_of_a_change_leave_it_alone() {
-    let mut b = steady();
-    b.call(ONCE);
-    pass(&mut b, 250);
-    assert!(targets(&b.call(ONCE)).is_empty());
-    b.step(vec![Event::Settings(Box::new(settings()))]);
-    assert!(targets(&b.call(ONCE)).is_empty(), "still held");
-    assert_eq!(targets(&end_at(&mut b, 1, Outcome::Success, Some(true))), [1, 1]);
+fn new_settings_do_not_affect_a_failover_in_progress() {
+    let mut bench = steady();
+    bench.call(ONCE);
+    pass(&mut bench, 250);
+    assert!(targets(&bench.call(ONCE)).is_empty());
+    bench.step(vec![Event::Settings(Box::new(settings()))]);
+    assert!(targets(&bench.call(ONCE)).is_empty(), "the write is still buffered");
+    assert_eq!(targets(&end_at(&mut bench, 1, Outcome::Success, Some(true))), [1, 1]);
 }
 
 #[test]
-fn a_successor_of_the_process_knows_of_a_change_under_way() {
-    let mut b = Bench::new(settings());
-    let news = ReplicaSetSnapshot { epoch: 4, deposed: true, failover: Some((FailoverKind::Unplanned, 1.5)) };
-    b.step(vec![
+fn a_snapshot_passes_the_epoch_and_the_deposed_primary_to_another_process() {
+    let mut bench = Bench::new(settings());
+    let replica_set =
+        ReplicaSetSnapshot { epoch: 4, deposed: true, failover: Some((FailoverKind::Unplanned, 1.5)) };
+    bench.step(vec![
         Event::HealthChecked {
             server: ServerId(2),
             ok: true,
             load_report: Some(LoadReport {
-                position: Some(b.now),
+                position: Some(bench.now),
                 primary: Some(true),
                 ..LoadReport::default()
             }),
         },
         Event::SnapshotReceived(Box::new(StateSnapshot {
-            servers: vec![ServerSnapshot { server: 1, replica_set: news, ..ServerSnapshot::default() }],
+            servers: vec![ServerSnapshot { server: 1, replica_set, ..ServerSnapshot::default() }],
             ..StateSnapshot::default()
         })),
     ]);
-    let news = b.gateway.snapshot().servers[0].replica_set;
-    assert_eq!((news.epoch, news.deposed), (4, true));
-    assert_eq!(targets(&b.call(ONCE)), [2]);
-    b.now += ms(10);
-    end_at(&mut b, 2, Outcome::Success, Some(true));
-    b.step(vec![Event::HealthChecked {
+    let restored = bench.gateway.snapshot().servers[0].replica_set;
+    assert_eq!((restored.epoch, restored.deposed), (4, true));
+    assert_eq!(targets(&bench.call(ONCE)), [2]);
+    bench.now += ms(10);
+    end_at(&mut bench, 2, Outcome::Success, Some(true));
+    bench.step(vec![Event::HealthChecked {
         server: ServerId(1),
         ok: true,
-        load_report: Some(LoadReport { position: Some(b.now), primary: Some(true), ..LoadReport::default() }),
+        load_report: Some(LoadReport {
+            position: Some(bench.now),
+            primary: Some(true),
+            ..LoadReport::default()
+        }),
     }]);
-    assert_eq!(targets(&b.call(ONCE)), [2], "the one that it knew to be deposed is not believed");
+    assert_eq!(targets(&bench.call(ONCE)), [2], "the deposed primary is not trusted");
 }
 
-/// A client that leaves while its write is held: nothing goes out for it later.
 #[test]
-fn a_client_that_leaves_while_held_is_forgotten() {
-    let mut b = steady();
-    b.call(ONCE);
-    pass(&mut b, 250);
-    let request = b.request(ONCE);
+fn a_buffered_write_is_dropped_when_its_client_disconnects() {
+    let mut bench = steady();
+    bench.call(ONCE);
+    pass(&mut bench, 250);
+    let request = bench.request(ONCE);
     let id = request.id;
-    assert!(targets(&b.step(vec![Event::Request(request)])).is_empty());
-    b.step(vec![Event::ClientGone(id)]);
-    let after = end_at(&mut b, 1, Outcome::Success, Some(true));
+    assert!(targets(&bench.step(vec![Event::Request(request)])).is_empty());
+    bench.step(vec![Event::ClientGone(id)]);
+    let after = end_at(&mut bench, 1, Outcome::Success, Some(true));
     assert!(targets(&after).is_empty(), "{after:?}");
 }
