--- a/core/src/concurrency_limit.rs
+++ b/core/src/concurrency_limit.rs
@@ -1,120 +1,169 @@
-//! A server's window: how many attempts this gateway has in flight there at the most.
+//! The adaptive concurrency limit of one server: how many attempts this proxy instance may have in flight
+//! there.
 //!
-//! Owns the parabola that is fitted to throughput over concurrency and the period in which it learns. It must
-//! never count what is in flight, which its server's books do, and never choose a server.
+//! The limit is set once a period from a parabola that is fitted to throughput over concurrency. Only
+//! responses in time count as throughput. The caller counts the attempts in flight; this module owns the
+//! limit, the fit and the observations of the current period. Times are seconds on the engine's clock.
 
 use std::collections::BTreeMap;
 
-pub(crate) const INITIAL_LIMIT: f64 = 16.0; // in-flight, over all gateways; a few a core of a small server
-pub(crate) const MIN_LIMIT: f64 = 2.0; // in-flight; the design's floor
-const MAX_LIMIT: f64 = 64.0; // in-flight; cm_max
-const PERIOD_DONE: f64 = 20.0; // completions that make a period worth fitting
-const PERIOD_LEAST: f64 = 1.0; // s
-const PERIOD_MOST: f64 = 4.0; // s; an idle server's period
-const PERIOD_WAITING: f64 = 4.0; // completions after which a full window with a queue is looked at again
-const PEAKS_KEPT: usize = 8; // periods over which the peak is read: one quiet period is chance
-const FORGET: f64 = 0.95; // memory of the fit for each period: about twenty of them
-const LATE_SHARE: f64 = 0.7; // of a period's endings in time, under which its window is too wide
-const LEVELS_NEEDED: usize = 4; // distinct windows without which a parabola is noise
+use crate::throughput_fit::ThroughputFit;
 
-/// A server's window: mplmax, and what the present period has shown.
+/// Initial limit over all proxy instances, in attempts: a few for each core of a small server.
+pub(crate) const INITIAL_LIMIT: f64 = 16.0;
+/// Lower bound of the limit, in attempts.
+pub(crate) const MIN_LIMIT: f64 = 2.0;
+/// Upper bound of the limit, in attempts.
+const MAX_LIMIT: f64 = 64.0;
+/// Completions after which a period ends, if it has lasted for [`MIN_PERIOD_SECS`].
+const MIN_PERIOD_COMPLETIONS: f64 = 20.0;
+/// Least duration of a period, unless requests wait for a server at its limit.
+const MIN_PERIOD_SECS: f64 = 1.0;
+/// Duration after which a period ends in any case.
+const MAX_PERIOD_SECS: f64 = 4.0;
+/// Completions after which a period ends early while requests wait for a server at its limit.
+const MIN_SATURATED_COMPLETIONS: f64 = 4.0;
+/// Periods over which the highest concurrency is taken: a single quiet period does not lower the limit.
+const PEAK_PERIODS: usize = 8;
+/// Weight that earlier observations keep in the fit with each period.
+const FORGETTING_FACTOR: f64 = 0.95;
+/// Weight of a period in the mean throughput of its concurrency level.
+const LEVEL_GAIN: f64 = 0.3;
+/// Share of completions in time below which the limit counts as too high.
+const MIN_IN_TIME_SHARE: f64 = 0.7;
+/// Factor that bounds the limit when too few completions were in time.
+const OVERLOAD_FACTOR: f64 = 0.75;
+/// Concurrency levels that must have been observed before the fit is used.
+const MIN_LEVELS: usize = 4;
+/// Shortest period that a rate is computed over, in seconds.
+const MIN_RATE_PERIOD_SECS: f64 = 1e-3;
+/// Waiting requests at which the limit moves half of the way to its target.
+const HALF_STEP_WAITING: f64 = 2.0;
+
+/// A server's concurrency limit and what was observed in the current period.
 #[derive(Default)]
 pub(crate) struct ConcurrencyLimit {
+    /// The limit, in attempts.
     pub limit: f64,
+    /// The highest number of attempts in flight in this period.
     pub peak_in_flight: f64,
-    pub recent_peaks: Vec<f64>,
-    pub period_started_at: f64,
-    pub record_completion: f64,
-    pub completed_in_time: f64,
+    /// Whether this period may be learned from. It may not if the server was silent, failing or warming up.
     pub is_period_valid: bool,
-    pub shrink_target: Option<f64>,
-    pub fit: crate::throughput_fit::ThroughputFit,
-    pub throughput_by_level: BTreeMap<u32, f64>,
-    pub completion_rate: Option<f64>,
+    /// Peaks of the last periods, newest first.
+    recent_peaks: Vec<f64>,
+    period_started_at: f64,
+    completed: f64,
+    completed_in_time: f64,
+    /// The limit falls to this by one attempt with each completion.
+    shrink_target: Option<f64>,
+    fit: ThroughputFit,
+    /// Mean throughput by concurrency.
+    throughput_by_level: BTreeMap<u32, f64>,
 }
 
 impl ConcurrencyLimit {
-    /// `share` is the part of the server's work that comes through this gateway.
+    /// The initial limit. `share` is the share of the server's work that comes from this proxy instance.
     pub fn new(now: f64, share: f64) -> Self {
         Self::with_limit(now, (INITIAL_LIMIT * share).clamp(MIN_LIMIT, INITIAL_LIMIT / 2.0))
     }
 
-    /// A window of this width, as another process had it.
-    pub fn with_limit(now: f64, width: f64) -> Self {
-        let width = if width.is_finite() { width } else { MIN_LIMIT };
-        let max = width.clamp(MIN_LIMIT, MAX_LIMIT);
+    /// A limit that was restored from another process. It is clamped to the bounds; a value that is not
+    /// finite becomes the lower bound.
+    pub fn with_limit(now: f64, limit: f64) -> Self {
+        let limit = if limit.is_finite() { limit } else { MIN_LIMIT };
+        let limit = limit.clamp(MIN_LIMIT, MAX_LIMIT);
         Self {
-            limit: max,
-            recent_peaks: vec![max; PEAKS_KEPT],
+            limit,
+            recent_peaks: vec![limit; PEAK_PERIODS],
             period_started_at: now,
             is_period_valid: true,
             ..Self::default()
         }
     }
 
-    /// `good` if it came within its class's aim: a late answer is no throughput.
-    pub fn record_completion(&mut self, good: bool) {
-        self.record_completion += 1.0;
-        self.completed_in_time += f64::from(u8::from(good));
-        if let Some(to) = self.shrink_target.filter(|to| self.limit > *to) {
-            self.limit = (self.limit - 1.0).max(to);
+    /// Records a completed attempt; `in_time` if it met its class's latency objective.
+    pub fn record_completion(&mut self, in_time: bool) {
+        self.completed += 1.0;
+        self.completed_in_time += f64::from(u8::from(in_time));
+        if let Some(target) = self.shrink_target.filter(|target| self.limit > *target) {
+            self.limit = (self.limit - 1.0).max(target);
         }
     }
 
-    /// Ends the period when it has seen enough, and sets the window from it. `waiting` is the design's r.
+    /// Ends the period if it is long enough, and sets the limit from it. `in_flight` is the number of
+    /// attempts in flight, `waiting` the number of requests that wait for the server.
     pub fn end_period_if_due(&mut self, now: f64, in_flight: f64, waiting: f64) {
-        let length = now - self.period_started_at;
-        let pressed =
-            waiting > 0.0 && self.peak_in_flight >= self.limit && self.record_completion >= PERIOD_WAITING;
-        if !(pressed
-            || length >= PERIOD_MOST
-            || (length >= PERIOD_LEAST && self.record_completion >= PERIOD_DONE))
-        {
+        let period_secs = now - self.period_started_at;
+        if !self.is_period_over(period_secs, waiting) {
             return;
         }
-        // A server that was silent, failing or cold, or that did nothing, teaches the fit nothing.
-        if self.is_period_valid && self.record_completion > 0.0 {
-            let (m, throughput) = (self.peak_in_flight, self.completed_in_time / length.max(1e-3));
-            self.completion_rate = Some(self.completion_rate.map_or(self.record_completion / length, |r| {
-                r + 0.3 * (self.record_completion / length - r)
-            }));
-            self.fit.record(m, throughput, FORGET);
-            let level = self.throughput_by_level.entry(m as u32).or_insert(throughput);
-            *level += 0.3 * (throughput - *level);
-            self.recent_peaks.rotate_right(1);
-            self.recent_peaks[0] = self.peak_in_flight;
-            let best = self
-                .throughput_by_level
-                .iter()
-                .max_by(|a, b| a.1.total_cmp(b.1))
-                .map_or(m, |l| f64::from(*l.0));
-            let vertex = self.fit.vertex().filter(|_| self.throughput_by_level.len() >= LEVELS_NEEDED);
-            let opt = vertex.unwrap_or_else(|| if waiting > 0.0 { best.max(self.limit) + 1.0 } else { best });
-            let opt = opt.clamp(MIN_LIMIT, MAX_LIMIT);
-            let current = self.recent_peaks.iter().fold(0.0, |a: f64, b| a.max(*b));
-            self.shrink_target = None;
-            // Where most answers come late the curve has no peak left to find: that is thrashing as well.
-            let opt = if self.completed_in_time < LATE_SHARE * self.record_completion {
-                opt.min(self.limit * 0.75)
-            } else {
-                opt
-            };
-            let opt = opt.max(MIN_LIMIT);
-            if self.peak_in_flight >= self.limit && self.limit > opt {
-                self.shrink_target = Some(opt);
-            } else if self.peak_in_flight >= self.limit {
-                self.limit += (opt - self.limit) * (waiting / (waiting + 2.0));
+        if self.is_period_valid && self.completed > 0.0 {
+            self.learn_period(period_secs);
+            self.adjust_limit(waiting);
+        }
+        self.period_started_at = now;
+        self.completed = 0.0;
+        self.completed_in_time = 0.0;
+        self.peak_in_flight = in_flight;
+        self.is_period_valid = true;
+    }
+
+    fn is_period_over(&self, period_secs: f64, waiting: f64) -> bool {
+        let is_saturated = waiting > 0.0 && self.peak_in_flight >= self.limit;
+        (is_saturated && self.completed >= MIN_SATURATED_COMPLETIONS)
+            || period_secs >= MAX_PERIOD_SECS
+            || (period_secs >= MIN_PERIOD_SECS && self.completed >= MIN_PERIOD_COMPLETIONS)
+    }
+
+    fn learn_period(&mut self, period_secs: f64) {
+        let concurrency = self.peak_in_flight;
+        let throughput = self.completed_in_time / period_secs.max(MIN_RATE_PERIOD_SECS);
+        self.fit.record(concurrency, throughput, FORGETTING_FACTOR);
+        let mean = self.throughput_by_level.entry(concurrency as u32).or_insert(throughput);
+        *mean += LEVEL_GAIN * (throughput - *mean);
+        self.recent_peaks.rotate_right(1);
+        self.recent_peaks[0] = concurrency;
+    }
+
+    fn adjust_limit(&mut self, waiting: f64) {
+        let target = self.target_limit(waiting);
+        let is_at_limit = self.peak_in_flight >= self.limit;
+        self.shrink_target = None;
+        if is_at_limit && self.limit > target {
+            self.shrink_target = Some(target);
+        } else if is_at_limit {
+            self.limit += (target - self.limit) * (waiting / (waiting + HALF_STEP_WAITING));
+        } else {
+            let highest_peak = self.recent_peaks.iter().fold(0.0, |highest: f64, peak| highest.max(*peak));
+            self.limit = self.limit.min(highest_peak);
+        }
+        self.limit = self.limit.clamp(MIN_LIMIT, MAX_LIMIT);
+    }
+
+    /// The concurrency with the highest throughput, or one attempt more while that is still unknown.
+    fn target_limit(&self, waiting: f64) -> f64 {
+        let target = self.fitted_peak().unwrap_or_else(|| {
+            let best_level = self.best_level();
+            if waiting > 0.0 {
+                best_level.max(self.limit) + 1.0
             } else {
-                self.limit = self.limit.min(current);
+                best_level
             }
-            self.limit = self.limit.clamp(MIN_LIMIT, MAX_LIMIT);
-        }
-        (
-            self.period_started_at,
-            self.record_completion,
-            self.completed_in_time,
-            self.peak_in_flight,
-            self.is_period_valid,
-        ) = (now, 0.0, 0.0, in_flight, true);
+        });
+        let target = target.clamp(MIN_LIMIT, MAX_LIMIT);
+        // When most completions are late, the throughput has no peak left to find.
+        let is_overloaded = self.completed_in_time < MIN_IN_TIME_SHARE * self.completed;
+        let target = if is_overloaded { target.min(self.limit * OVERLOAD_FACTOR) } else { target };
+        target.max(MIN_LIMIT)
+    }
+
+    fn fitted_peak(&self) -> Option<f64> {
+        self.fit.vertex().filter(|_| self.throughput_by_level.len() >= MIN_LEVELS)
+    }
+
+    /// The observed concurrency with the highest mean throughput.
+    fn best_level(&self) -> f64 {
+        let best = self.throughput_by_level.iter().max_by(|left, right| left.1.total_cmp(right.1));
+        best.map_or(self.peak_in_flight, |(level, _)| f64::from(*level))
     }
 }
--- a/core/src/ewma.rs
+++ b/core/src/ewma.rs
@@ -1,39 +1,41 @@
-//! An exponentially weighted moving average that is drawn to a prior where it rests on little evidence.
+//! An exponentially weighted moving average that is drawn towards a prior while it rests on little evidence.
+//!
+//! Times are seconds on the caller's clock.
 
-/// How a [`Gauge`] weighs what it is told.
+/// How an [`Ewma`] weighs its values.
 #[derive(Debug)]
 pub struct EwmaConfig {
-    /// Values that it averages over at most.
+    /// Upper bound of the weight of past values, in values.
     pub max_weight: f64,
-    /// Time in s in which its evidence loses most of its weight.
+    /// Time constant of the decay of that weight, in seconds.
     pub decay_secs: f64,
-    /// Values of its own that what is usual weighs like.
+    /// Weight of the prior, in values.
     pub prior_weight: f64,
 }
 
-/// A mean over recent values, and how many of them it rests on.
+/// A moving average and its weight.
 #[derive(Debug, Default, Clone)]
 pub struct Ewma {
     mean: f64,
     weight: f64,
-    at: f64,
+    updated_at: f64,
 }
 
 impl Ewma {
-    fn weight(&self, now: f64, memory: &EwmaConfig) -> f64 {
-        self.weight * (-(now - self.at).max(0.0) / memory.decay_secs).exp()
+    fn weight(&self, now: f64, config: &EwmaConfig) -> f64 {
+        self.weight * (-(now - self.updated_at).max(0.0) / config.decay_secs).exp()
     }
 
-    /// Learns a value, at a time in seconds.
-    pub fn record(&mut self, now: f64, value: f64, memory: &EwmaConfig) {
-        self.weight = (self.weight(now, memory) + 1.0).min(memory.max_weight);
+    /// Adds a value.
+    pub fn record(&mut self, now: f64, value: f64, config: &EwmaConfig) {
+        self.weight = (self.weight(now, config) + 1.0).min(config.max_weight);
         self.mean += (value - self.mean) / self.weight;
-        self.at = now;
+        self.updated_at = now;
     }
 
-    /// The mean, drawn to `usual` where it has seen little of late.
-    pub fn estimate(&self, now: f64, usual: f64, memory: &EwmaConfig) -> f64 {
-        let weight = self.weight(now, memory);
-        (weight * self.mean + memory.prior_weight * usual) / (weight + memory.prior_weight)
+    /// The mean of the values and of `prior`, by their weights at `now`.
+    pub fn estimate(&self, now: f64, prior: f64, config: &EwmaConfig) -> f64 {
+        let weight = self.weight(now, config);
+        (weight * self.mean + config.prior_weight * prior) / (weight + config.prior_weight)
     }
 }
--- a/core/src/primary_read_admission/tests.rs
+++ b/core/src/primary_read_admission/tests.rs
@@ -4,56 +4,72 @@
 use crate::api::{ClassId, Idempotency};
 use std::time::Duration;
 
-const MEMORY: EwmaConfig = EwmaConfig { max_weight: 10.0, decay_secs: 10.0, prior_weight: 2.0 };
+const CONFIG: EwmaConfig = EwmaConfig { max_weight: 10.0, decay_secs: 10.0, prior_weight: 2.0 };
 const READ: usize = 0;
 const WRITE: usize = 1;
 
 fn classes() -> Vec<Class> {
-    let class = |credit, effect, need| Class {
-        priority_weight: credit,
+    let class = |priority_weight, idempotency, consistency| Class {
+        priority_weight,
         latency_objective: Duration::from_millis(500),
         latency_objective_stretch: 0.0,
         deadline: Duration::from_millis(2000),
         late_weight: 0.0,
-        idempotency: effect,
-        consistency: need,
+        idempotency,
+        consistency,
         streaming: false,
     };
     let read = class(1.0, Idempotency::Idempotent, Consistency::BoundedStaleness(Duration::from_secs(3)));
     vec![read, class(4.0, Idempotency::NonIdempotent, Consistency::Write)]
 }
 
-/// Ends of one set at a time: whether its primary then spares room for a read, and whether that of an
-/// unseen set does.
-fn after(ends: &[(f64, bool)]) -> (bool, bool) {
-    let (classes, mut relief, mut set) = (classes(), PrimaryReadAdmission::default(), Ewma::default());
-    for (took, ok) in ends {
-        let outcome = if *ok { Outcome::Success } else { Outcome::Timeout };
-        relief.record(&mut set, 1.0, &classes[WRITE], *took, outcome, &MEMORY);
+fn attempt(class: &Class, elapsed_secs: f64, outcome: Outcome) -> PrimaryAttempt<'_> {
+    PrimaryAttempt { class, elapsed_secs, outcome }
+}
+
+/// Which primaries reads are admitted to.
+#[derive(Debug, PartialEq)]
+struct Admitted {
+    /// The primary that the attempts were sent to.
+    to_observed: bool,
+    /// The primary of a set without any attempts.
+    to_other: bool,
+}
+
+const TO_BOTH: Admitted = Admitted { to_observed: true, to_other: true };
+const TO_OTHER: Admitted = Admitted { to_observed: false, to_other: true };
+const TO_NONE: Admitted = Admitted { to_observed: false, to_other: false };
+
+fn admitted_after(attempts: &[(f64, Outcome)]) -> Admitted {
+    let (classes, mut admission, mut set) = (classes(), PrimaryReadAdmission::default(), Ewma::default());
+    for (elapsed_secs, outcome) in attempts {
+        admission.record(&mut set, 1.0, &attempt(&classes[WRITE], *elapsed_secs, *outcome), &CONFIG);
     }
-    let spares = |set| relief.admits(set, 1.0, &classes[ClassId(READ).0], &classes, &MEMORY);
-    (spares(&set), spares(&Ewma::default()))
+    let admits = |set| admission.admits(set, 1.0, &classes[ClassId(READ).0], &classes, &CONFIG);
+    Admitted { to_observed: admits(&set), to_other: admits(&Ewma::default()) }
 }
 
 #[test]
-fn late_answers_of_one_primary_keep_reads_from_it_and_those_of_many_from_all() {
-    assert_eq!(after(&[]), (true, true), "nothing is known against it");
-    assert_eq!(after(&[(0.1, true); 8]), (true, true));
-    assert_eq!(after(&[(0.4, true)]), (false, true), "one that is late is no proof against others");
-    assert_eq!(after(&[(0.4, true); 8]), (false, false));
-    assert_eq!(after(&[(0.4, false); 8]), (false, true), "what never came says nothing of others");
-    assert_eq!(after(&[(0.1, false); 8]), (true, true), "given up early, which tells nothing");
+fn late_responses_of_one_primary_bar_reads_from_it_and_those_of_many_from_all() {
+    const SUCCESS: Outcome = Outcome::Success;
+    const TIMEOUT: Outcome = Outcome::Timeout;
+    assert_eq!(admitted_after(&[]), TO_BOTH, "no late response is known");
+    assert_eq!(admitted_after(&[(0.1, SUCCESS); 8]), TO_BOTH);
+    assert_eq!(admitted_after(&[(0.4, SUCCESS)]), TO_OTHER, "a single late response does not bar others");
+    assert_eq!(admitted_after(&[(0.4, SUCCESS); 8]), TO_NONE);
+    assert_eq!(admitted_after(&[(0.4, TIMEOUT); 8]), TO_OTHER, "timeouts show nothing of other sets");
+    assert_eq!(admitted_after(&[(0.1, TIMEOUT); 8]), TO_BOTH, "early timeouts show nothing");
 }
 
 #[test]
-fn what_was_late_is_forgotten_and_what_is_worth_a_write_is_never_kept_away() {
-    let (classes, mut relief, mut set) = (classes(), PrimaryReadAdmission::default(), Ewma::default());
+fn reads_are_admitted_again_after_late_responses_expire_and_always_with_the_weight_of_a_write() {
+    let (classes, mut admission, mut set) = (classes(), PrimaryReadAdmission::default(), Ewma::default());
     for _ in 0..20 {
-        relief.record(&mut set, 1.0, &classes[WRITE], 1.0, Outcome::Success, &MEMORY);
+        admission.record(&mut set, 1.0, &attempt(&classes[WRITE], 1.0, Outcome::Success), &CONFIG);
     }
-    assert!(!relief.admits(&set, 2.0, &classes[READ], &classes, &MEMORY));
-    assert!(relief.admits(&set, 60.0, &classes[READ], &classes, &MEMORY));
-    let dear = Class { priority_weight: 4.0, ..classes[READ].clone() };
-    assert!(relief.admits(&set, 2.0, &dear, &classes, &MEMORY));
-    assert!(relief.admits(&set, 2.0, &classes[READ], &classes[..1], &MEMORY), "no writes to keep room for");
+    assert!(!admission.admits(&set, 2.0, &classes[READ], &classes, &CONFIG));
+    assert!(admission.admits(&set, 60.0, &classes[READ], &classes, &CONFIG));
+    let weighty_read = Class { priority_weight: 4.0, ..classes[READ].clone() };
+    assert!(admission.admits(&set, 2.0, &weighty_read, &classes, &CONFIG));
+    assert!(admission.admits(&set, 2.0, &classes[READ], &classes[..1], &CONFIG), "there are no writes");
 }
--- a/core/src/request_cost.rs
+++ b/core/src/request_cost.rs
@@ -1,71 +1,91 @@
-//! How much work a request of each class is, beside the usual one.
+//! Estimates the work of a request of each class, relative to the usual request.
 //!
-//! What a cold server is allowed is work, and a report may be a dozen times the work of a look-up. The time
-//! of an answer is its work and its wait; the mean of a class at its lowest is nearly work alone, so the
-//! lowest is kept, and forgotten slowly. Owns these figures, in s, and the cost that follows from them. It
-//! must never take a class that was not seen for a light one.
+//! A server that is warming up is allowed an amount of work, and a request of one class may be a dozen times
+//! the work of another. A response time consists of work and waiting. The lowest mean response time of a
+//! class is nearly work alone, so the lowest one is stored and rises slowly towards the present one.
+//!
+//! Owns these times, in seconds. A class without responses has the cost that follows from its latency
+//! objective.
 
 use crate::api::Class;
 use crate::latency_estimate::LatencyEstimate;
 
-/// Time in s in which the lowest mean of a class rises most of the way to the present one.
-const FORGET: f64 = 300.0;
-/// The least that a request counts for, in usual ones: answers tell times, and those of a calm server little.
-const COST_LEAST: f64 = 0.5;
-/// What is left of the count of answers with each further one: what is usual goes by the last hundred.
-const KEPT: f64 = 0.99;
+/// Time constant, in seconds, with which the lowest mean of a class rises to the present mean.
+const RISE_SECS: f64 = 300.0;
+/// Least cost of a request, in usual requests: the response times of an idle server say little about work.
+const MIN_COST: f64 = 0.5;
+/// Weight that the count of responses keeps with each further one: some hundred responses count.
+const COUNT_DECAY: f64 = 0.99;
+/// Lower bound of a class's mean response time, in seconds.
+const MIN_MEAN_SECS: f64 = 1e-4;
 
-/// The work of each class.
+/// The cost of each class.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct RequestCosts {
-    classes: Vec<Lowest>,
-    usual: f64,
+    classes: Vec<ClassCost>,
+    /// Mean over recent responses of their classes' lowest means.
+    usual_secs: f64,
 }
 
-/// The lowest mean of a class, when it was last answered, and how often of late.
+/// What is known of one class.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Lowest {
-    mean: f64,
-    at: f64,
-    count: f64,
+struct ClassCost {
+    lowest_mean_secs: f64,
+    last_response_at: f64,
+    recent_responses: f64,
 }
 
-impl Lowest {
-    fn guess(class: &Class) -> Self {
-        Self { mean: LatencyEstimate::initial(class).mean, at: 0.0, count: 0.0 }
+impl ClassCost {
+    fn initial(class: &Class) -> Self {
+        Self {
+            lowest_mean_secs: LatencyEstimate::initial(class).mean,
+            last_response_at: 0.0,
+            recent_responses: 0.0,
+        }
     }
 }
 
 impl RequestCosts {
-    /// A guess by what the classes aim at; the lightest counts as usual until answers tell.
+    /// Costs by the classes' latency objectives. The class with the least one counts as usual until responses
+    /// arrive.
     pub fn new(classes: &[Class]) -> Self {
-        let classes: Vec<_> = classes.iter().map(Lowest::guess).collect();
-        let usual = classes.iter().map(|class| class.mean).fold(f64::INFINITY, f64::min);
-        Self { classes, usual }
+        let classes: Vec<_> = classes.iter().map(ClassCost::initial).collect();
+        let usual_secs = classes.iter().map(|class| class.lowest_mean_secs).fold(f64::INFINITY, f64::min);
+        Self { classes, usual_secs }
     }
 
-    /// A class is another one from now on.
-    pub fn reset_class(&mut self, place: usize, class: &Class) {
-        match self.classes.get_mut(place) {
-            Some(known) => *known = Lowest::guess(class),
-            None => self.classes.push(Lowest::guess(class)),
+    /// Replaces or adds a class, by its index in the settings.
+    pub fn reset_class(&mut self, index: usize, class: &Class) {
+        match self.classes.get_mut(index) {
+            Some(cost) => *cost = ClassCost::initial(class),
+            None => self.classes.push(ClassCost::initial(class)),
         }
     }
 
-    /// A request of a class was answered, whose answers take `mean` of late.
-    pub fn record_response(&mut self, place: usize, mean: f64, now: f64) {
-        self.classes.iter_mut().for_each(|class| class.count *= KEPT);
-        let Some(class) = self.classes.get_mut(place) else { return };
-        let passed = if class.at > 0.0 { (now - class.at).max(0.0) } else { 0.0 };
-        let risen = class.mean + (mean - class.mean) * (1.0 - (-passed / FORGET).exp());
-        *class = Lowest { mean: mean.min(risen).max(1e-4), at: now, count: class.count + 1.0 };
-        let count: f64 = self.classes.iter().map(|class| class.count).sum();
-        self.usual = self.classes.iter().map(|class| class.count * class.mean).sum::<f64>() / count;
+    /// Records a response to a request of a class whose present mean response time is `mean_secs`.
+    pub fn record_response(&mut self, index: usize, mean_secs: f64, now: f64) {
+        self.classes.iter_mut().for_each(|class| class.recent_responses *= COUNT_DECAY);
+        let Some(class) = self.classes.get_mut(index) else { return };
+        let elapsed_secs =
+            if class.last_response_at > 0.0 { (now - class.last_response_at).max(0.0) } else { 0.0 };
+        let rise_share = 1.0 - (-elapsed_secs / RISE_SECS).exp();
+        let risen_secs = class.lowest_mean_secs + (mean_secs - class.lowest_mean_secs) * rise_share;
+        class.lowest_mean_secs = mean_secs.min(risen_secs).max(MIN_MEAN_SECS);
+        class.last_response_at = now;
+        class.recent_responses += 1.0;
+        self.update_usual();
+    }
+
+    fn update_usual(&mut self) {
+        let responses: f64 = self.classes.iter().map(|class| class.recent_responses).sum();
+        let weighted = self.classes.iter().map(|class| class.recent_responses * class.lowest_mean_secs);
+        self.usual_secs = weighted.sum::<f64>() / responses;
     }
 
-    /// The work of a class, in usual requests.
-    pub fn cost(&self, place: usize) -> f64 {
-        self.classes.get(place).map_or(1.0, |class| (class.mean / self.usual).max(COST_LEAST))
+    /// The work of a request of a class, in usual requests.
+    pub fn cost(&self, index: usize) -> f64 {
+        let class = self.classes.get(index);
+        class.map_or(1.0, |class| (class.lowest_mean_secs / self.usual_secs).max(MIN_COST))
     }
 }
 
--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -21,9 +21,9 @@
 use crate::ewma::{Ewma, EwmaConfig};
 use crate::failover::*;
 use crate::latency_estimate::LatencyEstimate;
-use crate::primary_read_admission::PrimaryReadAdmission;
+use crate::primary_read_admission::{PrimaryAttempt, PrimaryReadAdmission};
 use crate::request_cost::RequestCosts;
-use crate::server_throughput::ServerThroughput;
+use crate::server_throughput::{ServerThroughput, WarmCapacity};
 use crate::session_tokens::SessionTokenStore;
 use crate::time::secs;
 use position_probe::{probe, scout, PositionDemand, ProbeDecision};
@@ -446,7 +446,8 @@
         let set = self.servers.get(&id).and_then(|s| self.groups.get_mut(&s.group));
         if let Some(group) = set.filter(|g| g.set.primary() == Some(id)) {
             let class = &self.cfg.classes[flight.class.0];
-            self.relief.record(&mut group.late, now, class, took, outcome, &MEMORY);
+            let attempt = PrimaryAttempt { class, elapsed_secs: took, outcome };
+            self.relief.record(&mut group.late, now, &attempt, &MEMORY);
         }
         let warm = |s: &&Server| outcome == Outcome::Success && s.cold(now, &self.cfg.rules) >= 1.0;
         if let Some(group) = self.servers.get(&id).filter(warm).map(|s| s.group) {
@@ -712,7 +713,7 @@
         let rated: f64 = self.servers.values().filter(warm).map(|s| s.rating).sum();
         let primaries = self.groups.keys().filter_map(|g| self.servers.get(&self.whole(*g)?));
         let primaries: f64 = primaries.filter(warm).map(|s| s.rating).sum();
-        self.pace.advance(self.clock.elapsed, (rated, primaries), &MEMORY);
+        self.pace.advance(self.clock.elapsed, WarmCapacity { all: rated, primaries }, &MEMORY);
         self.pace.per_server()
     }
 
--- a/core/src/server_throughput.rs
+++ b/core/src/server_throughput.rs
@@ -1,69 +1,85 @@
-//! What a warm server manages, as far as this gateway's own answers tell.
+//! Estimates the throughput of a warm server, as far as this proxy instance's own responses show it.
 //!
-//! Each gateway sees its own part of a server's answers, so what it allows a cold server by that adds up,
-//! over all of them, to what one server does. Servers are not all as busy: where reads find few replicas, a
-//! primary serves several times what a replica does, and no less than that is what a server of its size can
-//! do. Owns the count of answers of all warm servers, and of the primaries of whole groups among them; the
-//! busier kind counts. It must never count a cold server, one that may not be sent to, or a primary that gets
-//! more because others are taken to be down.
+//! Each proxy instance sees its own share of a server's responses. What the instances allow a server that is
+//! warming up on that basis adds up to what one warm server does. Servers differ in load: where reads find
+//! few replicas, a primary serves several times what a replica does, which shows what a server of its size is
+//! able to do.
+//!
+//! Owns the decaying counts of responses of all warm servers and of the primaries among them; the higher rate
+//! counts. The caller leaves out servers that are warming up or may not be sent to, and primaries of replica
+//! sets with a member down, since these get more than their usual share.
 
 use crate::ewma::EwmaConfig;
 
-/// Answers a second of a warm server, over all gateways, before any was seen.
-const USUAL: f64 = 2.0;
+/// Responses a second of a warm server, over all proxy instances, that are assumed before any response.
+const INITIAL_RATE: f64 = 2.0;
+/// Lower bound of the time that a rate is divided by, in seconds.
+const MIN_RATE_SECS: f64 = 1e-9;
+
+/// The capacity of the servers that are warm, as the sum of their ratings.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct WarmCapacity {
+    /// Of all servers.
+    pub all: f64,
+    /// Of the primaries of replica sets without a member down.
+    pub primaries: f64,
+}
 
-/// Answers, and the seconds times rating in which they came; both fade.
+/// Responses, and the server seconds in which they arrived: seconds times rating. Both decay.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Count {
-    answers: f64,
-    seconds: f64,
+struct ResponseCount {
+    responses: f64,
+    server_secs: f64,
 }
 
-impl Count {
-    fn pass(&mut self, fade: f64, seconds: f64) {
-        (self.answers, self.seconds) = (self.answers * fade, self.seconds * fade + seconds);
+impl ResponseCount {
+    fn advance(&mut self, decay: f64, server_secs: f64) {
+        self.responses *= decay;
+        self.server_secs = self.server_secs * decay + server_secs;
     }
 
     fn rate(&self) -> f64 {
-        self.answers / self.seconds.max(1e-9)
+        self.responses / self.server_secs.max(MIN_RATE_SECS)
     }
 }
 
-/// The answers of warm servers.
+/// The responses of warm servers.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct ServerThroughput {
-    all: Count,
-    primaries: Count,
+    all: ResponseCount,
+    primaries: ResponseCount,
 }
 
 impl ServerThroughput {
-    /// The pace of one of so many gateways that has seen nothing.
-    pub fn new(gateways: u32) -> Self {
-        let usual = Count { answers: USUAL / f64::from(gateways), seconds: 1.0 };
-        Self { all: usual, primaries: usual }
+    /// The initial estimate for one of `instance_count` proxy instances.
+    pub fn new(instance_count: u32) -> Self {
+        let initial = ResponseCount { responses: INITIAL_RATE / f64::from(instance_count), server_secs: 1.0 };
+        Self { all: initial, primaries: initial }
     }
 
-    /// A warm server answered; `primary` if it is that of a whole group.
-    pub fn record_response(&mut self, primary: bool) {
-        self.all.answers += 1.0;
-        self.primaries.answers += f64::from(u8::from(primary));
+    /// Records a response of a warm server; `is_primary` if it is the primary of a set without a member down.
+    pub fn record_response(&mut self, is_primary: bool) {
+        self.all.responses += 1.0;
+        self.primaries.responses += f64::from(u8::from(is_primary));
     }
 
-    /// Time passed with these ratings warm: of all, and of the primaries of whole groups among them.
-    pub fn advance(&mut self, elapsed: f64, (all, primaries): (f64, f64), memory: &EwmaConfig) {
-        let fade = (-elapsed / memory.decay_secs).exp();
-        self.all.pass(fade, elapsed * all);
-        self.primaries.pass(fade, elapsed * primaries);
+    /// Lets time pass in which servers of this capacity were warm.
+    pub fn advance(&mut self, elapsed_secs: f64, warm: WarmCapacity, config: &EwmaConfig) {
+        let decay = (-elapsed_secs / config.decay_secs).exp();
+        self.all.advance(decay, elapsed_secs * warm.all);
+        self.primaries.advance(decay, elapsed_secs * warm.primaries);
     }
 
-    /// Answers a second that this gateway gets from a warm server of rating 1 of the busier kind.
+    /// Responses a second that this proxy instance gets from a warm server of rating 1: of all servers or of
+    /// primaries, whichever is more.
     pub fn per_server(&self) -> f64 {
         self.all.rate().max(self.primaries.rate())
     }
 
-    /// Answers a second of all.
-    pub fn total(&self, memory: &EwmaConfig) -> f64 {
-        self.all.answers / memory.decay_secs // what has not faded yet came in about that time
+    /// Responses a second of all warm servers together.
+    pub fn total(&self, config: &EwmaConfig) -> f64 {
+        // The decayed count covers about one time constant.
+        self.all.responses / config.decay_secs
     }
 }
 
--- a/core/src/server_throughput/tests.rs
+++ b/core/src/server_throughput/tests.rs
@@ -2,23 +2,23 @@
 
 use super::*;
 
-const MEMORY: EwmaConfig = EwmaConfig { max_weight: 10.0, decay_secs: 10.0, prior_weight: 2.0 };
+const CONFIG: EwmaConfig = EwmaConfig { max_weight: 10.0, decay_secs: 10.0, prior_weight: 2.0 };
 
 #[test]
-fn the_busier_kind_of_server_tells_what_one_manages() {
-    let mut pace = ServerThroughput::new(100);
-    assert!((pace.per_server() - 0.02).abs() < 1e-9);
-    // For 60 s: each second 3 answers of three primaries, and 2 of nine replicas.
+fn the_higher_rate_of_all_servers_and_of_primaries_counts() {
+    let mut throughput = ServerThroughput::new(100);
+    assert!((throughput.per_server() - 0.02).abs() < 1e-9);
+    // For 60 s, 3 responses a second of three primaries and 2 of nine replicas.
     for n in 0..300 {
-        pace.advance(0.2, (12.0, 3.0), &MEMORY);
-        pace.record_response(n % 5 < 3);
+        throughput.advance(0.2, WarmCapacity { all: 12.0, primaries: 3.0 }, &CONFIG);
+        throughput.record_response(n % 5 < 3);
     }
-    assert!((0.9..1.1).contains(&pace.per_server()), "{}", pace.per_server());
-    assert!((4.5..5.5).contains(&pace.total(&MEMORY)), "{}", pace.total(&MEMORY));
-    // Where replicas serve most, they count.
+    assert!((0.9..1.1).contains(&throughput.per_server()), "{}", throughput.per_server());
+    assert!((4.5..5.5).contains(&throughput.total(&CONFIG)), "{}", throughput.total(&CONFIG));
+    // The replicas serve more than the primaries.
     for _ in 0..600 {
-        pace.advance(0.2, (5.0, 4.0), &MEMORY);
-        pace.record_response(false);
+        throughput.advance(0.2, WarmCapacity { all: 5.0, primaries: 4.0 }, &CONFIG);
+        throughput.record_response(false);
     }
-    assert!((0.9..1.1).contains(&pace.per_server()), "{}", pace.per_server());
+    assert!((0.9..1.1).contains(&throughput.per_server()), "{}", throughput.per_server());
 }
--- a/core/src/throughput_fit.rs
+++ b/core/src/throughput_fit.rs
@@ -1,40 +1,62 @@
-//! A parabola fitted to throughput over concurrency.
+//! Fits a parabola to throughput over concurrency by recursive least squares with exponential forgetting.
 
-/// Least squares with fading memory on a + b m + c m².
+/// Upper bound of the variances, which prevents covariance wind-up while the concurrency is constant.
+const MAX_VARIANCE: f64 = 1e6;
+/// Lower bound of the variances, which keeps the fit able to change.
+const MIN_VARIANCE: f64 = 1e-9;
+/// Variance of each coefficient before the first observation.
+const INITIAL_VARIANCE: f64 = 1e3;
+/// Divisor of the concurrency, so that the regressors are of similar size.
+const CONCURRENCY_SCALE: f64 = 10.0;
+/// Divisor of the squared concurrency.
+const SQUARED_SCALE: f64 = CONCURRENCY_SCALE * CONCURRENCY_SCALE;
+/// A quadratic coefficient above this counts as no peak.
+const MAX_QUADRATIC_COEFFICIENT: f64 = -1e-9;
+
+/// The coefficients of a + b x + c x² and their covariance, where x is the scaled concurrency.
 #[derive(Debug)]
 pub struct ThroughputFit {
-    theta: [f64; 3],
-    cov: [[f64; 3]; 3],
+    coefficients: [f64; 3],
+    covariance: [[f64; 3]; 3],
 }
 
 impl Default for ThroughputFit {
     fn default() -> Self {
+        let variance = |row, column| if row == column { INITIAL_VARIANCE } else { 0.0 };
         Self {
-            theta: [0.0; 3],
-            cov: std::array::from_fn(|i| std::array::from_fn(|j| if i == j { 1e3 } else { 0.0 })),
+            coefficients: [0.0; 3],
+            covariance: std::array::from_fn(|row| std::array::from_fn(|column| variance(row, column))),
         }
     }
 }
 
 impl ThroughputFit {
-    /// Learns that `m` in flight gave `throughput`; `forget` is what is left of the memory after each lesson.
-    pub fn record(&mut self, m: f64, throughput: f64, forget: f64) {
-        let x = [1.0, m / 10.0, m * m / 100.0]; // scaled, so that the three columns are of like size
-        let px: [f64; 3] = std::array::from_fn(|i| (0..3).map(|j| self.cov[i][j] * x[j]).sum());
-        let denominator = forget + (0..3).map(|i| x[i] * px[i]).sum::<f64>();
-        let error = throughput - (0..3).map(|i| x[i] * self.theta[i]).sum::<f64>();
-        for (i, p) in px.iter().enumerate() {
-            self.theta[i] += p / denominator * error;
-            for (j, q) in px.iter().enumerate() {
-                self.cov[i][j] = (self.cov[i][j] - p * q / denominator) / forget;
+    /// Learns that `concurrency` requests in flight gave `throughput`. `forgetting_factor` is the weight that
+    /// earlier observations keep.
+    pub fn record(&mut self, concurrency: f64, throughput: f64, forgetting_factor: f64) {
+        let regressors = [1.0, concurrency / CONCURRENCY_SCALE, concurrency * concurrency / SQUARED_SCALE];
+        let projection: [f64; 3] = std::array::from_fn(|row| dot(&self.covariance[row], &regressors));
+        let denominator = forgetting_factor + dot(&regressors, &projection);
+        let error = throughput - dot(&regressors, &self.coefficients);
+        for row in 0..3 {
+            self.coefficients[row] += projection[row] / denominator * error;
+            for column in 0..3 {
+                let correction = projection[row] * projection[column] / denominator;
+                self.covariance[row][column] =
+                    (self.covariance[row][column] - correction) / forgetting_factor;
             }
-            self.cov[i][i] = self.cov[i][i].clamp(1e-9, 1e6); // no wind-up while the load stands still
+            self.covariance[row][row] = self.covariance[row][row].clamp(MIN_VARIANCE, MAX_VARIANCE);
         }
     }
 
-    /// The vertex, where the parabola has a peak.
+    /// The concurrency with the highest throughput, if the parabola has a peak at a positive concurrency.
     pub fn vertex(&self) -> Option<f64> {
-        let [_, b, c] = self.theta;
-        (c < -1e-9 && b > 0.0).then(|| 10.0 * -b / (2.0 * c))
+        let [_, linear, quadratic] = self.coefficients;
+        let has_peak = quadratic < MAX_QUADRATIC_COEFFICIENT && linear > 0.0;
+        has_peak.then(|| CONCURRENCY_SCALE * -linear / (2.0 * quadratic))
     }
 }
+
+fn dot(left: &[f64; 3], right: &[f64; 3]) -> f64 {
+    (0..3).map(|index| left[index] * right[index]).sum()
+}
--- a/core/src/time.rs
+++ b/core/src/time.rs
@@ -1,8 +1,8 @@
-//! The engine counts time in seconds.
+//! Conversion of durations: the engine counts time in seconds.
 
 use std::time::Duration;
 
-/// A duration in seconds.
+/// Converts a duration to seconds.
 pub(crate) fn secs(duration: Duration) -> f64 {
     duration.as_secs_f64()
 }
