--- a/core/src/routing/snapshot.rs
+++ b/core/src/routing/snapshot.rs
@@ -8,7 +8,7 @@
 impl RoutingEngine {
     /// What another process of this proxy must know.
     pub fn snapshot(&self) -> StateSnapshot {
-        let (floor, marks) = self.sessions.snapshot();
+        let sessions = self.sessions.snapshot();
         let stood = |(id, s): (&ServerId, &Server)| {
             let set = self.groups.get(&s.group).map(|group| &group.set);
             ServerSnapshot {
@@ -25,8 +25,8 @@
             }
         };
         StateSnapshot {
-            session_floor: Some(floor),
-            session_tokens: marks.map(|(session, mark)| (session.to_owned(), mark)).collect(),
+            session_floor: Some(sessions.floor),
+            session_tokens: sessions.tokens.map(|(session, mark)| (session.to_owned(), mark)).collect(),
             servers: self.servers.iter().map(stood).collect(),
         }
     }
--- a/core/src/session_tokens.rs
+++ b/core/src/session_tokens.rs
@@ -1,127 +1,150 @@
-//! What sessions have written, where this proxy is the one to remember it.
+//! Stores the session tokens of sessions whose reads don't carry one.
 //!
-//! A read of a session must see what the session has written. Where its reads don't bring the commit of its
-//! last write, the proxy keeps it as the session's *mark* until every server has passed it. Marks are
-//! forgotten, since memory is bounded, but never the promise: what was forgotten raises the *floor*, and a
-//! session without a mark counts as having written at the floor. So a server that was not there while the
-//! others passed a mark (a new one, one that comes back, one that the operators had out) gets no session read
-//! before it tells that it has passed the floor too. A process starts with its floor at its start, for it
-//! can't know what was written before. While another process of the same proxy serves as well and its marks
-//! can't be heard, every session may have written just now.
+//! A session's read must see what the session has written. The token is the commit position of the session's
+//! last write. It is stored until every server has passed it.
 //!
-//! Owns marks and floor. It must never lower what a read must see, nor hold more than its bound in bytes.
+//! Memory is bounded, so tokens are dropped, but the guarantee is kept: dropping a token raises the *session
+//! floor*, and a session without a token counts as having written at the floor. So a server that was absent
+//! while the others passed a token (a new one, or one that returns) serves no session read before it reports
+//! a position beyond the floor. The floor of a process begins at its start, because earlier writes are
+//! unknown. While another process of this proxy instance serves and can't be reached, any session may have
+//! written a moment ago.
+//!
+//! Owns the tokens and the floor. Invariants: the floor never falls, unless a restored floor replaces the
+//! start of the process, and the size of the tokens stays within its limit. Positions are commit times, in
+//! seconds on the engine's clock.
 
+use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
 
-/// Bytes of marks at the most, each counted as its session's name and a fixed part.
-const BYTES_MOST: usize = 2 << 20;
-const MARK_BYTES: usize = 64;
+/// Upper bound of the size of all tokens, in bytes.
+const MAX_BYTES: usize = 2 << 20;
+/// Size that a token counts for beside its session's name, in bytes.
+const TOKEN_BYTES: usize = 64;
 
-/// Marks and floor; times are positions in s.
+/// The session tokens and the session floor.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct SessionTokenStore {
-    marks: BTreeMap<String, f64>,
+    /// The position of each session's last write.
+    tokens: BTreeMap<String, f64>,
     bytes: usize,
-    /// When this process began to serve, unless what was written before was handed over.
-    start: Option<f64>,
+    /// When this process began to serve; zero if it has restored another process's floor.
+    started_at: Option<f64>,
     floor: f64,
-    blind: bool,
+    is_peer_unreachable: bool,
+}
+
+/// The state that another process of the proxy instance needs.
+pub(crate) struct SessionTokenSnapshot<Tokens> {
+    /// The session floor.
+    pub floor: f64,
+    /// The sessions with a token above the floor, and the tokens.
+    pub tokens: Tokens,
 }
 
 impl SessionTokenStore {
-    /// A process begins to serve; whatever was written before is unknown.
+    /// The process begins to serve. Later calls have no effect.
     pub fn start(&mut self, now: f64) {
-        self.start.get_or_insert(now);
+        self.started_at.get_or_insert(now);
     }
 
-    /// A write of a session was acknowledged with this commit.
-    pub fn record_write(&mut self, session: String, commit: f64) {
-        if !commit.is_finite() {
+    /// A session's write was acknowledged with this commit position. Tokens never fall; a position that is
+    /// not finite is ignored.
+    pub fn record_write(&mut self, session: String, position: f64) {
+        if !position.is_finite() {
             return;
         }
-        let bytes = session.len() + MARK_BYTES;
-        match self.marks.entry(session) {
-            std::collections::btree_map::Entry::Occupied(mut mark) => {
-                let mark = mark.get_mut();
-                *mark = mark.max(commit);
+        let bytes = token_bytes(&session);
+        match self.tokens.entry(session) {
+            Entry::Occupied(mut entry) => {
+                let token = entry.get_mut();
+                *token = token.max(position);
             }
-            std::collections::btree_map::Entry::Vacant(place) => {
-                place.insert(commit);
+            Entry::Vacant(entry) => {
+                entry.insert(position);
                 self.bytes += bytes;
             }
         }
-        if self.bytes > BYTES_MOST {
-            self.forget_half();
+        if self.bytes > MAX_BYTES {
+            self.forget_older_half();
         }
     }
 
-    /// The position that a session's read must see which came at `now`.
+    /// The position that a read which arrived at `now` must see.
     pub fn required_position(&self, session: Option<&str>, now: f64) -> f64 {
-        if self.blind {
+        if self.is_peer_unreachable {
             return now;
         }
-        let mark = session.and_then(|session| self.marks.get(session)).copied().unwrap_or(0.0);
-        // A floor that lies ahead stands for whatever was written up to this moment.
-        mark.max(self.floor().min(now))
+        let token = session.and_then(|session| self.tokens.get(session)).copied().unwrap_or(0.0);
+        // A floor in the future stands for all writes up to now.
+        token.max(self.floor().min(now))
     }
 
-    /// All servers that may be read from have passed a position: what was committed by then matters no more
-    /// to any of them, but would to one that comes later.
+    /// Drops the tokens up to a position that every server has passed, and raises the floor to the highest of
+    /// them, for servers that are added later.
     pub fn forget_up_to(&mut self, position: f64) {
-        let (mut floor, mut bytes) = (self.floor, self.bytes);
-        self.marks.retain(|session, commit| {
-            let kept = *commit > position;
-            if !kept {
-                floor = floor.max(*commit);
-                bytes -= session.len() + MARK_BYTES;
+        let mut floor = self.floor;
+        let mut bytes = self.bytes;
+        self.tokens.retain(|session, token| {
+            let is_retained = *token > position;
+            if !is_retained {
+                floor = floor.max(*token);
+                bytes -= token_bytes(session);
             }
-            kept
+            is_retained
         });
-        (self.floor, self.bytes) = (floor, bytes);
+        self.floor = floor;
+        self.bytes = bytes;
     }
 
-    fn forget_half(&mut self) {
-        let mut commits: Vec<f64> = self.marks.values().copied().collect();
-        let middle = commits.len() / 2;
-        let (_, median, _) = commits.select_nth_unstable_by(middle, f64::total_cmp);
+    fn forget_older_half(&mut self) {
+        let mut positions: Vec<f64> = self.tokens.values().copied().collect();
+        let middle = positions.len() / 2;
+        let (_, median, _) = positions.select_nth_unstable_by(middle, f64::total_cmp);
         let median = *median;
         self.forget_up_to(median);
     }
 
-    /// Another process's floor takes the place of this one's start: what was written before is known. Without
-    /// one, every session may have written just now.
+    /// Restores another process's floor in place of this process's start. Without a floor, any session may
+    /// have written until `now`.
     pub fn restore(&mut self, floor: Option<f64>, now: f64) {
         let floor = floor.filter(|floor| floor.is_finite()).unwrap_or(now).min(now);
-        (self.start, self.floor) = (Some(0.0), self.floor.max(floor));
+        self.started_at = Some(0.0);
+        self.floor = self.floor.max(floor);
     }
 
-    /// Whether another process serves whose marks can't be heard. What it acknowledged meanwhile stays
-    /// unknown.
-    pub fn set_peer_unreachable(&mut self, blind: bool, now: f64) {
-        if std::mem::replace(&mut self.blind, blind) {
+    /// Sets whether another process serves that can't be reached. What it has acknowledged in the meantime
+    /// stays unknown, so the floor rises to `now` when that ends.
+    pub fn set_peer_unreachable(&mut self, is_unreachable: bool, now: f64) {
+        let was_unreachable = std::mem::replace(&mut self.is_peer_unreachable, is_unreachable);
+        if was_unreachable {
             self.floor = self.floor.max(now);
         }
     }
 
-    /// Up to `until`, another process may serve that was not heard yet.
+    /// Until this time, another process may serve whose writes are unknown.
     pub fn distrust_until(&mut self, until: f64) {
         self.floor = self.floor.max(until);
     }
 
-    /// What a session without a mark must see.
+    /// The session floor: the position that a session without a token must see.
     pub fn floor(&self) -> f64 {
-        self.floor.max(self.start.unwrap_or(0.0))
+        self.floor.max(self.started_at.unwrap_or(0.0))
     }
 
-    /// What another process of this proxy must know: the floor, and the marks above it.
-    pub fn snapshot(&self) -> (f64, impl Iterator<Item = (&str, f64)>) {
+    /// The state that another process of this proxy instance needs.
+    pub fn snapshot(&self) -> SessionTokenSnapshot<impl Iterator<Item = (&str, f64)>> {
         let floor = self.floor();
-        (
-            floor,
-            self.marks.iter().filter(move |m| *m.1 > floor).map(|(session, mark)| (session.as_str(), *mark)),
-        )
+        let above_floor = self.tokens.iter().filter(move |(_, token)| **token > floor);
+        let tokens = above_floor.map(|(session, token)| (session.as_str(), *token));
+        SessionTokenSnapshot { floor, tokens }
     }
 }
 
+/// The size that a session's token counts for.
+fn token_bytes(session: &str) -> usize {
+    session.len() + TOKEN_BYTES
+}
+
 #[cfg(test)]
 mod tests;
