--- a/core/src/graceful_shutdown.rs
+++ b/core/src/graceful_shutdown.rs
@@ -1,157 +1,169 @@
-//! How a process that was told to end lets its clients go.
+//! Controls the graceful shutdown of a process: how long connections, the listener and requests go on.
 //!
-//! Owns the phases between that word and the end of the process, how long a connection may stand in each, and
-//! how much of its time a request that still comes may take. Times are those of one clock. It must never hold
-//! an answer back, end a connection of which something was read and not answered, nor outlast the time after
-//! which the platform kills what has not ended.
+//! Owns the phases from the start of the shutdown to the end of the process, and the number of client
+//! connections. Times are those of one clock. Three guarantees hold:
 //!
-//! A connection can't be closed without a race: a query that is on its way while its connection closes comes
-//! again, once, on a new one. So connections go first and the door last, and the door stays open for those
-//! that return. A session belongs to its proxy for as long as that runs: whoever is let go early has nowhere
-//! to go before the front has noticed, which takes it a second and more. So connections are kept for half of
-//! the time that there is.
+//! - Responses are not held back.
+//! - A connection from which something was read is closed only after it was answered.
+//! - The process ends before the platform kills it.
+//!
+//! A connection can't be closed without a race: a request that is in flight when its connection closes is
+//! repeated once, on a new connection. So connections are closed first, and the listener stays open for the
+//! clients that return. A session is sticky to its proxy instance while that runs, and the load balancer
+//! takes a second or more to notice the shutdown. A client whose connection is closed before that has no
+//! other instance to go to, so connections are kept open for half of the time that there is.
 
 use std::time::Duration;
 
-/// Time after the word for which the front still sends new connections.
+/// Time after the start of the shutdown in which the load balancer still sends new connections.
 pub const NOTICE_PERIOD: Duration = Duration::from_millis(450);
-/// Part of the time between the word and the end for which connections are kept as before.
-const KEPT: f64 = 0.5;
-/// Time after a connection was let go in which a client whose query crossed that comes again.
+/// Share of the time until the deadline for which connections are kept open.
+const KEEP_OPEN_SHARE: f64 = 0.5;
+/// Time after a connection was closed within which a client whose request was in flight returns.
 pub const RETURN_GRACE_PERIOD: Duration = Duration::from_millis(250);
-/// Time in which a connection that has asked nothing yet is owed the chance to, from when it came.
+/// Time that a new connection has for its first request.
 pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// What the platform waits for at the most, beside the notice and the time to settle: the longest deadline,
-/// counted as this where it is longer.
-const LONGEST: Duration = Duration::from_secs(3);
-/// Time past the last deadline in which final answers are still written.
-const SETTLE: Duration = Duration::from_millis(150);
-
-/// How far a process that was told to end has come.
+/// Upper bound of the longest request deadline that the shutdown waits for.
+const MAX_REQUEST_DEADLINE: Duration = Duration::from_secs(3);
+/// Time after the last request deadline in which final responses are written.
+const FINAL_WRITE_PERIOD: Duration = Duration::from_millis(150);
+/// Time before the deadline at which the last requests have ended.
+const REQUEST_MARGIN: Duration = Duration::from_millis(50);
+
+/// The phase of a graceful shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
-    /// All goes on as before.
+    /// Connections are served as before.
     Notice,
-    /// Connections end as soon as they stand between requests. New ones are taken, each for a request.
+    /// Connections are closed once they are idle. New ones are accepted for one request each.
     Draining,
-    /// The door is to be closed; what stands in its queue is taken in, each for a request.
+    /// The listener is to be closed. Connections in its queue are accepted for one request each.
     ListenerClosing,
-    /// Nothing is owed any more, or the time is up.
+    /// The shutdown is complete, or its deadline has passed.
     AttemptEnded,
 }
 
-/// What a connection without an open request stands for.
+/// The state of a connection without a request in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IdleState {
-    /// It has asked nothing yet.
+    /// The client has sent no request yet.
     NoRequestYet,
-    /// All that it asked was answered.
+    /// All requests were answered.
     BetweenRequests,
-    /// A part of a message has come.
+    /// A part of a message has arrived.
     PartialMessage,
 }
 
-/// The course of one process's end.
+/// The graceful shutdown of one process.
 #[derive(Debug, Clone)]
 pub struct GracefulShutdown {
-    told: Duration,
-    /// When connections begin to be let go.
-    leaves: Duration,
+    started_at: Duration,
+    /// When idle connections begin to be closed.
+    draining_at: Duration,
     deadline: Duration,
-    connected: usize,
-    /// When the last connection was let go.
-    last_left: Duration,
-    /// A successor has the door's queue and takes over connections.
-    handed: bool,
-    /// The door is closed, and what stood in its queue was taken in.
-    listener_closed: bool,
+    connections: usize,
+    last_closed_at: Duration,
+    /// Whether a successor has the listener's queue and takes over connections.
+    is_handed_over: bool,
+    /// Whether the listener is closed and its queue is empty.
+    is_listener_closed: bool,
 }
 
 impl GracefulShutdown {
-    /// The word came with so many clients connected; `longest` is the longest deadline of a class. Before it
-    /// the process had stood still for a while: the word may have waited for as long, and so long less is
-    /// left.
-    pub fn new(told: Duration, longest: Duration, connected: usize, stood: Duration) -> Self {
-        let ends = told + NOTICE_PERIOD + longest.min(LONGEST) + SETTLE;
-        let kept = (ends - told).mul_f64(KEPT).max(NOTICE_PERIOD).saturating_sub(stood);
+    /// Starts the shutdown at `started_at` with so many client connections. `longest_deadline` is the longest
+    /// request deadline of a class. `paused` is how long the process was paused just before: the signal may
+    /// have waited for as long, so the time to the draining phase is shorter by that.
+    pub fn new(
+        started_at: Duration,
+        longest_deadline: Duration,
+        connections: usize,
+        paused: Duration,
+    ) -> Self {
+        let period = NOTICE_PERIOD + longest_deadline.min(MAX_REQUEST_DEADLINE) + FINAL_WRITE_PERIOD;
+        let keep_open = period.mul_f64(KEEP_OPEN_SHARE).max(NOTICE_PERIOD).saturating_sub(paused);
         Self {
-            told,
-            leaves: told + kept,
-            deadline: ends,
-            connected,
-            last_left: told,
-            handed: false,
-            listener_closed: false,
+            started_at,
+            draining_at: started_at + keep_open,
+            deadline: started_at + period,
+            connections,
+            last_closed_at: started_at,
+            is_handed_over: false,
+            is_listener_closed: false,
         }
     }
 
-    /// When the time is up.
+    /// When the shutdown ends at the latest.
     pub fn deadline(&self) -> Duration {
         self.deadline
     }
 
-    /// A connection was taken in.
+    /// A connection was accepted.
     pub fn connection_opened(&mut self) {
-        self.connected += 1;
+        self.connections += 1;
     }
 
-    /// A connection is gone.
+    /// A connection was closed.
     pub fn connection_closed(&mut self, now: Duration) {
-        self.connected = self.connected.saturating_sub(1);
-        self.last_left = now;
+        self.connections = self.connections.saturating_sub(1);
+        self.last_closed_at = now;
     }
 
-    /// Whether a successor has the queue and takes connections over.
-    pub fn set_handed_over(&mut self, handed: bool) {
-        self.handed = handed;
+    /// Sets whether a successor has the listener's queue and takes over connections.
+    pub fn set_handed_over(&mut self, is_handed_over: bool) {
+        self.is_handed_over = is_handed_over;
     }
 
-    /// The door is closed, and its queue is empty.
+    /// The listener was closed, and its queue is empty.
     pub fn listener_closed(&mut self) {
-        self.listener_closed = true;
+        self.is_listener_closed = true;
     }
 
-    /// How far it has come.
+    /// The phase at `now`.
     pub fn phase(&self, now: Duration) -> ShutdownPhase {
-        match () {
-            () if now >= self.deadline || (self.listener_closed && self.connected == 0) => {
-                ShutdownPhase::AttemptEnded
-            }
-            () if self.handed || self.listener_closed => ShutdownPhase::ListenerClosing,
-            () if self.connected == 0 && now >= self.quiet() => ShutdownPhase::ListenerClosing,
-            () if now < self.leaves => ShutdownPhase::Notice,
-            () => ShutdownPhase::Draining,
+        let has_no_connections = self.connections == 0;
+        if now >= self.deadline || (self.is_listener_closed && has_no_connections) {
+            ShutdownPhase::AttemptEnded
+        } else if self.is_handed_over
+            || self.is_listener_closed
+            || (has_no_connections && now >= self.returns_end_at())
+        {
+            ShutdownPhase::ListenerClosing
+        } else if now < self.draining_at {
+            ShutdownPhase::Notice
+        } else {
+            ShutdownPhase::Draining
         }
     }
 
-    /// When the phase changes without anything else happening.
+    /// When the phase changes next if no other event occurs.
     pub fn next_transition(&self, now: Duration) -> Duration {
-        let times = [self.leaves, self.quiet(), self.deadline];
+        let times = [self.draining_at, self.returns_end_at(), self.deadline];
         times.into_iter().filter(|at| *at > now).min().unwrap_or(self.deadline)
     }
 
-    /// Until when a connection may stand so that came at `since`; past it, it ends, but only once it was seen
-    /// that nothing of it lies unread. None where only the rules of service bound it.
-    pub fn idle_deadline(&self, standing: IdleState, since: Duration) -> Option<Duration> {
-        match standing {
+    /// Until when a connection in this state, which was accepted at `accepted_at`, is kept open. After that
+    /// it is closed once nothing unread is left on it. None if the shutdown sets no bound.
+    pub fn idle_deadline(&self, state: IdleState, accepted_at: Duration) -> Option<Duration> {
+        match state {
             IdleState::PartialMessage => None,
-            // A successor goes on with what has asked nothing as well.
-            _ if self.handed => Some(self.told),
-            IdleState::BetweenRequests => Some(self.leaves),
+            // The successor takes over connections without a request as well.
+            _ if self.is_handed_over => Some(self.started_at),
+            IdleState::BetweenRequests => Some(self.draining_at),
             IdleState::NoRequestYet => {
-                Some((since + FIRST_REQUEST_TIMEOUT).max(self.leaves).min(self.deadline))
+                Some((accepted_at + FIRST_REQUEST_TIMEOUT).max(self.draining_at).min(self.deadline))
             }
         }
     }
 
-    /// How much of the time that its client waits a request may take that comes now: it is over before the
-    /// process is.
+    /// The time that a request which arrives at `now` may take, out of the `wanted` time: it has to end
+    /// before the process does.
     pub fn request_time_left(&self, now: Duration, wanted: Duration) -> Duration {
-        wanted.min((self.deadline - SETTLE / 3).saturating_sub(now))
+        wanted.min((self.deadline - REQUEST_MARGIN).saturating_sub(now))
     }
 
-    /// When nobody returns any more, if none comes before.
-    fn quiet(&self) -> Duration {
-        self.last_left.max(self.told + NOTICE_PERIOD.min(self.leaves - self.told)) + RETURN_GRACE_PERIOD
+    /// When no client returns any more, unless a connection is opened before.
+    fn returns_end_at(&self) -> Duration {
+        let notice_period = NOTICE_PERIOD.min(self.draining_at - self.started_at);
+        self.last_closed_at.max(self.started_at + notice_period) + RETURN_GRACE_PERIOD
     }
 }
--- a/core/tests/graceful_shutdown.rs
+++ b/core/tests/graceful_shutdown.rs
@@ -1,5 +1,6 @@
-//! The end of a process, stepped through every order of what its clients may do meanwhile: each request that
-//! reached it gets its final answer, and one that crossed the close of its connection finds the door open.
+//! Simulates the graceful shutdown of a process with clients that act at every moment of it: each request
+//! that reached the process is answered, and a client whose request was in flight when its connection closed
+//! finds the listener open.
 
 use std::time::Duration;
 
@@ -7,120 +8,200 @@
     GracefulShutdown, IdleState, ShutdownPhase, FIRST_REQUEST_TIMEOUT, NOTICE_PERIOD, RETURN_GRACE_PERIOD,
 };
 
-/// When connections begin to be let go: half way to the end.
-const LEAVES: u64 = TOLD + 1800;
-
-const LONGEST: Duration = Duration::from_millis(3000);
-/// When the process is told to end, and when the platform kills it.
-const TOLD: u64 = 1000;
-const KILLED: u64 = TOLD + 3700;
+/// The longest request deadline of a class.
+const LONGEST_DEADLINE: Duration = Duration::from_millis(3000);
+/// When the shutdown starts, in milliseconds.
+const SHUTDOWN_MS: u64 = 1000;
+/// When idle connections begin to be closed: half way to the deadline.
+const DRAINING_MS: u64 = SHUTDOWN_MS + 1800;
+/// When the platform kills the process.
+const KILL_MS: u64 = SHUTDOWN_MS + 3700;
+/// A client that sends its first request up to this time finds the listener open.
+const LAST_RETURN_MS: u64 = DRAINING_MS + 250;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// One client: when it connects, when the first part of its query and its last byte arrive, and how long the answer takes.
-/// A second query may lie right behind the first.
+/// One client; times are in milliseconds.
 #[derive(Debug, Clone, Copy)]
 struct Client {
-    connects: u64,
-    begins: u64,
-    asks: u64,
-    answer: u64,
-    pipelined: bool,
+    connects_at: u64,
+    /// When the first part of its request arrives.
+    request_begins_at: u64,
+    /// When the last byte of its request arrives.
+    request_ends_at: u64,
+    response_time: u64,
+    /// Whether a second request follows right behind the first.
+    is_pipelined: bool,
+}
+
+impl Client {
+    fn request_count(&self) -> u32 {
+        1 + u32::from(self.is_pipelined)
+    }
 }
 
-/// How it went for one client.
+/// What one client has seen.
 #[derive(Debug, Default, PartialEq)]
-struct AttemptLog {
-    answered: u32,
-    /// Its connection closed before its query had come: it comes again on a new one.
-    crossed: bool,
-    /// Nobody listened when it came.
-    unheard: bool,
+struct ClientResult {
+    responses: u32,
+    /// Its connection was closed while its request was in flight: it returns on a new one.
+    was_in_flight: bool,
+    /// The listener was closed when it connected.
+    was_refused: bool,
 }
 
 struct Connection {
     client: Client,
-    came: u64,
-    /// When each request that was taken gets its answer.
-    open: Vec<u64>,
-    taken: u32,
-    asked: bool,
-    of: usize,
-}
-
-/// Plays one process, a millisecond a step, as the shell plays it. Gives the fates and when the process ended.
-fn play(clients: &[Client], handed: bool) -> (Vec<AttemptLog>, u64) {
-    let mut fates: Vec<AttemptLog> = clients.iter().map(|_| AttemptLog::default()).collect();
-    let mut coming: Vec<(Client, usize)> = clients.iter().copied().zip(0..).collect();
-    let mut connections: Vec<Connection> = Vec::new();
-    let mut farewell: Option<GracefulShutdown> = None;
-    let mut shut = false;
-    for now in 0..KILLED + 2000 {
-        if now == TOLD {
-            let mut told = GracefulShutdown::new(ms(now), LONGEST, connections.len(), ms(0));
-            told.set_handed_over(handed);
-            farewell = Some(told);
+    client_index: usize,
+    accepted_at: u64,
+    /// When the response to the request in progress is due.
+    response_due_at: Option<u64>,
+    requests_read: u32,
+}
+
+impl Connection {
+    /// Whether a complete request has arrived that was not read yet.
+    fn has_unread_request(&self, now: u64) -> bool {
+        self.requests_read < self.client.request_count() && self.client.request_ends_at <= now
+    }
+
+    /// Reads a request that has arrived, however late, and writes a response that is due.
+    fn serve(&mut self, now: u64, shutdown: Option<&GracefulShutdown>, result: &mut ClientResult) {
+        if self.response_due_at.is_none() && self.has_unread_request(now) {
+            self.requests_read += 1;
+            let wanted = ms(self.client.response_time);
+            let response_time =
+                shutdown.map_or(wanted, |shutdown| shutdown.request_time_left(ms(now), wanted));
+            self.response_due_at = Some(now + response_time.as_millis() as u64);
+        }
+        if self.response_due_at.is_some_and(|due_at| due_at <= now) {
+            self.response_due_at = None;
+            result.responses += 1;
+        }
+    }
+
+    fn idle_state(&self, now: u64) -> IdleState {
+        if self.client.request_begins_at <= now && self.requests_read == 0 {
+            IdleState::PartialMessage
+        } else if self.requests_read > 0 {
+            IdleState::BetweenRequests
+        } else {
+            IdleState::NoRequestYet
+        }
+    }
+
+    fn stays_open(&self, now: u64, shutdown: &GracefulShutdown) -> bool {
+        let idle_deadline = shutdown.idle_deadline(self.idle_state(now), ms(self.accepted_at));
+        self.response_due_at.is_some()
+            || self.has_unread_request(now)
+            || idle_deadline.is_none_or(|deadline| ms(now) < deadline)
+    }
+}
+
+/// A client that will connect, and its index.
+type ExpectedClient = (Client, usize);
+
+/// A process and its clients.
+struct Simulation {
+    results: Vec<ClientResult>,
+    expected: Vec<ExpectedClient>,
+    connections: Vec<Connection>,
+    shutdown: Option<GracefulShutdown>,
+    is_listener_closed: bool,
+}
+
+/// The results of all clients and when the process ended, in milliseconds.
+struct SimulationResult {
+    clients: Vec<ClientResult>,
+    ended_at: u64,
+}
+
+impl Simulation {
+    fn new(clients: &[Client]) -> Self {
+        Self {
+            results: clients.iter().map(|_| ClientResult::default()).collect(),
+            expected: clients.iter().copied().zip(0..).collect(),
+            connections: Vec::new(),
+            shutdown: None,
+            is_listener_closed: false,
         }
-        let (arrived, later) = coming.into_iter().partition(|(client, _)| client.connects <= now);
-        coming = later;
-        for (client, of) in Vec::from_iter::<Vec<_>>(arrived) {
-            if shut {
-                fates[of].unheard = true;
+    }
+
+    fn accept_clients(&mut self, now: u64) {
+        let expected = std::mem::take(&mut self.expected);
+        let (arrived, later): (Vec<_>, Vec<_>) =
+            expected.into_iter().partition(|(client, _)| client.connects_at <= now);
+        self.expected = later;
+        for (client, client_index) in arrived {
+            if self.is_listener_closed {
+                self.results[client_index].was_refused = true;
                 continue;
             }
-            farewell.iter_mut().for_each(GracefulShutdown::connection_opened);
-            connections.push(Connection { client, came: now, open: vec![], taken: 0, asked: false, of });
+            self.shutdown.iter_mut().for_each(GracefulShutdown::connection_opened);
+            self.connections.push(Connection {
+                client,
+                client_index,
+                accepted_at: now,
+                response_due_at: None,
+                requests_read: 0,
+            });
         }
+    }
+
+    fn serve_connections(&mut self, now: u64) {
         let mut returning = Vec::new();
-        connections.retain_mut(|c| {
-            let wanted = 1 + u32::from(c.client.pipelined);
-            if c.open.is_empty() && c.taken < wanted && c.client.asks <= now {
-                // It is read and taken, however late: nothing of it lies unread where a connection ends.
-                (c.taken, c.asked) = (c.taken + 1, true);
-                let wait = ms(c.client.answer);
-                let most = farewell.as_ref().map_or(wait, |f| f.request_time_left(ms(now), wait));
-                c.open.push(now + most.as_millis() as u64);
-            }
-            if c.open.first().is_some_and(|at| *at <= now) {
-                c.open.clear();
-                fates[c.of].answered += 1;
-            }
-            let unread = c.taken < wanted && c.client.asks <= now;
-            let Some(told) = farewell.as_mut() else { return true };
-            let standing = match () {
-                () if c.client.begins <= now && c.taken == 0 => IdleState::PartialMessage,
-                () if c.asked => IdleState::BetweenRequests,
-                () => IdleState::NoRequestYet,
-            };
-            let stays = !c.open.is_empty()
-                || unread
-                || told.idle_deadline(standing, ms(c.came)).is_none_or(|until| ms(now) < until);
-            if !stays {
-                told.connection_closed(ms(now));
-                if c.taken == 0 && c.client.asks < u64::MAX {
-                    fates[c.of].crossed = true;
-                    returning.push((c.client, c.of));
+        let Self { connections, shutdown, results, .. } = self;
+        connections.retain_mut(|connection| {
+            let result = &mut results[connection.client_index];
+            connection.serve(now, shutdown.as_ref(), result);
+            let Some(shutdown) = shutdown.as_mut() else { return true };
+            let stays_open = connection.stays_open(now, shutdown);
+            if !stays_open {
+                shutdown.connection_closed(ms(now));
+                if connection.requests_read == 0 && connection.client.request_ends_at < u64::MAX {
+                    result.was_in_flight = true;
+                    returning.push((connection.client, connection.client_index));
                 }
             }
-            stays
+            stays_open
         });
-        // What was on its way comes again on a new connection, a flight later.
-        for (client, of) in returning {
-            let late = client.asks.max(now + 1);
-            coming.push((Client { connects: late, begins: late, asks: late, ..client }, of));
+        // A request that was in flight is repeated on a new connection a millisecond later.
+        for (client, client_index) in returning {
+            let at = client.request_ends_at.max(now + 1);
+            let client = Client { connects_at: at, request_begins_at: at, request_ends_at: at, ..client };
+            self.expected.push((client, client_index));
         }
-        let Some(told) = farewell.as_mut() else { continue };
-        assert!(
-            told.next_transition(ms(now)) > ms(now) || told.phase(ms(now)) == ShutdownPhase::AttemptEnded
-        );
-        if told.phase(ms(now)) == ShutdownPhase::ListenerClosing && !shut {
-            shut = true;
-            told.listener_closed();
+    }
+
+    /// Closes the listener in its phase. Returns whether the shutdown is complete.
+    fn advance_shutdown(&mut self, now: u64) -> bool {
+        let Some(shutdown) = self.shutdown.as_mut() else { return false };
+        let now = ms(now);
+        assert!(shutdown.next_transition(now) > now || shutdown.phase(now) == ShutdownPhase::AttemptEnded);
+        if shutdown.phase(now) == ShutdownPhase::ListenerClosing && !self.is_listener_closed {
+            self.is_listener_closed = true;
+            shutdown.listener_closed();
         }
-        if told.phase(ms(now)) == ShutdownPhase::AttemptEnded {
-            return (fates, now);
+        shutdown.phase(now) == ShutdownPhase::AttemptEnded
+    }
+}
+
+/// Simulates one process in steps of a millisecond.
+fn simulate(clients: &[Client], is_handed_over: bool) -> SimulationResult {
+    let mut simulation = Simulation::new(clients);
+    for now in 0..KILL_MS + 2000 {
+        if now == SHUTDOWN_MS {
+            let connections = simulation.connections.len();
+            let mut shutdown = GracefulShutdown::new(ms(now), LONGEST_DEADLINE, connections, ms(0));
+            shutdown.set_handed_over(is_handed_over);
+            simulation.shutdown = Some(shutdown);
+        }
+        simulation.accept_clients(now);
+        simulation.serve_connections(now);
+        if simulation.advance_shutdown(now) {
+            return SimulationResult { clients: simulation.results, ended_at: now };
         }
     }
     panic!("the process never ended: {clients:?}");
@@ -128,111 +209,161 @@
 
 /// Moments around those at which the phases change.
 fn moments() -> Vec<u64> {
-    let (notice, returns) = (TOLD + NOTICE_PERIOD.as_millis() as u64, RETURN_GRACE_PERIOD.as_millis() as u64);
-    let at =
-        [TOLD, notice + returns, LEAVES, LEAVES + returns, LEAVES + FIRST_REQUEST_TIMEOUT.as_millis() as u64];
-    let mut all: Vec<_> = at.iter().flat_map(|at| [at - 1, *at, at + 1, at + 60]).collect();
-    all.extend([0, TOLD + 2500, TOLD + 3400]);
+    let notice = SHUTDOWN_MS + NOTICE_PERIOD.as_millis() as u64;
+    let return_grace = RETURN_GRACE_PERIOD.as_millis() as u64;
+    let first_request_timeout = FIRST_REQUEST_TIMEOUT.as_millis() as u64;
+    let transitions = [
+        SHUTDOWN_MS,
+        notice + return_grace,
+        DRAINING_MS,
+        DRAINING_MS + return_grace,
+        DRAINING_MS + first_request_timeout,
+    ];
+    let mut all: Vec<_> = transitions.iter().flat_map(|at| [at - 1, *at, at + 1, at + 60]).collect();
+    all.extend([0, SHUTDOWN_MS + 2500, SHUTDOWN_MS + 3400]);
     all
 }
 
-#[test]
-fn every_request_that_came_is_answered_at_whatever_moment_it_came() {
-    let mut played = 0;
-    for connects in [0, TOLD - 1, TOLD + 1, TOLD + 300] {
-        for begins in moments().into_iter().filter(|at| *at >= connects) {
-            for gap in [0, 1, 200] {
-                for answer in [1, 80, 2900] {
-                    for pipelined in [false, true] {
-                        let client = Client { connects, begins, asks: begins + gap, answer, pipelined };
-                        // Another one keeps the process, or it stands alone.
-                        for others in
-                            [&[][..], &[Client { answer: 1200, asks: TOLD, begins: TOLD, ..client }]]
-                        {
-                            let clients = [&[client], others].concat();
-                            let (fates, ended) = play(&clients, false);
-                            let context = format!("{clients:?} {fates:?}, ended at {ended}");
-                            assert!(ended <= KILLED - 100, "{context}");
-                            let due = 1 + u32::from(pipelined);
-                            for (client, fate) in clients.iter().zip(&fates) {
-                                // Within the time that a crossing takes, a client that returns is heard; one that
-                                // asks for the first time long after its connection closed has nobody to ask.
-                                let crossing = client.asks <= LEAVES + 250;
-                                assert!(!(fate.unheard && crossing), "{context}");
-                                assert!(
-                                    fate.unheard || fate.answered == due || client.asks > ended,
-                                    "{context}"
-                                );
-                            }
-                            played += 1;
-                        }
+/// Clients that send their requests at all moments.
+fn clients_at_all_moments() -> Vec<Client> {
+    let mut clients = Vec::new();
+    for connects_at in [0, SHUTDOWN_MS - 1, SHUTDOWN_MS + 1, SHUTDOWN_MS + 300] {
+        for request_begins_at in moments().into_iter().filter(|at| *at >= connects_at) {
+            for transfer_time in [0, 1, 200] {
+                for response_time in [1, 80, 2900] {
+                    for is_pipelined in [false, true] {
+                        clients.push(Client {
+                            connects_at,
+                            request_begins_at,
+                            request_ends_at: request_begins_at + transfer_time,
+                            response_time,
+                            is_pipelined,
+                        });
                     }
                 }
             }
         }
     }
-    assert!(played > 2000, "{played}");
+    clients
+}
+
+fn assert_all_requests_are_answered(clients: &[Client]) {
+    let SimulationResult { clients: results, ended_at } = simulate(clients, false);
+    let context = format!("{clients:?} {results:?}, ended at {ended_at}");
+    assert!(ended_at <= KILL_MS - 100, "{context}");
+    for (client, result) in clients.iter().zip(&results) {
+        // A client that returns is accepted. One that sends its first request long after its connection was
+        // closed may be refused.
+        let must_be_accepted = client.request_ends_at <= LAST_RETURN_MS;
+        assert!(!(result.was_refused && must_be_accepted), "{context}");
+        assert!(
+            result.was_refused
+                || result.responses == client.request_count()
+                || client.request_ends_at > ended_at,
+            "{context}"
+        );
+    }
+}
+
+#[test]
+fn every_request_that_arrives_is_answered_whenever_it_arrives() {
+    let mut simulated = 0;
+    for client in clients_at_all_moments() {
+        let busy_client = Client {
+            response_time: 1200,
+            request_ends_at: SHUTDOWN_MS,
+            request_begins_at: SHUTDOWN_MS,
+            ..client
+        };
+        assert_all_requests_are_answered(&[client]);
+        assert_all_requests_are_answered(&[client, busy_client]);
+        simulated += 2;
+    }
+    assert!(simulated > 2000, "{simulated}");
 }
 
 #[test]
-fn a_process_without_clients_ends_once_none_can_return() {
-    let (_, ended) = play(&[], false);
-    assert_eq!(ms(ended), ms(TOLD) + NOTICE_PERIOD + RETURN_GRACE_PERIOD);
+fn a_process_without_clients_ends_after_the_return_grace_period() {
+    let ended_at = simulate(&[], false).ended_at;
+    assert_eq!(ms(ended_at), ms(SHUTDOWN_MS) + NOTICE_PERIOD + RETURN_GRACE_PERIOD);
 }
 
-/// A connection that has asked nothing is given the time to, and does not keep the process for longer.
+/// A new connection has time for its first request, and does not delay the shutdown beyond that.
 #[test]
-fn who_connects_late_and_stays_silent_is_let_go() {
-    let silent =
-        Client { connects: TOLD + 400, begins: u64::MAX, asks: u64::MAX, answer: 0, pipelined: false };
-    let (fates, ended) = play(&[silent], false);
-    assert_eq!((fates, ms(ended)), (vec![AttemptLog::default()], ms(LEAVES) + RETURN_GRACE_PERIOD));
-    let late = Client { connects: LEAVES - 100, ..silent };
+fn a_connection_without_a_request_is_closed_after_the_first_request_timeout() {
+    let silent = Client {
+        connects_at: SHUTDOWN_MS + 400,
+        request_begins_at: u64::MAX,
+        request_ends_at: u64::MAX,
+        response_time: 0,
+        is_pipelined: false,
+    };
+    let result = simulate(&[silent], false);
+    assert_eq!(result.clients, [ClientResult::default()]);
+    assert_eq!(ms(result.ended_at), ms(DRAINING_MS) + RETURN_GRACE_PERIOD);
+    let late = Client { connects_at: DRAINING_MS - 100, ..silent };
     assert_eq!(
-        ms(play(&[silent, late], false).1),
-        ms(LEAVES - 100) + FIRST_REQUEST_TIMEOUT + RETURN_GRACE_PERIOD
+        ms(simulate(&[silent, late], false).ended_at),
+        ms(DRAINING_MS - 100) + FIRST_REQUEST_TIMEOUT + RETURN_GRACE_PERIOD
     );
 }
 
-/// Guards against clients that are sent away before the front knows: those of one session have no other proxy to go to.
+/// A sticky session has no other proxy instance until the load balancer has noticed the shutdown.
 #[test]
-fn a_client_that_keeps_its_connection_is_served_on_it_until_the_front_has_noticed() {
-    for asks in (TOLD..LEAVES - 100).step_by(100) {
-        let client = Client { connects: 0, begins: asks, asks, answer: 80, pipelined: true };
-        let (fates, _) = play(&[client], false);
-        assert_eq!(fates, [AttemptLog { answered: 2, ..AttemptLog::default() }], "{asks}");
+fn an_open_connection_is_served_until_the_draining_phase() {
+    for at in (SHUTDOWN_MS..DRAINING_MS - 100).step_by(100) {
+        let client = Client {
+            connects_at: 0,
+            request_begins_at: at,
+            request_ends_at: at,
+            response_time: 80,
+            is_pipelined: true,
+        };
+        let results = simulate(&[client], false).clients;
+        assert_eq!(results, [ClientResult { responses: 2, ..ClientResult::default() }], "{at}");
     }
 }
 
-/// With a successor, the queue is its own, and connections go over as soon as they stand between requests.
+/// A successor owns the listener's queue, and takes over connections once they are idle.
 #[test]
-fn a_successor_gets_what_stands_between_requests_at_once() {
-    let busy = Client { connects: 0, begins: 900, asks: 900, answer: 400, pipelined: false };
-    let idle = Client { connects: 0, begins: 100, asks: 100, answer: 1, pipelined: false };
-    let (fates, ended) = play(&[busy, idle], true);
-    assert_eq!((fates[0].answered, fates[1].answered, ended), (1, 1, 1300));
+fn with_a_successor_idle_connections_are_closed_at_once() {
+    let request_at = |at, response_time| Client {
+        connects_at: 0,
+        request_begins_at: at,
+        request_ends_at: at,
+        response_time,
+        is_pipelined: false,
+    };
+    let (busy, idle) = (request_at(900, 400), request_at(100, 1));
+    let SimulationResult { clients, ended_at } = simulate(&[busy, idle], true);
+    assert_eq!((clients[0].responses, clients[1].responses, ended_at), (1, 1, 1300));
 }
 
 #[test]
-fn no_request_outlasts_the_process_and_no_long_deadline_does() {
-    let told = GracefulShutdown::new(ms(TOLD), ms(60_000), 1, ms(0));
-    assert_eq!(told.request_time_left(ms(TOLD + 100), ms(500)), ms(500));
-    for at in (TOLD..KILLED).step_by(10).map(ms) {
-        assert!(at + told.request_time_left(at, ms(60_000)) < ms(KILLED - 100) || at > ms(KILLED - 200));
+fn no_request_outlasts_the_process_even_with_a_long_deadline() {
+    let shutdown = GracefulShutdown::new(ms(SHUTDOWN_MS), ms(60_000), 1, ms(0));
+    assert_eq!(shutdown.request_time_left(ms(SHUTDOWN_MS + 100), ms(500)), ms(500));
+    for at in (SHUTDOWN_MS..KILL_MS).step_by(10).map(ms) {
+        let ends_at = at + shutdown.request_time_left(at, ms(60_000));
+        assert!(ends_at < ms(KILL_MS - 100) || at > ms(KILL_MS - 200));
     }
-    assert_eq!(told.phase(ms(KILLED - 100)), ShutdownPhase::AttemptEnded);
+    assert_eq!(shutdown.phase(ms(KILL_MS - 100)), ShutdownPhase::AttemptEnded);
 }
 
-/// Guards against requests that are taken when the process is about to be killed: the word may have come while it stood still.
+/// The signal may have arrived while the process was paused, so the platform may kill it earlier.
 #[test]
-fn a_word_that_may_have_waited_leaves_less_time() {
-    let standing = |stood| {
-        GracefulShutdown::new(ms(TOLD), LONGEST, 1, ms(stood))
+fn a_process_pause_before_the_shutdown_shortens_it() {
+    let idle_deadline = |paused| {
+        GracefulShutdown::new(ms(SHUTDOWN_MS), LONGEST_DEADLINE, 1, ms(paused))
             .idle_deadline(IdleState::BetweenRequests, ms(0))
     };
-    assert_eq!(standing(0), Some(ms(LEAVES)));
-    assert_eq!(standing(700), Some(ms(LEAVES - 700)));
-    assert_eq!(standing(5000), Some(ms(TOLD)));
-    let told = GracefulShutdown::new(ms(TOLD), LONGEST, 1, ms(5000));
-    assert_eq!(told.phase(ms(TOLD)), ShutdownPhase::Draining, "what is open still gets its answer");
+    assert_eq!(idle_deadline(0), Some(ms(DRAINING_MS)));
+    assert_eq!(idle_deadline(700), Some(ms(DRAINING_MS - 700)));
+    assert_eq!(idle_deadline(5000), Some(ms(SHUTDOWN_MS)));
+    let shutdown = GracefulShutdown::new(ms(SHUTDOWN_MS), LONGEST_DEADLINE, 1, ms(5000));
+    assert_eq!(
+        shutdown.phase(ms(SHUTDOWN_MS)),
+        ShutdownPhase::Draining,
+        "requests in flight are still answered"
+    );
 }
