--- /dev/null
+++ b/core/src/primary_read_admission/tests.rs
@@ -0,0 +1,75 @@
+//! Tests of `primary_read_admission`.
+
+use super::*;
+use crate::api::{ClassId, Idempotency};
+use std::time::Duration;
+
+const CONFIG: EwmaConfig = EwmaConfig { max_weight: 10.0, decay_secs: 10.0, prior_weight: 2.0 };
+const READ: usize = 0;
+const WRITE: usize = 1;
+
+fn classes() -> Vec<Class> {
+    let class = |priority_weight, idempotency, consistency| Class {
+        priority_weight,
+        latency_objective: Duration::from_millis(500),
+        latency_objective_stretch: 0.0,
+        deadline: Duration::from_millis(2000),
+        late_weight: 0.0,
+        idempotency,
+        consistency,
+        streaming: false,
+    };
+    let read = class(1.0, Idempotency::Idempotent, Consistency::BoundedStaleness(Duration::from_secs(3)));
+    vec![read, class(4.0, Idempotency::NonIdempotent, Consistency::Write)]
+}
+
+fn attempt(class: &Class, elapsed_secs: f64, outcome: Outcome) -> PrimaryAttempt<'_> {
+    PrimaryAttempt { class, elapsed_secs, outcome }
+}
+
+/// Which primaries reads are admitted to.
+#[derive(Debug, PartialEq)]
+struct Admitted {
+    /// The primary that the attempts were sent to.
+    to_observed: bool,
+    /// The primary of a set without any attempts.
+    to_other: bool,
+}
+
+const TO_BOTH: Admitted = Admitted { to_observed: true, to_other: true };
+const TO_OTHER: Admitted = Admitted { to_observed: false, to_other: true };
+const TO_NONE: Admitted = Admitted { to_observed: false, to_other: false };
+
+fn admitted_after(attempts: &[(f64, Outcome)]) -> Admitted {
+    let (classes, mut admission, mut set) = (classes(), PrimaryReadAdmission::default(), Ewma::default());
+    for (elapsed_secs, outcome) in attempts {
+        admission.record(&mut set, 1.0, &attempt(&classes[WRITE], *elapsed_secs, *outcome), &CONFIG);
+    }
+    let admits = |set| admission.admits(set, 1.0, &classes[ClassId(READ).0], &classes, &CONFIG);
+    Admitted { to_observed: admits(&set), to_other: admits(&Ewma::default()) }
+}
+
+#[test]
+fn late_responses_of_one_primary_bar_reads_from_it_and_those_of_many_from_all() {
+    const SUCCESS: Outcome = Outcome::Success;
+    const TIMEOUT: Outcome = Outcome::Timeout;
+    assert_eq!(admitted_after(&[]), TO_BOTH, "no late response is known");
+    assert_eq!(admitted_after(&[(0.1, SUCCESS); 8]), TO_BOTH);
+    assert_eq!(admitted_after(&[(0.4, SUCCESS)]), TO_OTHER, "a single late response does not bar others");
+    assert_eq!(admitted_after(&[(0.4, SUCCESS); 8]), TO_NONE);
+    assert_eq!(admitted_after(&[(0.4, TIMEOUT); 8]), TO_OTHER, "timeouts show nothing of other sets");
+    assert_eq!(admitted_after(&[(0.1, TIMEOUT); 8]), TO_BOTH, "early timeouts show nothing");
+}
+
+#[test]
+fn reads_are_admitted_again_after_late_responses_expire_and_always_with_the_weight_of_a_write() {
+    let (classes, mut admission, mut set) = (classes(), PrimaryReadAdmission::default(), Ewma::default());
+    for _ in 0..20 {
+        admission.record(&mut set, 1.0, &attempt(&classes[WRITE], 1.0, Outcome::Success), &CONFIG);
+    }
+    assert!(!admission.admits(&set, 2.0, &classes[READ], &classes, &CONFIG));
+    assert!(admission.admits(&set, 60.0, &classes[READ], &classes, &CONFIG));
+    let weighty_read = Class { priority_weight: 4.0, ..classes[READ].clone() };
+    assert!(admission.admits(&set, 2.0, &weighty_read, &classes, &CONFIG));
+    assert!(admission.admits(&set, 2.0, &classes[READ], &classes[..1], &CONFIG), "there are no writes");
+}
