--- a/src/net/hot_restart/handover.rs
+++ b/src/net/hot_restart/handover.rs
@@ -1,265 +1,176 @@
-//! Replacing the process: a new one takes the clients' door, and then the clients, from the one that runs.
+//! The running process: waits for successors on a Unix socket, and hands over to them.
 //!
-//! Owns the Unix socket on which a process waits for its successor, and what goes over it: the listener, so
-//! that no connection in its queue is lost, what is known, and connections that stand between requests. The two count
-//! as one proxy, so each must stay within its part of what one may hold until the other is gone, and each keeps what the
-//! other has promised (`docs/design.md` has the table). It must never pass on a connection of which a byte has been read
-//! and not answered.
+//! Owns the socket file and the connection to the successor. A successor is served until either process
+//! exits; then the next one is waited for. Only connections without a request in flight are handed over. The
+//! caller of [`run`] owns its task; no further task is spawned here but that of the [`PeerChannel`], and
+//! errors are logged.
 
-use std::io;
 use std::os::fd::{AsFd, OwnedFd};
 use std::os::unix::fs::MetadataExt;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
 
-use tokio::net::{TcpStream, UnixListener, UnixStream};
+use tokio::net::{UnixListener, UnixStream};
 use tokio::time::timeout;
 
-use super::frame::{
-    ended, greeted, receive, receive_early, send, FrameKind, HandoverState, Hello, Predecessor, Successor,
-};
+use super::error::HandoverError;
+use super::frame::{receive, send, FrameKind};
 use super::peer_channel::{pair, PeerChannel};
-use crate::net::buffers::BufferPool;
-use crate::net::client::ClientService;
-use crate::net::discovery::SharedEndpointRegistry;
-use crate::net::driver::ServerCommand;
-use crate::net::server::PgDriver;
+use super::socket::wait_until_closed;
+use super::state::{HandoverState, Hello};
+use super::successor::Successor;
 
-/// Part of the buffers and of the sockets to data servers that each process may use while there are two.
-const HALF: f64 = 0.5;
-/// Time within which the process that serves must have left its door to the successor.
-const MOVED_WITHIN: Duration = Duration::from_secs(1);
-/// Time between tries to wait for a successor.
-const AGAIN_AFTER: Duration = Duration::from_secs(10);
-/// Time for which a process that refuses to hand over may go on: until it is told to end, and its longest end.
-const DEAF_FOR: Duration = Duration::from_secs(10);
+pub use super::shared_resources::SharedResources;
 
-/// What is divided while there are two processes.
-pub struct SharedResources {
-    /// The side of the clients.
-    pub clients: ClientService,
-    /// To the side of the data servers.
-    pub driver: PgDriver,
-    /// The buffers.
-    pub pool: BufferPool,
-    /// The names of servers.
-    pub registry: SharedEndpointRegistry,
-}
-
-impl SharedResources {
-    /// Leaves the other process its part, or takes all.
-    pub fn divide(&self, shared: bool) {
-        let part = if shared { HALF } else { 1.0 };
-        self.pool.set_share(part);
-        self.driver.command(ServerCommand::SetShare(part));
-    }
-
-    /// Another process serves as well, and neither can hear the other: each has its half, and counts the worst of what the
-    /// other may have acknowledged.
-    fn serve_beside(&self) {
-        self.driver.peer_gone();
-        self.driver.peer_unreachable();
-        self.clients.set_limit(Some((self.clients.limit() as f64 * HALF) as usize));
-        self.divide(true);
-    }
-
-    /// Serves beside a process that could not hand over, until that is gone.
-    pub async fn serve_until_gone(&self, stream: Option<UnixStream>) {
-        self.serve_beside();
-        match stream {
-            Some(stream) => ended(&stream).await,
-            None => tokio::time::sleep(DEAF_FOR).await,
-        }
-        self.take_all();
-        log::info!("the process before this one is gone");
-    }
+/// How long a successor may take to send its hello.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time after which a failed attempt to listen is repeated.
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_secs(10);
 
-    /// The other process is gone.
-    fn take_all(&self) {
-        self.clients.clear_limit();
-        self.divide(false);
-        self.driver.peer_gone();
-    }
+/// The Unix socket on which a process waits for its successor.
+struct HandoverSocket {
+    path: PathBuf,
+    /// Inode of the socket file that this process created.
+    inode: Option<u64>,
 }
 
-impl Predecessor {
-    /// Hears from now on what the process that serves as well acknowledges, or else counts the worst.
-    pub fn connect_peer(&mut self, shares: &SharedResources) {
-        let joined =
-            self.peer_channel.take().map(|fd| PeerChannel::join(&shares.driver, &shares.registry, fd));
-        if !matches!(joined, Some(Ok(()))) {
-            shares.driver.peer_unreachable();
-        }
-    }
-
-    /// Takes over what it knew, and then the door: once this returns, clients may be taken.
-    pub async fn take_over(&mut self, shares: &SharedResources) {
-        let mut state = self.state.take().unwrap_or_default();
-        for stood in &mut state.snapshot.servers {
-            let uid = state.server_names.iter().find(|(id, _)| *id == stood.server);
-            stood.server = uid.map_or(stood.server, |(_, uid)| shares.registry.borrow().server_id(uid).0);
-        }
-        shares.driver.restore(state.snapshot, state.zero_unix_ms);
-        let places = async {
-            if let Some(places) = self.client_limit {
-                return Ok(places);
-            }
-            send(&self.stream, FrameKind::Ready, &[], None).await?;
-            let frame = receive(&self.stream).await?.ok_or(io::ErrorKind::UnexpectedEof)??;
-            match frame.kind {
-                FrameKind::ClientLimit => Ok(frame.number()? as usize),
-                other => Err(io::Error::other(format!("a parcel out of its turn: {other:?}"))),
-            }
-        };
-        let places: io::Result<usize> = timeout(MOVED_WITHIN, places).await.unwrap_or_else(|e| Err(e.into()));
-        match places {
-            Ok(places) => {
-                shares.clients.set_limit(Some(places));
-                shares.divide(true);
-            }
-            Err(e) => log::warn!("the process before this one goes without a word: {e}"),
-        }
-    }
-
-    /// The next client that comes over; none once the process is gone.
-    async fn next(&self) -> io::Result<Option<(bool, OwnedFd)>> {
-        if self.is_early_build() {
-            let frame = receive_early(&self.stream).await?;
-            return Ok(frame.map(|(_, started, fd)| (started != 0, fd)));
-        }
-        let Some(frame) = receive(&self.stream).await? else { return Ok(None) };
-        match frame? {
-            frame if frame.kind == FrameKind::Client => {
-                let fd = frame.fd.ok_or(io::ErrorKind::InvalidData)?;
-                Ok(Some((frame.payload == [1], fd)))
-            }
-            other => Err(io::Error::other(format!("a parcel out of its turn: {:?}", other.kind))),
-        }
-    }
-
-    /// Takes over what comes until the process that handed it over is gone.
-    pub async fn receive_clients(self, shares: &SharedResources) {
-        loop {
-            match self.next().await {
-                Ok(Some((started, fd))) => {
-                    let stream = std::net::TcpStream::from(fd);
-                    let stream = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream));
-                    match stream {
-                        Ok(stream) => shares.clients.adopt(stream, started),
-                        Err(e) => log::warn!("a client could not be taken over: {e}"),
-                    }
-                }
-                // Its descriptor is lost where there is none left for it, but others may follow.
-                Err(e) if e.kind() == io::ErrorKind::InvalidData => {
-                    log::warn!("a client could not be taken over: {e}");
-                }
-                Ok(None) | Err(_) => break,
-            }
+impl HandoverSocket {
+    /// Waits for a connection. The newest process owns the path: an older one takes it back only if that is
+    /// gone.
+    async fn accept(&mut self) -> Result<UnixStream, HandoverError> {
+        let current = inode(&self.path);
+        let replaced = self.inode.is_some() && current.is_some() && current != self.inode;
+        if replaced && UnixStream::connect(&self.path).await.is_ok() {
+            return Err(HandoverError::NewerProcess);
         }
-        shares.take_all();
-        log::info!("the process before this one is gone");
+        let _ = std::fs::remove_file(&self.path); // a process that is gone may have left one
+        let listener = UnixListener::bind(&self.path)?;
+        self.inode = inode(&self.path);
+        let (stream, _) = listener.accept().await?;
+        Ok(stream)
     }
 }
 
-/// The place where a process waits for its successor.
-struct HandoverSocket {
-    path: PathBuf,
-    /// The file that it has put there.
-    own: Option<u64>,
+fn inode(path: &Path) -> Option<u64> {
+    std::fs::metadata(path).map(|file| file.ino()).ok()
 }
 
-impl HandoverSocket {
-    /// Waits for a successor. The newest process has the place: one before it takes it again only if that is gone.
-    async fn wait(&mut self) -> io::Result<UnixStream> {
-        let there = std::fs::metadata(&self.path).map(|file| file.ino()).ok();
-        let another = self.own.is_some() && there.is_some() && there != self.own;
-        if another && UnixStream::connect(&self.path).await.is_ok() {
-            return Err(io::Error::new(io::ErrorKind::AddrInUse, "a newer process waits there"));
-        }
-        let _ = std::fs::remove_file(&self.path); // what a process that is gone left there
-        let waits = UnixListener::bind(&self.path)?;
-        self.own = std::fs::metadata(&self.path).map(|file| file.ino()).ok();
-        waits.accept().await.map(|(stream, _)| stream)
-    }
+/// How a successor serves.
+enum SuccessorMode {
+    /// It accepts the clients in place of this process.
+    TakesOver,
+    /// It timed out, and has a listener of its own.
+    ServesInParallel,
 }
 
-/// Waits for successors at a path, one after another. Never returns.
-pub async fn run(path: PathBuf, greeting: Hello, listener: OwnedFd, shares: Rc<SharedResources>) {
-    let mut post = HandoverSocket { path, own: None };
+/// Waits for successors at a path and hands over to them, one after another. Never returns.
+pub async fn run(path: PathBuf, hello: Hello, listener: OwnedFd, resources: Rc<SharedResources>) {
+    let mut socket = HandoverSocket { path, inode: None };
     loop {
-        match post.wait().await {
-            Ok(successor) => match greeted(&successor, &greeting).await {
-                Ok(()) => succeed(Rc::new(successor), &listener, &shares).await,
-                Err(e) => log::warn!("who came as a successor is none: {e}"),
+        match socket.accept().await {
+            Ok(stream) => match check_hello(&stream, &hello).await {
+                Ok(()) => serve_successor(Rc::new(stream), &listener, &resources).await,
+                Err(e) => log::warn!("a connection to the handover socket was refused: {e}"),
             },
             Err(e) => {
-                log::warn!("can't wait for a successor at {}: {e}", post.path.display());
-                tokio::time::sleep(AGAIN_AFTER).await;
+                log::warn!("cannot listen for a successor at {}: {e}", socket.path.display());
+                tokio::time::sleep(LISTEN_RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// Is replaced, which ends with the process; returns if the successor goes first.
-async fn succeed(successor: Rc<UnixStream>, listener: &OwnedFd, shares: &SharedResources) {
-    log::info!("a successor has come");
-    let done = async {
-        let mut word = pin!(receive(&successor));
-        let word = tokio::select! {
-            biased;
-            // One that has waited for too long has said so by now.
-            word = &mut word => word,
-            handed = hand_over(&successor, listener, shares) => {
-                handed?;
-                word.await
-            }
-        };
-        let frame = word?.ok_or(io::ErrorKind::UnexpectedEof)??;
-        match frame.kind {
-            FrameKind::Ready => {}
-            FrameKind::ServesAlone => return Ok(false),
-            other => return Err(io::Error::other(format!("a parcel out of its turn: {other:?}"))),
-        }
-        // From now on it takes who comes. Places are divided by how many are here, and move with each that goes over.
-        let (limit, kept) = (shares.clients.limit(), shares.clients.stop_accepting());
-        shares.divide(true);
-        log::info!("the successor serves; this process keeps {kept} clients");
-        let places = (limit - kept) as u32;
-        send(&successor, FrameKind::ClientLimit, &places.to_be_bytes(), None).await?;
-        Ok(true)
-    };
-    match done.await {
-        Ok(true) => {
-            shares.clients.set_successor(Some(Successor(successor.clone())));
-            ended(&successor).await;
+/// Reads the successor's hello. Fails for another proxy instance and for another protocol version.
+async fn check_hello(stream: &UnixStream, expected: &Hello) -> Result<(), HandoverError> {
+    let frame = timeout(HELLO_TIMEOUT, receive(stream)).await??;
+    let frame = frame.ok_or(HandoverError::ConnectionClosed)?;
+    let found = Hello::decode(&frame.payload)?;
+    if found == *expected {
+        Ok(())
+    } else {
+        Err(HandoverError::HelloMismatch { found, expected: expected.clone() })
+    }
+}
+
+/// Hands over to a successor. Returns only if the successor is gone before this process exits.
+async fn serve_successor(stream: Rc<UnixStream>, listener: &OwnedFd, resources: &SharedResources) {
+    log::info!("a successor connected");
+    let clients = &resources.clients;
+    match negotiate(&stream, listener, resources).await {
+        Ok(SuccessorMode::TakesOver) => {
+            clients.set_successor(Some(Successor(stream.clone())));
+            wait_until_closed(&stream).await;
         }
-        Ok(false) => {
-            log::warn!("the successor has waited for too long: it serves beside this process, and takes nothing over");
-            shares.serve_beside();
-            shares.clients.set_parallel_successor(Some(Successor(successor.clone())));
-            ended(&successor).await;
-            shares.clients.set_parallel_successor(None);
+        Ok(SuccessorMode::ServesInParallel) => {
+            log::warn!("the successor timed out: it serves in parallel and takes nothing over");
+            resources.serve_in_parallel();
+            clients.set_parallel_successor(Some(Successor(stream.clone())));
+            wait_until_closed(&stream).await;
+            clients.set_parallel_successor(None);
         }
-        Err(e) => log::warn!("the successor can't take over: {e}"),
+        Err(e) => log::warn!("the handover failed: {e}"),
     }
-    shares.clients.set_successor(None);
-    shares.take_all();
+    clients.set_successor(None);
+    resources.reclaim();
     log::warn!("the successor is gone");
 }
 
-/// Gives the door, and all that is known. What happens from then on goes over the channel, which is joined in the same
-/// moment, so that nothing falls between.
-async fn hand_over(to: &UnixStream, listener: &OwnedFd, shares: &SharedResources) -> io::Result<()> {
-    let (here, there) = pair()?;
-    PeerChannel::join(&shares.driver, &shares.registry, here)?;
-    let state = {
-        let (registry, driver) = (shares.registry.borrow(), &shares.driver);
-        let zero = driver.clock().zero_unix_ms();
-        HandoverState::new(zero, registry.endpoint_list(), registry.names(), driver.snapshot())
+/// Sends the listener and the state, waits until the successor is ready, and stops accepting clients.
+async fn negotiate(
+    stream: &UnixStream,
+    listener: &OwnedFd,
+    resources: &SharedResources,
+) -> Result<SuccessorMode, HandoverError> {
+    let mut reply = pin!(receive(stream));
+    let reply = tokio::select! {
+        biased;
+        // A successor that timed out before this process read its hello has sent that by now.
+        reply = &mut reply => reply,
+        handed_over = hand_over(stream, listener, resources) => {
+            handed_over?;
+            reply.await
+        }
     };
-    send(to, FrameKind::Listener, &[], Some(listener.as_fd())).await?;
-    send(to, FrameKind::PeerChannel, &[], Some(there.as_fd())).await?;
-    send(to, FrameKind::HandoverState, &state.encode(), None).await
+    let frame = reply?.ok_or(HandoverError::ConnectionClosed)?;
+    match frame.kind {
+        FrameKind::Ready => {}
+        FrameKind::ServesInParallel => return Ok(SuccessorMode::ServesInParallel),
+        other => return Err(HandoverError::UnexpectedFrame(other)),
+    }
+    // The successor may have the clients that this process has no more; each one handed over moves the limit
+    // by one.
+    let limit = resources.clients.limit();
+    let remaining = resources.clients.stop_accepting();
+    resources.share_with_peer();
+    log::info!("the successor accepts clients; {remaining} remain in this process");
+    let successor_limit = (limit - remaining) as u32;
+    send(stream, FrameKind::ClientLimit, &successor_limit.to_be_bytes(), None).await?;
+    Ok(SuccessorMode::TakesOver)
 }
+
+/// Sends the listener, the peer channel and the state. The peer channel is connected in the same step in
+/// which the state is read, so that each later event is sent over it.
+async fn hand_over(
+    stream: &UnixStream,
+    listener: &OwnedFd,
+    resources: &SharedResources,
+) -> Result<(), HandoverError> {
+    let (local, remote) = pair()?;
+    PeerChannel::join(&resources.driver, &resources.registry, local)?;
+    let state = current_state(resources);
+    send(stream, FrameKind::Listener, &[], Some(listener.as_fd())).await?;
+    send(stream, FrameKind::PeerChannel, &[], Some(remote.as_fd())).await?;
+    Ok(send(stream, FrameKind::HandoverState, &state.encode(), None).await?)
+}
+
+fn current_state(resources: &SharedResources) -> HandoverState {
+    let driver = &resources.driver;
+    let registry = resources.registry.borrow();
+    let zero_unix_ms = driver.clock().zero_unix_ms();
+    HandoverState::new(zero_unix_ms, registry.endpoint_list(), registry.names(), driver.snapshot())
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/net/hot_restart/peer_channel/tests.rs
+++ b/src/net/hot_restart/peer_channel/tests.rs
@@ -1,10 +1,11 @@
-//! Recorded messages of the peer channel: the format that a predecessor and a successor of different builds share.
+//! Recorded packets of the peer channel: the format that a predecessor and a successor of different builds
+//! share.
 
 use super::PeerPacket;
 
 const COMMIT: &[u8] = include_bytes!("../../../../tests/fixtures/handover/peer_commit.json");
 const WITHDRAWN: &[u8] = br#"{"withdrawn":{"uid":"store-b"}}"#;
-const END: &[u8] = br#""over""#;
+const CLOSED: &[u8] = br#""over""#;
 
 fn commit() -> PeerPacket {
     PeerPacket::SessionWrite {
@@ -22,23 +23,23 @@
 }
 
 #[test]
-fn peer_messages_of_985872a_are_read_and_written_byte_for_byte() {
-    for (recorded, message) in [(COMMIT, commit()), (WITHDRAWN, withdrawn()), (END, PeerPacket::Closed)] {
-        let written = serde_json::to_vec(&message).expect("it serialises");
+fn peer_packets_of_985872a_are_read_and_written_byte_for_byte() {
+    for (recorded, packet) in [(COMMIT, commit()), (WITHDRAWN, withdrawn()), (CLOSED, PeerPacket::Closed)] {
+        let written = serde_json::to_vec(&packet).expect("a serializable packet");
         assert_eq!(String::from_utf8_lossy(&written), String::from_utf8_lossy(recorded));
-        assert_eq!(read(recorded), Some(message));
+        assert_eq!(read(recorded), Some(packet));
     }
 }
 
 #[test]
-fn unknown_fields_of_a_peer_message_are_ignored() {
+fn unknown_fields_of_a_peer_packet_are_ignored() {
     let commit = PeerPacket::SessionWrite { session: "a".to_owned(), commit_ms: 5.0 };
     assert_eq!(read(br#"{"wrote":{"later":[1],"commit_ms":5,"session":"a"}}"#), Some(commit));
     assert_eq!(read(br#"{"withdrawn":{"uid":"store-b","later":null}}"#), Some(withdrawn()));
 }
 
 #[test]
-fn peer_messages_without_a_field_or_of_an_unknown_kind_are_refused() {
+fn peer_packets_without_a_field_or_of_an_unknown_kind_are_refused() {
     let refused: [&[u8]; 6] = [
         br#"{"wrote":{"session":"a"}}"#,
         br#"{"wrote":{"commit_ms":5.0}}"#,
--- /dev/null
+++ b/src/net/hot_restart/socket.rs
@@ -0,0 +1,101 @@
+//! Reads and writes on a Unix stream socket, with file descriptors as ancillary data.
+//!
+//! Holds no state. A read asks for no more bytes than the caller's buffer holds, so that a descriptor is
+//! received together with the bytes that it was sent with.
+
+use std::io::{self, IoSlice, IoSliceMut};
+use std::mem::MaybeUninit;
+use std::os::fd::{BorrowedFd, OwnedFd};
+
+use rustix::net::{
+    recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
+    SendAncillaryMessage, SendFlags,
+};
+use tokio::io::Interest;
+use tokio::net::UnixStream;
+
+/// Bytes read at once.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+
+/// The result of one read.
+pub(super) struct Received {
+    /// Bytes read; 0 at the end of the stream.
+    pub length: usize,
+    /// The descriptor that came with them.
+    pub descriptor: Option<OwnedFd>,
+}
+
+/// Sends the first of these bytes with a descriptor, if there is one. Returns how many bytes were sent.
+pub(super) async fn send_with_descriptor(
+    stream: &UnixStream,
+    bytes: &[u8],
+    descriptor: Option<BorrowedFd<'_>>,
+) -> io::Result<usize> {
+    let descriptors: Vec<_> = descriptor.into_iter().collect();
+    let write = || {
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+        let mut control = SendAncillaryBuffer::new(&mut space);
+        if !descriptors.is_empty() {
+            control.push(SendAncillaryMessage::ScmRights(&descriptors));
+        }
+        Ok(sendmsg(stream, &[IoSlice::new(bytes)], &mut control, SendFlags::NOSIGNAL)?)
+    };
+    stream.async_io(Interest::WRITABLE, write).await
+}
+
+/// Sends all bytes.
+pub(super) async fn write_all(stream: &UnixStream, bytes: &[u8]) -> io::Result<()> {
+    let mut sent = 0;
+    while sent < bytes.len() {
+        stream.writable().await?;
+        match stream.try_write(&bytes[sent..]) {
+            Ok(length) => sent += length,
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+            Err(e) => return Err(e),
+        }
+    }
+    Ok(())
+}
+
+/// Reads at most `buffer.len()` bytes, and the descriptor that comes with them.
+pub(super) async fn receive_with_descriptor(stream: &UnixStream, buffer: &mut [u8]) -> io::Result<Received> {
+    let read = || {
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+        let mut control = RecvAncillaryBuffer::new(&mut space);
+        let message = recvmsg(stream, &mut [IoSliceMut::new(buffer)], &mut control, RecvFlags::CMSG_CLOEXEC)?;
+        let mut descriptors = control.drain().filter_map(|ancillary| match ancillary {
+            RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
+            _ => None,
+        });
+        Ok(Received { length: message.bytes, descriptor: descriptors.next() })
+    };
+    stream.async_io(Interest::READABLE, read).await
+}
+
+/// Reads exactly `length` bytes. The length is the peer's claim, so the memory grows only as bytes arrive.
+pub(super) async fn read_exactly(stream: &UnixStream, length: usize) -> io::Result<Vec<u8>> {
+    let mut content = Vec::new();
+    let mut chunk = [0; READ_CHUNK_BYTES];
+    while content.len() < length {
+        stream.readable().await?;
+        let wanted = chunk.len().min(length - content.len());
+        match stream.try_read(&mut chunk[..wanted]) {
+            Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
+            Ok(received) => content.extend_from_slice(&chunk[..received]),
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+            Err(e) => return Err(e),
+        }
+    }
+    Ok(content)
+}
+
+/// Waits until the stream ends or fails; discards what is still received.
+pub(super) async fn wait_until_closed(stream: &UnixStream) {
+    while stream.readable().await.is_ok() {
+        match stream.try_read(&mut [0; 4096]) {
+            Ok(length) if length > 0 => {}
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+            _ => return,
+        }
+    }
+}
