--- a/tests/handover_format.rs
+++ b/tests/handover_format.rs
@@ -1,5 +1,5 @@
-//! Recorded bytes of what outlives a process: the files in the state directory with their names, and the snapshot that
-//! a predecessor passes to its successor in a hot restart.
+//! Recorded bytes of what is stored or handed over: the files in the state directory with their names, and
+//! the snapshot that a predecessor passes to its successor in a hot restart.
 
 use std::fmt::Debug;
 use std::fs;
@@ -9,9 +9,8 @@
 use std::path::{Path, PathBuf};
 
 use pipittack::endpoint_list::{EndpointList, ListedEndpoint};
-use pipittack::net::admin::OutOfServiceList;
-use pipittack_core::api::{FailoverKind, ReplicaSetSnapshot};
-use pipittack_core::api::{ServerSnapshot, StateSnapshot};
+use pipittack::net::admin::{OutOfServiceError, OutOfServiceList, ServiceChange, ServiceState};
+use pipittack_core::api::{FailoverKind, ReplicaSetSnapshot, ServerSnapshot, StateSnapshot};
 use rstest::rstest;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -29,8 +28,8 @@
 
 /// Bytes of a frame before its content: kind, length, checksum.
 const HEADER_LEN: usize = 9;
-/// The greeting of a successor, as a frame.
-const GREETING: &[u8] = b"G\0\0\0\x19\xc9\x70\x14\xea{\"version\":2,\"name\":\"n0\"}";
+/// The hello of a successor, as a frame.
+const HELLO: &[u8] = b"G\0\0\0\x19\xc9\x70\x14\xea{\"version\":2,\"name\":\"n0\"}";
 
 fn assert_recorded<T: Serialize + DeserializeOwned + PartialEq + Debug>(recorded: &str, value: &T) {
     assert_eq!(serde_json::from_str::<T>(recorded).expect("it is read"), *value);
@@ -58,8 +57,8 @@
 
 fn full_snapshot() -> StateSnapshot {
     let bare = ServerSnapshot { server: 4_000_000_000, ..ServerSnapshot::default() };
-    let marks = vec![("basket-7".to_owned(), 99.0), ("\u{e9}\"".to_owned(), 1e-7)];
-    StateSnapshot { session_floor: Some(90.75), session_tokens: marks, servers: vec![full_server(), bare] }
+    let session_tokens = vec![("basket-7".to_owned(), 99.0), ("\u{e9}\"".to_owned(), 1e-7)];
+    StateSnapshot { session_floor: Some(90.75), session_tokens, servers: vec![full_server(), bare] }
 }
 
 #[test]
@@ -77,18 +76,18 @@
 #[rstest]
 #[case::planned(FailoverKind::Planned, r#""planned""#)]
 #[case::unplanned(FailoverKind::Unplanned, r#""unplanned""#)]
-fn primary_change_of_985872a_is_read_and_written_byte_for_byte(
-    #[case] change: FailoverKind,
+fn failover_kind_of_985872a_is_read_and_written_byte_for_byte(
+    #[case] kind: FailoverKind,
     #[case] recorded: &str,
 ) {
-    assert_recorded(recorded, &change);
-    let news = ReplicaSetSnapshot { epoch: u64::MAX, deposed: false, failover: Some((change, 0.5)) };
+    assert_recorded(recorded, &kind);
+    let replica_set = ReplicaSetSnapshot { epoch: u64::MAX, deposed: false, failover: Some((kind, 0.5)) };
     let recorded = format!(r#"{{"epoch":18446744073709551615,"deposed":false,"change":[{recorded},0.5]}}"#);
-    assert_recorded(&recorded, &news);
+    assert_recorded(&recorded, &replica_set);
 }
 
 #[test]
-fn replica_set_snapshot_without_a_change_is_read_and_written_byte_for_byte() {
+fn replica_set_snapshot_without_a_failover_is_read_and_written_byte_for_byte() {
     assert_recorded(r#"{"epoch":0,"deposed":false,"change":null}"#, &ReplicaSetSnapshot::default());
 }
 
@@ -105,14 +104,14 @@
 fn absent_fields_of_a_snapshot_are_defaults() {
     assert_eq!(serde_json::from_str::<StateSnapshot>("{}").expect("it is read"), StateSnapshot::default());
     assert_eq!(serde_json::from_str::<ServerSnapshot>("{}").expect("it is read"), ServerSnapshot::default());
-    let news = serde_json::from_str::<ReplicaSetSnapshot>(r#"{"epoch":0,"deposed":false}"#);
-    assert_eq!(news.expect("it is read"), ReplicaSetSnapshot::default());
+    let replica_set = serde_json::from_str::<ReplicaSetSnapshot>(r#"{"epoch":0,"deposed":false}"#);
+    assert_eq!(replica_set.expect("it is read"), ReplicaSetSnapshot::default());
 }
 
 #[rstest]
 #[case::no_epoch(r#"{"deposed":false}"#)]
 #[case::no_deposed(r#"{"epoch":1}"#)]
-#[case::unknown_change(r#"{"epoch":1,"deposed":false,"change":["later",0.5]}"#)]
+#[case::unknown_failover_kind(r#"{"epoch":1,"deposed":false,"change":["later",0.5]}"#)]
 fn incomplete_replica_set_snapshots_are_refused(#[case] content: &str) {
     assert!(serde_json::from_str::<ReplicaSetSnapshot>(content).is_err());
 }
@@ -184,8 +183,12 @@
 }
 
 /// The servers that the recorded file takes out of service, in its order.
-fn recorded_servers() -> [(String, bool); 2] {
-    [("store-a".to_owned(), true), ("\u{e9} \"b\"".to_owned(), true)]
+fn recorded_servers() -> [ServiceChange; 2] {
+    [taken_out("store-a"), taken_out("\u{e9} \"b\"")]
+}
+
+fn taken_out(uid: &str) -> ServiceChange {
+    ServiceChange { uid: uid.to_owned(), state: ServiceState::OutOfService }
 }
 
 #[test]
@@ -194,7 +197,7 @@
     let servers = OutOfServiceList::new(Some(file.clone()));
     assert_eq!(servers.reload().expect("it is read"), recorded_servers());
     fs::remove_file(&file).expect("it is there");
-    servers.set("store-a", true).expect("it is written");
+    servers.set("store-a", ServiceState::OutOfService).expect("it is written");
     assert_eq!(fs::read_to_string(&file).expect("it is there"), OUT_OF_SERVICE);
     assert_eq!(names_in(file.parent().expect("a folder")), ["pipittack-n0-127.0.0.1:0.json"]);
 }
@@ -203,7 +206,7 @@
 fn no_server_out_of_service_is_written_as_an_empty_list() {
     let file = stored("none-out-of-service", r#"{"offline":["store-a"]}"#);
     let servers = OutOfServiceList::new(Some(file.clone()));
-    servers.set("store-a", false).expect("it is written");
+    servers.set("store-a", ServiceState::InService).expect("it is written");
     assert_eq!(fs::read_to_string(&file).expect("it is there"), r#"{"offline":[]}"#);
 }
 
@@ -211,8 +214,8 @@
 fn unknown_fields_of_servers_out_of_service_are_ignored_and_dropped() {
     let file = stored("unknown-out-of-service", r#"{"later":{},"offline":["store-a"]}"#);
     let servers = OutOfServiceList::new(Some(file.clone()));
-    assert_eq!(servers.reload().expect("it is read"), [("store-a".to_owned(), true)]);
-    servers.set("store-b", true).expect("it is written");
+    assert_eq!(servers.reload().expect("it is read"), [taken_out("store-a")]);
+    servers.set("store-b", ServiceState::OutOfService).expect("it is written");
     assert_eq!(fs::read_to_string(&file).expect("it is there"), r#"{"offline":["store-a","store-b"]}"#);
 }
 
@@ -222,8 +225,9 @@
 fn incomplete_servers_out_of_service_are_refused(#[case] test: &str, #[case] content: &str) {
     let file = stored(test, content);
     let servers = OutOfServiceList::new(Some(file.clone()));
-    assert!(servers.reload().is_err());
-    assert!(servers.set("store-a", true).is_err());
+    assert!(matches!(servers.reload(), Err(OutOfServiceError::Parse { .. })));
+    let set = servers.set("store-a", ServiceState::OutOfService);
+    assert!(matches!(set, Err(OutOfServiceError::Parse { .. })));
     assert_eq!(fs::read_to_string(&file).expect("it is there"), content);
 }
 
@@ -234,9 +238,10 @@
     let new = file.with_file_name(format!("pipittack-n0-127.0.0.1:0.new-{}", std::process::id()));
     fs::create_dir_all(&new).expect("a writable folder");
     let servers = OutOfServiceList::new(Some(file.clone()));
-    assert!(servers.set("store-b", true).is_err());
+    let set = servers.set("store-b", ServiceState::OutOfService);
+    assert!(matches!(set, Err(OutOfServiceError::Write { .. })));
     fs::remove_dir(&new).expect("it is empty");
-    assert!(servers.set("store-b", true).is_ok());
+    assert!(servers.set("store-b", ServiceState::OutOfService).is_ok());
 }
 
 fn start(folder: &Path) -> Proxy {
@@ -270,7 +275,7 @@
     until("the socket is there", || is_socket(&socket));
     assert_eq!(names_in(&folder), ["pipittack-n0-127.0.0.1:0.2.sock"]);
     let mut successor = with_timeout(UnixStream::connect(&socket).expect("it listens"));
-    successor.write_all(GREETING).expect("it reads");
+    successor.write_all(HELLO).expect("it reads");
     assert_eq!(read_frame(&mut successor), (b'D', Vec::new()));
     assert_eq!(read_frame(&mut successor), (b'W', Vec::new()));
     let (kind, snapshot) = read_frame(&mut successor);
@@ -295,17 +300,17 @@
 }
 
 #[rstest]
-#[case::present("2.sock", GREETING)]
-#[case::early("sock", b"")]
-fn predecessor_of_985872a_is_asked_at_the_recorded_socket(#[case] ending: &str, #[case] asked: &[u8]) {
-    let folder = folder(&format!("asked-{ending}"));
+#[case::present("2.sock", HELLO)]
+#[case::legacy("sock", b"")]
+fn predecessor_of_985872a_is_connected_at_the_recorded_socket(#[case] ending: &str, #[case] hello: &[u8]) {
+    let folder = folder(&format!("hello-{ending}"));
     let socket = folder.join(format!("pipittack-n0-127.0.0.1:0.{ending}"));
     let _ = fs::remove_file(&socket); // left by an earlier run with this process id
     let predecessor = UnixListener::bind(&socket).expect("a free path");
     let proxy = std::thread::spawn(move || start(&folder));
     let stream = accept(&predecessor);
-    let mut bytes = vec![0; asked.len()];
-    with_timeout(stream).read_exact(&mut bytes).expect("a greeting");
-    assert_eq!(bytes, asked);
+    let mut bytes = vec![0; hello.len()];
+    with_timeout(stream).read_exact(&mut bytes).expect("a hello");
+    assert_eq!(bytes, hello);
     drop(proxy.join().expect("it serves by itself"));
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pipittack::net::admin::{call, AdminCall};
+use pipittack::net::admin::{parse_call, AdminCall, HttpStatus};
 use pipittack::net::buffers::{BufferPool, SIZE};
 use pipittack::net::discovery::{chunk_size, head, Framing};
 use pipittack::net::postgres::{self, Query, Startup};
@@ -213,18 +213,18 @@
 
 #[rstest]
 #[case::ready("GET /control/ready HTTP/1.1\r\nHost: a\r\n\r\n", Ok(AdminCall::Ready))]
-#[case::bare("GET /control/ready?x=1 HTTP/1.0\r\n\r\n", Ok(AdminCall::Ready))]
-#[case::out("POST /control/data-servers/s-1/offline HTTP/1.1\r\n\r\n", Ok(AdminCall::Offline("s-1".into())))]
-#[case::back("POST /control/data-servers/a%2fb/online HTTP/1.1\r\n\r\n", Ok(AdminCall::Online("a/b".into())))]
-#[case::away("POST /control/out-of-service HTTP/1.1\r\n\r\n", Ok(AdminCall::OutOfService))]
-#[case::again("POST /control/in-service HTTP/1.1\r\n\r\n", Ok(AdminCall::InService))]
+#[case::query_and_old_version("GET /control/ready?x=1 HTTP/1.0\r\n\r\n", Ok(AdminCall::Ready))]
+#[case::offline("POST /control/data-servers/s-1/offline HTTP/1.1\r\n\r\n", Ok(AdminCall::Offline("s-1".into())))]
+#[case::online("POST /control/data-servers/a%2fb/online HTTP/1.1\r\n\r\n", Ok(AdminCall::Online("a/b".into())))]
+#[case::out_of_service("POST /control/out-of-service HTTP/1.1\r\n\r\n", Ok(AdminCall::OutOfService))]
+#[case::in_service("POST /control/in-service HTTP/1.1\r\n\r\n", Ok(AdminCall::InService))]
 #[case::wrong_method("GET /control/in-service HTTP/1.1\r\n\r\n", Err(405))]
 #[case::no_id("POST /control/data-servers//online HTTP/1.1\r\n\r\n", Err(404))]
 #[case::unknown("GET / HTTP/1.1\r\n\r\n", Err(404))]
 #[case::other_version("GET /control/ready HTTP/2.0\r\n\r\n", Err(505))]
-#[case::noise("\u{1}\u{2}\r\n\r\n", Err(400))]
+#[case::control_characters("\u{1}\u{2}\r\n\r\n", Err(400))]
 #[case::no_version("GET /control/ready\r\n\r\n", Err(400))]
 #[case::bad_field("GET /control/ready HTTP/1.1\r\nno field\r\n\r\n", Err(400))]
-fn calls_are_read(#[case] head: &str, #[case] wanted: Result<AdminCall, u16>) {
-    assert_eq!(call(head.as_bytes()), wanted);
+fn admin_calls_are_parsed(#[case] head: &str, #[case] expected: Result<AdminCall, u16>) {
+    assert_eq!(parse_call(head.as_bytes()).map_err(HttpStatus::code), expected);
 }
