--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,6 +1,6 @@
 //! The admin API: readiness, and what operators take out of service, over HTTP at an address of its own.
 //!
-//! [`http`] parses calls and encodes responses, [`server`] owns the connections, and [`out_of_service`] the
+//! `http` parses calls and encodes responses, `server` owns the connections, and `out_of_service` the
 //! list of servers that are out of service with its file. [`AdminApi`] applies calls to the driver and to the
 //! client side. A call that changes the list succeeds only once the change is stored.
 
@@ -52,7 +52,7 @@
     pub fn sync_file(&self) {
         match self.out_of_service.reload() {
             Ok(changes) => changes.iter().for_each(|change| self.apply(&change.uid, change.state)),
-            Err(e) => log::warn!("admin: cannot reload the servers out of service: {e}"),
+            Err(e) => log::warn!("cannot reload the servers out of service: {e}"),
         }
     }
 
@@ -66,8 +66,8 @@
     /// Has the routing engine use a server or leave it out.
     fn apply(&self, uid: &str, state: ServiceState) {
         match state {
-            ServiceState::OutOfService => log::info!("admin: server {uid} was taken out of service"),
-            ServiceState::InService => log::info!("admin: server {uid} was returned to service"),
+            ServiceState::OutOfService => log::info!("server {uid} was taken out of service"),
+            ServiceState::InService => log::info!("server {uid} was returned to service"),
         }
         let server = self.registry.borrow().server_id(uid);
         self.driver.set_out_of_service(server, state == ServiceState::OutOfService);
@@ -106,7 +106,7 @@
         }
         let previous = self.out_of_service.state(uid);
         if let Err(e) = self.out_of_service.set(uid, state) {
-            log::warn!("admin: cannot store the state {state:?} of server {uid}: {e}");
+            log::warn!("cannot store the state {state:?} of server {uid}: {e}");
             return Response::new(HttpStatus::InternalServerError, "it could not be written down");
         }
         if previous == state {
--- a/src/net/admin/server.rs
+++ b/src/net/admin/server.rs
@@ -51,7 +51,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log::warn!("admin: accept failed: {e}");
+                log::warn!("admin connection: accept failed: {e}");
                 sleep(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             }
@@ -110,7 +110,7 @@
 
 fn answer(api: &AdminApi, call: AdminCall) -> Response {
     let response = api.answer(call.clone());
-    log::debug!("admin: {call:?}: {} {}", response.status.code(), response.text);
+    log::debug!("admin call {call:?}: {} {}", response.status.code(), response.text);
     response
 }
 
--- a/src/net/hot_restart/frame.rs
+++ b/src/net/hot_restart/frame.rs
@@ -11,6 +11,7 @@
 
 use super::socket::{read_exactly, receive_with_descriptor, send_with_descriptor, write_all};
 
+// The paths at which the program and the client side use these.
 pub use super::predecessor::{inherit, Predecessor, PredecessorStatus};
 pub use super::state::{HandoverState, Hello};
 pub use super::successor::Successor;
--- a/src/net/hot_restart/frame/tests.rs
+++ b/src/net/hot_restart/frame/tests.rs
@@ -1,4 +1,5 @@
-//! Recorded frames of a hot restart: the format that a predecessor and a successor of different builds share.
+//! Frames of a hot restart, recorded at commit 985872a: the format that a predecessor and a successor of
+//! different builds share.
 
 use std::os::fd::AsFd;
 
@@ -89,14 +90,14 @@
 }
 
 #[tokio::test]
-async fn frames_of_985872a_are_written_byte_for_byte() {
+async fn recorded_frames_are_written_byte_for_byte() {
     for recorded in &RECORDED {
         assert_eq!(written(recorded).await, recorded.bytes(), "{:?}", recorded.kind);
     }
 }
 
 #[tokio::test]
-async fn frames_of_985872a_are_read() {
+async fn recorded_frames_are_read() {
     for recorded in &RECORDED {
         let frame = read(&recorded.bytes(), recorded.has_descriptor).await.expect("readable bytes");
         assert_eq!(frame.kind, recorded.kind);
@@ -124,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn client_limit_of_985872a_is_a_big_endian_number() {
+async fn recorded_client_limit_is_a_big_endian_number() {
     let recorded =
         RECORDED.iter().find(|recorded| recorded.kind == FrameKind::ClientLimit).expect("a recorded frame");
     let frame = read(&recorded.bytes(), false).await.expect("readable bytes");
--- a/src/net/hot_restart/handover.rs
+++ b/src/net/hot_restart/handover.rs
@@ -2,7 +2,7 @@
 //!
 //! Owns the socket file and the connection to the successor. A successor is served until either process
 //! exits; then the next one is waited for. Only connections without a request in flight are handed over. The
-//! caller of [`run`] owns its task; no further task is spawned here but that of the [`PeerChannel`], and
+//! caller of [`run`] owns its task; no further task is spawned here but that of the `PeerChannel`, and
 //! errors are logged.
 
 use std::os::fd::{AsFd, OwnedFd};
--- a/src/net/hot_restart/peer_channel/tests.rs
+++ b/src/net/hot_restart/peer_channel/tests.rs
@@ -1,5 +1,5 @@
-//! Recorded packets of the peer channel: the format that a predecessor and a successor of different builds
-//! share.
+//! Packets of the peer channel, recorded at commit 985872a: the format that a predecessor and a successor of
+//! different builds share.
 
 use super::PeerPacket;
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn peer_packets_of_985872a_are_read_and_written_byte_for_byte() {
+fn recorded_peer_packets_are_read_and_written_byte_for_byte() {
     for (recorded, packet) in [(COMMIT, commit()), (WITHDRAWN, withdrawn()), (CLOSED, PeerPacket::Closed)] {
         let written = serde_json::to_vec(&packet).expect("a serializable packet");
         assert_eq!(String::from_utf8_lossy(&written), String::from_utf8_lossy(recorded));
--- a/src/net/hot_restart/predecessor.rs
+++ b/src/net/hot_restart/predecessor.rs
@@ -50,7 +50,7 @@
     NotRunning,
     /// One hands over its listener and its state.
     HandsOver(TcpListener, Predecessor),
-    /// One runs and did not hand over in time. It exits when this stream closes, if there is one.
+    /// One runs and did not hand over. It exits when this stream closes; there is one only after a timeout.
     Unresponsive(Option<UnixStream>),
 }
 
@@ -75,10 +75,8 @@
     let Ok(stream) = UnixStream::connect(legacy_path).await else {
         return PredecessorStatus::NotRunning;
     };
-    let handover = match timeout(HANDOVER_TIMEOUT, legacy::receive_handover(stream)).await {
-        Ok(result) => result,
-        Err(elapsed) => Err(elapsed.into()),
-    };
+    let handover = timeout(HANDOVER_TIMEOUT, legacy::receive_handover(stream)).await;
+    let handover = handover.unwrap_or_else(|elapsed| Err(elapsed.into()));
     handover.and_then(accept).unwrap_or_else(|e| unresponsive(&e, None))
 }
 
@@ -141,11 +139,8 @@
     /// once this returns.
     pub async fn take_over(&mut self, resources: &SharedResources) {
         self.restore_state(resources);
-        let client_limit = match timeout(STOP_ACCEPTING_TIMEOUT, self.client_limit()).await {
-            Ok(result) => result,
-            Err(elapsed) => Err(elapsed.into()),
-        };
-        match client_limit {
+        let client_limit = timeout(STOP_ACCEPTING_TIMEOUT, self.client_limit()).await;
+        match client_limit.unwrap_or_else(|elapsed| Err(elapsed.into())) {
             Ok(limit) => {
                 resources.clients.set_limit(Some(limit));
                 resources.share_with_peer();
--- a/src/net/hot_restart/state/tests.rs
+++ b/src/net/hot_restart/state/tests.rs
@@ -1,5 +1,5 @@
-//! The recorded hello and state of a hot restart, which a predecessor and a successor of different builds
-//! share.
+//! The hello and the state of a hot restart, recorded at commit 985872a: a predecessor and a successor of
+//! different builds share them.
 
 use pipittack_core::api::{FailoverKind, ReplicaSetSnapshot, ServerSnapshot, StateSnapshot};
 
@@ -73,14 +73,14 @@
 }
 
 #[test]
-fn hello_of_985872a_is_read_and_written_byte_for_byte() {
+fn recorded_hello_is_read_and_written_byte_for_byte() {
     let hello = Hello::new("gw-a");
     assert_eq!(serde_json::to_vec(&hello).ok().as_deref(), Some(HELLO));
     assert_eq!(serde_json::from_slice::<Hello>(HELLO).ok(), Some(hello));
 }
 
 #[test]
-fn state_of_985872a_is_read_and_written_byte_for_byte() {
+fn recorded_state_is_read_and_written_byte_for_byte() {
     for (recorded, state) in [(STATE_FULL, state()), (STATE_EMPTY, empty_state())] {
         assert_eq!(String::from_utf8_lossy(&state.encode()), String::from_utf8_lossy(recorded));
         assert_eq!(HandoverState::decode(recorded).expect("readable bytes"), state);
--- a/tests/handover_format.rs
+++ b/tests/handover_format.rs
@@ -1,5 +1,5 @@
-//! Recorded bytes of what is stored or handed over: the files in the state directory with their names, and
-//! the snapshot that a predecessor passes to its successor in a hot restart.
+//! Bytes of what is stored or handed over, recorded at commit 985872a: the files in the state directory with
+//! their names, and the snapshot that a predecessor passes to its successor in a hot restart.
 
 use std::fmt::Debug;
 use std::fs;
@@ -62,13 +62,13 @@
 }
 
 #[test]
-fn snapshot_of_985872a_is_read_and_written_byte_for_byte() {
+fn recorded_snapshot_is_read_and_written_byte_for_byte() {
     assert_recorded(SNAPSHOT_FULL, &full_snapshot());
     assert_recorded(SNAPSHOT_EMPTY, &StateSnapshot::default());
 }
 
 #[test]
-fn server_snapshot_of_985872a_is_read_and_written_byte_for_byte() {
+fn recorded_server_snapshot_is_read_and_written_byte_for_byte() {
     assert_recorded(SERVER_FULL, &full_server());
     assert_recorded(SERVER_EMPTY, &ServerSnapshot::default());
 }
@@ -76,7 +76,7 @@
 #[rstest]
 #[case::planned(FailoverKind::Planned, r#""planned""#)]
 #[case::unplanned(FailoverKind::Unplanned, r#""unplanned""#)]
-fn failover_kind_of_985872a_is_read_and_written_byte_for_byte(
+fn recorded_failover_kind_is_read_and_written_byte_for_byte(
     #[case] kind: FailoverKind,
     #[case] recorded: &str,
 ) {
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn endpoint_list_of_985872a_is_read_and_written_byte_for_byte() {
+fn recorded_endpoint_list_is_read_and_written_byte_for_byte() {
     assert_recorded(LIST_FULL, &full_list());
 }
 
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn servers_out_of_service_of_985872a_are_read_and_written_byte_for_byte() {
+fn recorded_servers_out_of_service_are_read_and_written_byte_for_byte() {
     let file = stored("out-of-service", OUT_OF_SERVICE);
     let servers = OutOfServiceList::new(Some(file.clone()));
     assert_eq!(servers.reload().expect("it is read"), recorded_servers());
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn successor_of_985872a_is_served_at_the_recorded_socket() {
+fn successor_is_served_at_the_recorded_socket() {
     let folder = folder("successor");
     let _proxy = start(&folder);
     let socket = folder.join("pipittack-n0-127.0.0.1:0.2.sock");
@@ -302,7 +302,7 @@
 #[rstest]
 #[case::present("2.sock", HELLO)]
 #[case::legacy("sock", b"")]
-fn predecessor_of_985872a_is_connected_at_the_recorded_socket(#[case] ending: &str, #[case] hello: &[u8]) {
+fn predecessor_is_contacted_at_the_recorded_socket(#[case] ending: &str, #[case] hello: &[u8]) {
     let folder = folder(&format!("hello-{ending}"));
     let socket = folder.join(format!("pipittack-n0-127.0.0.1:0.{ending}"));
     let _ = fs::remove_file(&socket); // left by an earlier run with this process id
