--- a/core/src/graceful_shutdown.rs
+++ b/core/src/graceful_shutdown.rs
@@ -40,7 +40,7 @@
     /// The listener is to be closed. Connections in its queue are accepted for one request each.
     ListenerClosing,
     /// The shutdown is complete, or its deadline has passed.
-    AttemptEnded,
+    Complete,
 }
 
 /// The state of a connection without a request in flight.
@@ -122,7 +122,7 @@
     pub fn phase(&self, now: Duration) -> ShutdownPhase {
         let has_no_connections = self.connections == 0;
         if now >= self.deadline || (self.is_listener_closed && has_no_connections) {
-            ShutdownPhase::AttemptEnded
+            ShutdownPhase::Complete
         } else if self.is_handed_over
             || self.is_listener_closed
             || (has_no_connections && now >= self.returns_end_at())
--- a/core/tests/graceful_shutdown.rs
+++ b/core/tests/graceful_shutdown.rs
@@ -179,12 +179,12 @@
     fn advance_shutdown(&mut self, now: u64) -> bool {
         let Some(shutdown) = self.shutdown.as_mut() else { return false };
         let now = ms(now);
-        assert!(shutdown.next_transition(now) > now || shutdown.phase(now) == ShutdownPhase::AttemptEnded);
+        assert!(shutdown.next_transition(now) > now || shutdown.phase(now) == ShutdownPhase::Complete);
         if shutdown.phase(now) == ShutdownPhase::ListenerClosing && !self.is_listener_closed {
             self.is_listener_closed = true;
             shutdown.listener_closed();
         }
-        shutdown.phase(now) == ShutdownPhase::AttemptEnded
+        shutdown.phase(now) == ShutdownPhase::Complete
     }
 }
 
@@ -347,7 +347,7 @@
         let ends_at = at + shutdown.request_time_left(at, ms(60_000));
         assert!(ends_at < ms(KILL_MS - 100) || at > ms(KILL_MS - 200));
     }
-    assert_eq!(shutdown.phase(ms(KILL_MS - 100)), ShutdownPhase::AttemptEnded);
+    assert_eq!(shutdown.phase(ms(KILL_MS - 100)), ShutdownPhase::Complete);
 }
 
 /// The signal may have arrived while the process was paused, so the platform may kill it earlier.
--- a/src/net/client/shutdown.rs
+++ b/src/net/client/shutdown.rs
@@ -36,7 +36,7 @@
                 ShutdownPhase::Notice => {}
                 ShutdownPhase::Draining => shared.phase.advance(ServicePhase::Draining),
                 ShutdownPhase::ListenerClosing => shared.phase.advance(ServicePhase::ListenerClosed),
-                ShutdownPhase::AttemptEnded => break,
+                ShutdownPhase::Complete => break,
             }
             tokio::select! {
                 () = changed => {}
