--- /dev/null
+++ b/core/src/routing/cluster/primary_watch.rs
@@ -0,0 +1,45 @@
+//! Watches each group's primary: how long it has been silent, compared with what is usual there.
+
+use crate::api::{Action, Settings};
+use crate::failover::{PrimaryObservation, SilenceThreshold};
+
+use super::super::in_flight::InFlightTable;
+use super::Cluster;
+
+impl Cluster {
+    /// Compares the silence of each primary with the threshold. `slowest_mean_secs` is the mean response time
+    /// of the slowest class.
+    pub fn observe_primaries(
+        &mut self,
+        now: f64,
+        settings: &Settings,
+        in_flight: &InFlightTable,
+        slowest_mean_secs: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        for (id, group) in self.groups.iter_mut() {
+            let Some(watched) = group.replica_set().watched_primary() else { continue };
+            let Some(server) = self.servers.get(&watched) else { continue };
+            let queued_writes = group.queued_writes();
+            let set = group.replica_set_mut();
+            let unanswered = in_flight.unanswered_at(watched, |sent_at| set.is_response_owed(sent_at));
+            let silence_threshold = SilenceThreshold {
+                typical_response_secs: slowest_mean_secs,
+                slowdown: 1.0 / server.warm_up().capacity_share(now, &settings.rules),
+                suspicion_factor: settings.failover.suspicion_factor,
+                unanswered: unanswered.count,
+            };
+            let observation = PrimaryObservation {
+                last_response: server.replication().last_response_at(),
+                oldest_unanswered: unanswered.oldest_sent_at,
+                is_down: !server.is_up(),
+                silence_threshold,
+                queued_writes,
+            };
+            if let Some(phase) = set.observe_primary(now, &observation) {
+                let text = format!("group {} entered phase {phase}, {queued_writes} writes buffered", id.0);
+                actions.push(Action::Log(text));
+            }
+        }
+    }
+}
--- /dev/null
+++ b/core/src/routing/dispatch.rs
@@ -0,0 +1,159 @@
+//! Sends queued requests to servers and gives final answers to those that can't be sent.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use crate::api::{Action, AttemptId, Consistency, GroupId, RequestId, SessionTokens};
+use crate::concurrency_limit::INITIAL_LIMIT;
+use crate::failover::{BufferDecision, BufferUsage};
+
+use super::final_answer::final_answer;
+use super::in_flight::InFlightAttempt;
+use super::queue::QueueRank;
+use super::read_routing::{route_read, ReadDecision, ReadDraws};
+use super::view::PlannedAttempt;
+use super::write_routing::{route_write, WriteDecision};
+use super::{RoutingEngine, ATTEMPT_EWMA};
+
+/// Queued requests for each one that the concurrency limits of a group admit.
+const QUEUE_LENGTH_FACTOR: f64 = 3.0;
+/// Shortest timeout of an attempt in seconds.
+const MIN_ATTEMPT_TIMEOUT_SECS: f64 = 0.001;
+
+/// What stays queued in one step.
+#[derive(Default)]
+struct QueueUsage {
+    lengths: BTreeMap<GroupId, f64>,
+    buffer: BufferUsage,
+}
+
+impl RoutingEngine {
+    /// Sends what can be sent, in the order of the queue.
+    pub(super) fn dispatch(&mut self, actions: &mut Vec<Action>) {
+        let view = self.view();
+        let waiting = self.requests.values().filter(|open| open.is_dispatchable());
+        let mut ranks: Vec<QueueRank> = waiting.map(|open| view.queue_rank(open)).collect();
+        ranks.sort_by(QueueRank::compare);
+        let mut usage = QueueUsage::default();
+        for rank in ranks {
+            self.dispatch_request(rank.request, &mut usage, actions);
+        }
+    }
+
+    fn dispatch_request(&mut self, id: RequestId, usage: &mut QueueUsage, actions: &mut Vec<Action>) {
+        let Some(open) = self.requests.get(&id) else { return };
+        let view = self.view();
+        let group = open.request().group;
+        let is_write = view.is_write(open);
+        let buffering = if is_write { view.buffer_decision(open) } else { None };
+        let recovery_secs = buffering.and_then(BufferDecision::retry_after_secs);
+        if recovery_secs.is_some() || !view.may_send(open) || view.is_hopeless(open) {
+            self.cluster.groups_mut().get_or_create(group).request_expired(self.now);
+            self.finish(id, recovery_secs, actions);
+            return;
+        }
+        let planned = if is_write { self.plan_write(id) } else { self.plan_read(id, actions) };
+        match planned {
+            Some(attempt) => self.forward(id, attempt, actions),
+            None => self.queue_or_reject(id, buffering, usage, actions),
+        }
+    }
+
+    /// Counts a request that stays queued, and rejects it where the queue or the write buffer is full.
+    fn queue_or_reject(
+        &mut self,
+        id: RequestId,
+        buffering: Option<BufferDecision>,
+        usage: &mut QueueUsage,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(open) = self.requests.get(&id) else { return };
+        let group = open.request().group;
+        let length = usage.lengths.entry(group).or_default();
+        if buffering.is_none() {
+            *length += 1.0;
+        }
+        let available = self.cluster.members(group).filter(|member| !member.server.is_closed());
+        let limits: f64 = available.map(|member| member.server.concurrency_limit()).sum();
+        let max_length = QUEUE_LENGTH_FACTOR * limits.max(INITIAL_LIMIT);
+        let statement_bytes = open.request().statement_bytes;
+        let fits_buffer =
+            buffering.is_none() || usage.buffer.try_reserve(group, statement_bytes, &self.settings.failover);
+        if *length > max_length || !fits_buffer {
+            self.finish(id, None, actions);
+        }
+    }
+
+    fn plan_write(&mut self, id: RequestId) -> Option<PlannedAttempt> {
+        let write = self.requests.get(&id)?;
+        match route_write(&self.view(), write) {
+            WriteDecision::Wait => None,
+            WriteDecision::Send(attempt) => Some(attempt),
+            WriteDecision::AskMembers(query) => {
+                let server = self.cluster.next_member_to_ask(query.group, &query.members, self.now)?;
+                Some(PlannedAttempt { server, timeout_secs: query.timeout_secs })
+            }
+        }
+    }
+
+    fn plan_read(&mut self, id: RequestId, actions: &mut Vec<Action>) -> Option<PlannedAttempt> {
+        let draws = ReadDraws::new(&mut self.rng);
+        let read = self.requests.get(&id)?;
+        match route_read(&self.view(), read, draws) {
+            ReadDecision::Trial(attempt) => {
+                let request_rate = self.throughput.total(&ATTEMPT_EWMA);
+                let down = self.cluster.server_mut(attempt.server)?.down_mut()?;
+                down.trial_started(self.now, request_rate);
+                Some(attempt)
+            }
+            ReadDecision::Route { attempt, position_check } => {
+                if let Some(server) = position_check {
+                    self.cluster.server_mut(server)?.position_check_sent(self.now);
+                    self.requests.get_mut(&id)?.position_check_sent();
+                    actions.push(Action::HealthCheck { server });
+                }
+                attempt
+            }
+        }
+    }
+
+    /// Sends an attempt.
+    fn forward(&mut self, id: RequestId, planned: PlannedAttempt, actions: &mut Vec<Action>) {
+        let now = self.now;
+        let Some(open) = self.requests.get_mut(&id) else { return };
+        let Some(server) = self.cluster.server_mut(planned.server) else { return };
+        let class = open.request().class;
+        let expected_secs = self.latencies.mean_secs(class);
+        server.attempt_sent(now, expected_secs, self.costs.cost(class.0), &self.settings.rules);
+        if open.first_possible_execution().is_some() {
+            self.retry_budget.spend();
+        }
+        let number = open.attempt_sent(planned.server, now);
+        let is_write = self.settings.classes[class.0].consistency == Consistency::Write;
+        if let Some(group) = self.cluster.groups_mut().get_mut(open.request().group) {
+            group.replica_set_mut().attempt_sent(planned.server, is_write, now);
+        }
+        let tracks_session = is_write && self.settings.session_tokens == SessionTokens::Tracked;
+        let session = open.request().session.clone().filter(|_| tracks_session);
+        let attempt = InFlightAttempt { server: planned.server, class, session, sent_at: now, expected_secs };
+        self.in_flight.insert(AttemptId { request: id, number }, attempt);
+        let timeout = Duration::from_secs_f64(planned.timeout_secs.max(MIN_ATTEMPT_TIMEOUT_SECS));
+        actions.push(Action::Forward { request: id, server: planned.server, timeout });
+    }
+
+    /// Gives the final answer to a request. `recovery_secs` is the time after which its group is expected to
+    /// take writes again.
+    pub(super) fn finish(&mut self, id: RequestId, recovery_secs: Option<f64>, actions: &mut Vec<Action>) {
+        if let Some(open) = self.requests.remove(&id) {
+            actions.push(final_answer(&open, recovery_secs, &self.settings));
+        }
+    }
+
+    /// Cancels the attempts of a request, where that is permitted.
+    pub(super) fn cancel_attempts(&self, request: RequestId, actions: &mut Vec<Action>) {
+        if self.settings.limits.allow_cancel {
+            let attempts = self.in_flight.of_request(request);
+            actions.extend(attempts.map(|id| Action::Cancel { request, attempt: id.number }));
+        }
+    }
+}
--- /dev/null
+++ b/core/src/routing/final_answer.rs
@@ -0,0 +1,25 @@
+//! The final answer to a request that got no response.
+
+use crate::api::{Action, Settings};
+use crate::failover::{retry_after_hint, RetrySafety};
+
+use super::open_request::OpenRequest;
+
+/// Part of the longest retry-after for requests whose late responses still count.
+const LATE_RETRY_SHARE: f64 = 0.5;
+
+/// Rejects a request where a retry is harmless, and fails it otherwise. `recovery_secs` is the time after
+/// which its group is expected to take writes again.
+pub(super) fn final_answer(request: &OpenRequest, recovery_secs: Option<f64>, settings: &Settings) -> Action {
+    let id = request.request().id;
+    let class = &settings.classes[request.request().class.0];
+    if request.retry_safety(class.idempotency) == RetrySafety::Unknown {
+        return Action::Fail { request: id };
+    }
+    let limits = &settings.limits;
+    // An early retry is of no use where a late response counts nothing.
+    let usual_share = if class.late_weight > 0.0 { LATE_RETRY_SHARE } else { 1.0 };
+    let usual = limits.max_retry_after.mul_f64(usual_share);
+    let hint = recovery_secs.map_or(usual, |secs| retry_after_hint(secs, limits.max_retry_after));
+    Action::Reject { request: id, retry_after: limits.send_retry_after.then_some(hint) }
+}
--- /dev/null
+++ b/core/src/routing/outlier_detection.rs
@@ -0,0 +1,152 @@
+//! Outlier detection: which servers don't respond.
+//!
+//! Each lost attempt is evidence against its server, the stronger the rarer such losses are in total, so that
+//! dead, hung and partitioned servers are found where few requests show it and no server is blamed for a
+//! fault that concerns all. The evidence adds up as log odds; any response clears it. Owns the shares of lost
+//! attempts and of refused connections over all servers.
+
+use crate::api::{Action, Outcome, Settings};
+use crate::ewma::Ewma;
+use crate::time::secs;
+
+use super::completion::Completion;
+use super::fleet::is_large_fleet;
+use super::server::{DownCause, DownState, Server, SuspicionChange};
+use super::ATTEMPT_EWMA;
+
+/// Weight of a loss that may be its connection's alone: two such losses are needed.
+const WEAK_EVIDENCE_WEIGHT: f64 = 0.5;
+/// Share of attempts without a response in normal operation.
+const USUAL_LOST_SHARE: f64 = 0.03;
+/// Largest share of lost attempts that the evidence is computed with.
+const MAX_LOST_SHARE: f64 = 0.9;
+/// Share of lost attempts above which the network is blamed, not the servers.
+const NETWORK_FAULT_SHARE: f64 = 0.5;
+/// A timeout counts as lost after the mean response time and this many deviations.
+const LOST_AFTER_DEVIATIONS: f64 = 3.0;
+/// Shortest time in seconds that a process needs to restart.
+const MIN_RESTART_SECS: f64 = 1.0;
+/// Share of attempts with a refused connection above which connections count as scarce.
+const MAX_REFUSED_SHARE: f64 = 0.1;
+/// A connection that fails within this part of the connect timeout was refused.
+const REFUSED_WITHIN: f64 = 0.5;
+
+/// What the detector has to know besides the completion.
+pub(super) struct CompletionContext<'s> {
+    /// The settings.
+    pub settings: &'s Settings,
+    /// Mean deviation of the class's response times, in seconds.
+    pub deviation_secs: f64,
+    /// The server is the primary of a group that is in no failover.
+    pub is_steady_primary: bool,
+}
+
+/// The detector.
+#[derive(Default)]
+pub(super) struct OutlierDetector {
+    lost: Ewma,
+    refused: Ewma,
+}
+
+impl OutlierDetector {
+    /// An attempt at a server ended.
+    pub fn attempt_ended(
+        &mut self,
+        server: &mut Server,
+        end: &Completion,
+        context: &CompletionContext,
+        now: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        let is_lost = match end.outcome {
+            Outcome::ConnectFailed | Outcome::Reset => true,
+            Outcome::Timeout => {
+                end.took_secs > end.usual_secs + LOST_AFTER_DEVIATIONS * context.deviation_secs
+            }
+            _ => false,
+        };
+        let lost_share =
+            self.lost.estimate(now, USUAL_LOST_SHARE, &ATTEMPT_EWMA).clamp(USUAL_LOST_SHARE, MAX_LOST_SHARE);
+        if is_lost || end.outcome.is_response() {
+            self.lost.record(now, f64::from(u8::from(is_lost)), &ATTEMPT_EWMA);
+        }
+        self.record_connection(server, end, context, now, actions);
+        if end.outcome.is_response() {
+            if let Some(down) = server.clear_suspicion() {
+                responded_again(server, &down, end, context, lost_share, now, actions);
+            }
+        }
+        let is_short_of_connections = end.outcome == Outcome::ConnectFailed && server.responded_recently(now);
+        if is_short_of_connections || end.outcome == Outcome::Rejected {
+            server.back_off(now);
+        } else if is_lost {
+            let log_odds = evidence_weight(server, end, context) * (1.0 / lost_share).ln();
+            let is_dead = end.outcome != Outcome::Timeout;
+            let cause = if is_dead { DownCause::Dead } else { DownCause::Unresponsive };
+            if server.attempt_lost(now, log_odds, cause) == SuspicionChange::Down {
+                actions.push(Action::Log(format!("server {} stopped responding", end.server.0)));
+            }
+        }
+    }
+
+    /// Learns whether connections are scarce. A server that refuses one and responds soon afterwards was
+    /// short of them; a dead one takes longer. Where they are scarce, idle connections are closed, so that
+    /// many instances that seldom send don't hold a few servers' connections. Each costs a further handshake.
+    fn record_connection(
+        &mut self,
+        server: &mut Server,
+        end: &Completion,
+        context: &CompletionContext,
+        now: f64,
+        actions: &mut Vec<Action>,
+    ) {
+        let settings = context.settings;
+        let refused_within_secs = REFUSED_WITHIN * secs(settings.limits.connect_timeout);
+        if end.outcome.is_response() {
+            let was_short = server.refused_within(now, MIN_RESTART_SECS);
+            self.refused.record(now, f64::from(u8::from(was_short)), &ATTEMPT_EWMA);
+        } else if end.outcome == Outcome::ConnectFailed && end.took_secs < refused_within_secs {
+            server.connection_refused(now);
+        }
+        let is_idle = server.load().in_flight() < 1.0;
+        let refused_share = self.refused.estimate(now, 0.0, &ATTEMPT_EWMA);
+        if is_idle && is_large_fleet(settings) && refused_share > MAX_REFUSED_SHARE {
+            actions.push(Action::CloseIdle { server: end.server });
+        }
+    }
+}
+
+/// A server that was down responded. If it was dead for long enough to have restarted, it warms up, although
+/// the endpoint list may report the start later. A primary that still is one has not restarted.
+fn responded_again(
+    server: &mut Server,
+    down: &DownState,
+    end: &Completion,
+    context: &CompletionContext,
+    lost_share: f64,
+    now: f64,
+    actions: &mut Vec<Action>,
+) {
+    let has_health_checks = context.settings.limits.allow_health_checks;
+    let min_down_secs = if has_health_checks { MIN_RESTART_SECS } else { 2.0 * MIN_RESTART_SECS };
+    let may_be_dead = down.cause() == DownCause::Dead || !has_health_checks;
+    let has_restarted = may_be_dead && now - down.since() > min_down_secs;
+    if has_restarted && end.is_primary != Some(true) && lost_share < NETWORK_FAULT_SHARE {
+        server.recovered_from_death(now, context.settings);
+        actions.push(Action::Log(format!("server {} responds again", end.server.0)));
+    }
+}
+
+/// How much a lost attempt counts against its server. Weak evidence is a broken connection, an attempt whose
+/// server has responded to others since, and a late response of a primary: all instances load it, and its
+/// silence is watched separately.
+fn evidence_weight(server: &Server, end: &Completion, context: &CompletionContext) -> f64 {
+    let is_loaded_primary =
+        is_large_fleet(context.settings) && context.is_steady_primary && end.outcome == Outcome::Timeout;
+    let has_responded_since = server.replication().last_response_at() > end.sent_at;
+    if end.outcome == Outcome::Reset || has_responded_since || is_loaded_primary {
+        WEAK_EVIDENCE_WEIGHT
+    } else {
+        1.0
+    }
+}
--- a/core/src/routing/position_probe.rs
+++ b/core/src/routing/position_probe.rs
@@ -1,143 +1,157 @@
-//! Asking where a replica stands: by a probe where reports tell it, else by a write on its way.
+//! Asks replicas for their replication position.
 //!
-//! A read goes to a replica only if that has told that it is far enough, so one that is never asked anything
-//! is of no use, and tells nothing either. Who is no primary turns a write away at once, untouched, and tells
-//! where it stands (a *scout*); a probe does so where there are load reports. Each replica that has told
-//! nothing yet is asked; beyond that, in a large fleet, one is asked where none is known to be fresh, for
-//! there a gateway sends a set so little that all its reads, and those of a hundred gateways together, would
-//! end at the primary.
-//!
-//! Owns when that is so and whom it falls on. It must never ask one where a word is not to be had at once,
-//! for the request waits for it, nor more than one for a request.
+//! A read goes only to a replica that has reported a sufficient position, so a replica that nobody asks
+//! serves nothing and reports nothing. A health check asks it where load reports exist. Elsewhere a write
+//! does: a server that is not the primary declines it at once, without executing it, and reports its
+//! position. Replicas that have reported nothing are always asked. In a large fleet one is also asked where
+//! none is known to be fresh, because each instance sends a group so little that the reads of all of them
+//! would go to the primary. At most one replica is asked for a request, and none that is down or closed.
+//! Times and positions are seconds on the engine's clock.
 
-use super::state::Server;
 use crate::api::{Consistency, LoadReports, ServerId, SessionTokens, Settings, StaleReadPolicy};
 use crate::failover::MAX_SILENCE_TO_ASK;
 use crate::time::secs;
 
-/// Part of the bound on age for which what a replica told must still hold. Of a set that is asked for
-/// something each few seconds, writes are most of what can prove a position anew, and the next may come when
-/// it holds no more.
-const HOLDS: f64 = 0.6;
-/// Time in s that a read of a large fleet waits for the position of a replica that was asked.
-const ASK_WAIT: f64 = 0.03;
-/// Time in s after which a replica is asked by a probe again: reports are that old.
-const ASK_AGAIN: f64 = 0.25;
+use super::cluster::Member;
+use super::fleet::is_large_fleet;
+use super::server::Server;
+
+/// Part of the staleness bound for which a reported position must stay sufficient. In a group that gets a
+/// request every few seconds, most requests that can refresh it are writes, and the next may come too late.
+const MIN_VALIDITY_SHARE: f64 = 0.6;
+/// Seconds for which a read of a large fleet waits for a position that was asked for.
+const MAX_REPORT_WAIT_SECS: f64 = 0.03;
+/// Seconds after which a replica's position is checked again: load reports are that old.
+const MIN_CHECK_INTERVAL_SECS: f64 = 0.25;
 
-/// Whether probes tell positions.
-fn probes_tell(settings: &Settings) -> bool {
+/// Whether health checks report positions.
+fn health_checks_report(settings: &Settings) -> bool {
     settings.limits.allow_health_checks && settings.load_reports != LoadReports::Never
 }
 
-/// What a write may find out on its way.
+/// Which positions a write may ask for.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct PositionDemand {
-    /// A replica must have told this position for reads to go anywhere.
-    position: Option<f64>,
-    /// Each replica that has told nothing is asked.
-    each: bool,
+pub(super) struct PositionDemand {
+    /// A replica must have reported this position for reads to go anywhere.
+    sufficient_position: Option<f64>,
+    /// Each replica that has reported nothing is asked.
+    asks_unreported: bool,
 }
 
 impl PositionDemand {
-    /// By the settings; `crowd` where many gateways share the servers.
-    pub fn new(settings: &Settings, crowd: bool, now: f64) -> Option<Self> {
-        let ages = settings.classes.iter().filter_map(|class| match class.consistency {
-            Consistency::BoundedStaleness(age) => Some(secs(age)),
+    /// The demand by the settings; `None` where writes have nothing to ask.
+    pub fn new(settings: &Settings, now: f64) -> Option<Self> {
+        let is_large = is_large_fleet(settings);
+        let max_ages = settings.classes.iter().filter_map(|class| match class.consistency {
+            Consistency::BoundedStaleness(max_age) => Some(secs(max_age)),
             _ => None,
         });
-        let age = ages.min_by(f64::total_cmp).filter(|_| crowd);
-        let position = age.map(|age| now - (1.0 - HOLDS) * age);
-        let kept = settings.session_tokens == SessionTokens::Tracked
+        let max_age = max_ages.min_by(f64::total_cmp).filter(|_| is_large);
+        let sufficient_position = max_age.map(|max_age| now - (1.0 - MIN_VALIDITY_SHARE) * max_age);
+        let tracks_sessions = settings.session_tokens == SessionTokens::Tracked
             && settings.stale_read_policy == StaleReadPolicy::AnswerStale;
-        let each = kept && !crowd && !probes_tell(settings);
-        let tells = settings.responses_carry_position && (position.is_some() || each);
-        tells.then_some(Self { position, each })
+        let asks_unreported = tracks_sessions && !is_large && !health_checks_report(settings);
+        let is_useful =
+            settings.responses_carry_position && (sufficient_position.is_some() || asks_unreported);
+        is_useful.then_some(Self { sufficient_position, asks_unreported })
+    }
+
+    fn is_met_by(self, server: &Server) -> bool {
+        self.sufficient_position.is_some_and(|position| server.replication().position() >= position)
+    }
+
+    fn asks(self, server: &Server) -> bool {
+        self.sufficient_position.is_some() || server.replication().position() <= 0.0
     }
 }
 
-/// Which of these replicas a write asks first, if any. `may` says whether a write could be sent there; each
-/// next `turn` is another one's.
-pub(crate) fn scout<'s>(
-    replicas: impl Iterator<Item = (ServerId, &'s Server)>,
-    wanted: PositionDemand,
+/// The replica that a write visits first, if any. `may_send` says whether the write could be sent to one;
+/// `turn` selects among several.
+pub(super) fn write_probe_target<'c>(
+    replicas: impl Iterator<Item = Member<'c>>,
+    demand: PositionDemand,
     now: f64,
-    may: impl Fn(ServerId, &Server) -> bool,
+    may_send: impl Fn(Member) -> bool,
     turn: u64,
 ) -> Option<ServerId> {
-    let mut able = Vec::new();
-    for (id, server) in replicas.filter(|(_, server)| server.down.is_none() && !server.closed()) {
-        if wanted.position.is_some_and(|position| server.position >= position) {
+    let mut candidates = Vec::new();
+    for replica in replicas.filter(is_askable) {
+        if demand.is_met_by(replica.server) {
             return None;
         }
-        let asks = wanted.position.is_some() || server.position <= 0.0;
-        if asks && server.silence(now) < MAX_SILENCE_TO_ASK && may(id, server) {
-            able.push(id);
+        let is_responsive = replica.server.silence_secs(now) < MAX_SILENCE_TO_ASK;
+        if demand.asks(replica.server) && is_responsive && may_send(replica) {
+            candidates.push(replica.id);
         }
     }
-    able.get(turn.checked_rem(able.len() as u64)? as usize).copied()
+    candidates.get(turn.checked_rem(candidates.len() as u64)? as usize).copied()
 }
 
-/// What a read that may go to replicas has asked of them by probes.
+/// Whether a read waits for a replica's position, and which one is checked for it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum ProbeDecision {
-    /// Nothing is to be asked.
-    Done,
-    /// One was asked a moment ago: the read waits for its word.
-    Waits,
-    /// This one is to be asked, and whether the read waits for its word.
-    Ask(ServerId, bool),
+pub(super) enum ProbeDecision {
+    /// No position is needed.
+    NotNeeded,
+    /// A replica was asked a moment ago: the read waits for its report.
+    AwaitReport,
+    /// This replica is to be checked; the read goes elsewhere meanwhile.
+    CheckAndProceed(ServerId),
+    /// This replica is to be checked, and the read waits for its report.
+    CheckAndWait(ServerId),
 }
 
-/// Whether a read asks one of these replicas by a probe. `fresh` where the read can go to one of them;
-/// `again` where it has asked already; `floor` is what reads of sessions without a mark must see. In a small
-/// fleet it goes elsewhere meanwhile.
-pub(crate) fn probe<'s>(
-    replicas: impl Iterator<Item = (ServerId, &'s Server)>,
-    settings: &Settings,
-    (crowd, fresh, again): (bool, bool, bool),
-    floor: f64,
-    now: f64,
-    turn: usize,
+/// A read that may have a replica's position checked.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct ReadProbe<'s> {
+    /// The settings.
+    pub settings: &'s Settings,
+    /// The read can go to a replica.
+    pub has_fresh_replica: bool,
+    /// A position was checked for the read before.
+    pub has_checked_already: bool,
+    /// The position that reads of sessions without a token must see.
+    pub session_floor: f64,
+    /// The time.
+    pub now: f64,
+    /// Selects among several replicas.
+    pub turn: usize,
+}
+
+/// Decides whether a read checks the position of one of these replicas by a health check.
+pub(super) fn read_probe_decision<'c>(
+    replicas: impl Iterator<Item = Member<'c>>,
+    probe: &ReadProbe,
 ) -> ProbeDecision {
-    if !probes_tell(settings)
-        || settings.stale_read_policy != StaleReadPolicy::AnswerStale
-        || (crowd && fresh)
+    let is_large = is_large_fleet(probe.settings);
+    if !health_checks_report(probe.settings)
+        || probe.settings.stale_read_policy != StaleReadPolicy::AnswerStale
+        || (is_large && probe.has_fresh_replica)
     {
-        return ProbeDecision::Done;
+        return ProbeDecision::NotNeeded;
     }
-    let able: Vec<_> = replicas.filter(|(_, s)| s.down.is_none() && !s.closed()).collect();
-    if crowd && able.iter().any(|(_, s)| s.probing && now - s.asked < ASK_WAIT) {
-        return ProbeDecision::Waits;
+    let askable: Vec<_> = replicas.filter(is_askable).collect();
+    let was_just_asked = |server: &Server| {
+        server.is_health_check_pending() && server.secs_since_position_check(probe.now) < MAX_REPORT_WAIT_SECS
+    };
+    if is_large && askable.iter().any(|replica| was_just_asked(replica.server)) {
+        return ProbeDecision::AwaitReport;
     }
-    let asks = |s: &Server| crowd || (now - s.asked >= ASK_AGAIN && s.position <= floor);
-    let able: Vec<_> = able.into_iter().filter(|(_, s)| asks(s)).map(|(id, _)| id).collect();
-    match able.get(turn.checked_rem(able.len()).unwrap_or(0)) {
-        Some(id) if !again => ProbeDecision::Ask(*id, crowd),
-        _ => ProbeDecision::Done,
+    let is_behind = |server: &Server| {
+        server.secs_since_position_check(probe.now) >= MIN_CHECK_INTERVAL_SECS
+            && server.replication().position() <= probe.session_floor
+    };
+    let candidates: Vec<_> =
+        askable.into_iter().filter(|replica| is_large || is_behind(replica.server)).collect();
+    match candidates.get(probe.turn.checked_rem(candidates.len()).unwrap_or(0)) {
+        Some(replica) if !probe.has_checked_already && is_large => ProbeDecision::CheckAndWait(replica.id),
+        Some(replica) if !probe.has_checked_already => ProbeDecision::CheckAndProceed(replica.id),
+        _ => ProbeDecision::NotNeeded,
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn asked(positions: &[f64], may: impl Fn(ServerId, &Server) -> bool, turn: u64) -> Option<ServerId> {
-        let servers: Vec<_> = positions
-            .iter()
-            .map(|position| Server { position: *position, oldest: f64::INFINITY, ..Server::default() })
-            .collect();
-        let ids = servers.iter().enumerate().map(|(i, s)| (ServerId(i as u32), s));
-        scout(ids, PositionDemand { position: Some(98.8), each: false }, 100.0, may, turn)
-    }
-
-    #[test]
-    fn a_write_asks_only_where_no_replica_is_known_to_be_fresh() {
-        let any = |_, _: &Server| true;
-        assert_eq!(asked(&[0.0, 90.0], any, 7), Some(ServerId(1)));
-        assert_eq!(asked(&[0.0, 99.2], any, 7), None, "reads can go there");
-        assert_eq!(asked(&[0.0, 98.7], any, 0), Some(ServerId(0)), "not for long any more");
-        assert_eq!(asked(&[0.0, 90.0], |id, _| id == ServerId(0), 7), Some(ServerId(0)));
-        assert_eq!(asked(&[0.0, 90.0], |_, _| false, 7), None);
-        assert_eq!(asked(&[], any, 7), None);
-    }
+fn is_askable(replica: &Member) -> bool {
+    replica.server.is_up() && !replica.server.is_closed()
 }
+
+#[cfg(test)]
+mod tests;
--- a/core/src/routing/snapshot.rs
+++ b/core/src/routing/snapshot.rs
@@ -1,89 +1,98 @@
 //! Takes and restores the state that passes between two processes of one proxy instance.
+//!
+//! Times in a snapshot are seconds on the engine's clock. A restored time counts only if it is finite and
+//! lies in the past.
 
-use crate::api::{PeerMessage, ServerId, ServerSnapshot, StateSnapshot};
-use crate::concurrency_limit::ConcurrencyLimit;
-use crate::routing::state::{DownState, Server};
-use crate::routing::RoutingEngine;
+use crate::api::{ServerId, ServerSnapshot, Settings, StateSnapshot};
+use crate::session_tokens::SessionTokenStore;
 
-impl RoutingEngine {
-    /// What another process of this proxy must know.
-    pub fn snapshot(&self) -> StateSnapshot {
-        let (floor, marks) = self.sessions.snapshot();
-        let stood = |(id, s): (&ServerId, &Server)| {
-            let set = self.groups.get(&s.group).map(|group| &group.set);
-            ServerSnapshot {
-                server: id.0,
-                position: Some(s.position).filter(|at| *at > 0.0),
-                last_response: s.heard,
-                primary: s.heard > 0.0 && set.is_some_and(|set| set.primary() == Some(*id)),
-                replica_at: s.replica_at,
-                started: s.started,
-                warm_up_budget: s.budget,
-                concurrency_limit: Some(s.window.limit),
-                down: s.down.as_ref().map(|down| (down.since, down.dead)),
-                replica_set: set.map(|set| set.snapshot(*id, self.now)).unwrap_or_default(),
-            }
-        };
-        StateSnapshot {
-            session_floor: Some(floor),
-            session_tokens: marks.map(|(session, mark)| (session.to_owned(), mark)).collect(),
-            servers: self.servers.iter().map(stood).collect(),
-        }
+use super::cluster::{Cluster, Member};
+use super::server::{DownCause, Server, StatusReport};
+
+/// All that another process of this proxy instance must know.
+pub(super) fn take(cluster: &Cluster, sessions: &SessionTokenStore, now: f64) -> StateSnapshot {
+    let (floor, tokens) = sessions.snapshot();
+    StateSnapshot {
+        session_floor: Some(floor),
+        session_tokens: tokens.map(|(session, commit)| (session.to_owned(), commit)).collect(),
+        servers: cluster.servers().map(|member| take_server(cluster, member, now)).collect(),
     }
+}
 
-    /// Takes over what another process knew; its times are on this gateway's clock by now.
-    pub(super) fn restore(&mut self, heritage: StateSnapshot) {
-        let now = self.now;
-        self.sessions.restore(heritage.session_floor, now);
-        heritage
-            .session_tokens
-            .into_iter()
-            .for_each(|(session, mark)| self.sessions.record_write(session, mark.min(now)));
-        for stood in heritage.servers {
-            self.restore_server(&stood);
-        }
+fn take_server(cluster: &Cluster, member: Member, now: f64) -> ServerSnapshot {
+    let Member { id, server } = member;
+    let set = cluster.groups().get(server.group()).map(|group| group.replica_set());
+    let replication = server.replication();
+    let has_responded = replication.last_response_at() > 0.0;
+    ServerSnapshot {
+        server: id.0,
+        position: Some(replication.position()).filter(|position| *position > 0.0),
+        last_response: replication.last_response_at(),
+        primary: has_responded && set.is_some_and(|set| set.primary() == Some(id)),
+        replica_at: replication.reported_replica_at(),
+        started: server.warm_up().started_at(),
+        warm_up_budget: server.warm_up().budget(),
+        concurrency_limit: Some(server.concurrency_limit()),
+        down: server.down().map(|down| (down.since(), down.cause() == DownCause::Dead)),
+        replica_set: set.map(|set| set.snapshot(id, now)).unwrap_or_default(),
     }
+}
 
-    fn restore_server(&mut self, stood: &ServerSnapshot) {
-        let (now, id) = (self.now, ServerId(stood.server));
-        let past = |time: f64| Some(time).filter(|time| time.is_finite() && *time > 0.0 && *time <= now);
-        if !self.servers.contains_key(&id) {
-            return;
-        }
-        if let Some(heard) = past(stood.last_response) {
-            let role = if stood.primary { Some(true) } else { stood.replica_at.map(|_| false) };
-            self.learn_stand(id, heard, None, (stood.position.and_then(past), role));
-        }
-        let Some(server) = self.servers.get_mut(&id) else { return };
-        if let Some(started) =
-            stood.started.and_then(past).filter(|at| server.started.is_none_or(|s| *at > s))
-        {
-            server.started = Some(started);
-        }
-        if server.cold(now, &self.cfg.rules) < 1.0 {
-            server.budget =
-                server.budget.min(Some(stood.warm_up_budget).filter(|b| b.is_finite()).unwrap_or(0.0));
-        }
-        if let Some(most) = stood.concurrency_limit {
-            server.window = ConcurrencyLimit::with_limit(now, most);
-        }
-        if let Some((since, dead)) = stood.down.filter(|(since, _)| past(*since).is_some()) {
-            server.down.get_or_insert_with(|| DownState { since, ..DownState::soon(now, dead) });
-        }
-        let set = &mut self.groups.entry(server.group).or_default().set;
-        set.restore(id, &stood.replica_set, now);
+/// Takes over what another process knew.
+pub(super) fn restore(
+    snapshot: StateSnapshot,
+    cluster: &mut Cluster,
+    sessions: &mut SessionTokenStore,
+    settings: &Settings,
+    now: f64,
+) {
+    sessions.restore(snapshot.session_floor, now);
+    for (session, commit) in snapshot.session_tokens {
+        sessions.record_write(session, commit.min(now));
+    }
+    for server in &snapshot.servers {
+        restore_status(server, cluster, now);
+        restore_server(server, cluster, settings, now);
     }
+}
+
+/// A time that is finite and lies in the past.
+fn past(time: f64, now: f64) -> Option<f64> {
+    Some(time).filter(|time| time.is_finite() && *time > 0.0 && *time <= now)
+}
 
-    /// Learns what the other process told.
-    pub(crate) fn learn_word(&mut self, word: PeerMessage) {
-        match word {
-            PeerMessage::SessionWrite { session, commit } => self.sessions.record_write(session, commit),
-            PeerMessage::PeerUnreachable(blind) => self.sessions.set_peer_unreachable(blind, self.now),
-            PeerMessage::ProcessPaused(long) => self.sessions.distrust_until(self.now + long.as_secs_f64()),
-            PeerMessage::ServerWithdrawn(id) => {
-                self.servers.entry(id).and_modify(|server| server.barred = true);
-                self.groups.values_mut().for_each(|group| group.set.server_withdrawn(id, self.now, true));
-            }
-        }
+fn restore_status(snapshot: &ServerSnapshot, cluster: &mut Cluster, now: f64) {
+    let Some(valid_at) = past(snapshot.last_response, now) else { return };
+    let was_replica = snapshot.replica_at.is_some();
+    let is_primary = (snapshot.primary || was_replica).then_some(snapshot.primary);
+    let position = snapshot.position.and_then(|position| past(position, now));
+    let report = StatusReport { valid_at, sent_at: None, position, is_primary };
+    cluster.record_status(ServerId(snapshot.server), report, now);
+}
+
+fn restore_server(snapshot: &ServerSnapshot, cluster: &mut Cluster, settings: &Settings, now: f64) {
+    let id = ServerId(snapshot.server);
+    let Some(server) = cluster.server_mut(id) else { return };
+    if let Some(started_at) = snapshot.started.and_then(|started_at| past(started_at, now)) {
+        server.warm_up_mut().observe_start(started_at);
+    }
+    if !server.is_warm(now, &settings.rules) {
+        let budget = Some(snapshot.warm_up_budget).filter(|budget| budget.is_finite()).unwrap_or(0.0);
+        server.warm_up_mut().cap_budget(budget);
     }
+    if let Some(limit) = snapshot.concurrency_limit {
+        server.restore_concurrency_limit(now, limit);
+    }
+    restore_down(snapshot, server, now);
+    let group = server.group();
+    let set = cluster.groups_mut().get_or_create(group).replica_set_mut();
+    set.restore(id, &snapshot.replica_set, now);
+}
+
+fn restore_down(snapshot: &ServerSnapshot, server: &mut Server, now: f64) {
+    let Some((since, was_dead)) = snapshot.down.filter(|(since, _)| past(*since, now).is_some()) else {
+        return;
+    };
+    let cause = if was_dead { DownCause::Dead } else { DownCause::Unresponsive };
+    server.restore_down(since, now, cause);
 }
--- /dev/null
+++ b/core/src/routing/tenant_meter.rs
@@ -0,0 +1,89 @@
+//! What each tenant sends and how many of its requests fail.
+//!
+//! Owns a rate and an error share per tenant. Where the errors of one tenant are many times those of the
+//! others, they count as the tenant's own: its servers are not blamed and its requests are not retried.
+
+use crate::api::{Outcome, Settings, TenantId};
+use crate::ewma::Ewma;
+
+use super::ATTEMPT_EWMA;
+
+/// Seconds over which a tenant's request rate is averaged.
+const RATE_WINDOW_SECS: f64 = 2.0;
+/// Least error share that counts as a tenant's own.
+const MIN_OWN_ERROR_SHARE: f64 = 0.15;
+/// Multiple of the other tenants' error share that counts as a tenant's own.
+const OWN_ERROR_FACTOR: f64 = 4.0;
+/// Weight of the other tenants' count before any of them is added.
+const PRIOR_TENANTS: f64 = 0.1;
+
+#[derive(Default, Clone)]
+struct TenantMeter {
+    errors: Ewma,
+    requests_per_s: f64,
+    last_request_at: f64,
+}
+
+impl TenantMeter {
+    fn error_share(&self, now: f64) -> f64 {
+        self.errors.estimate(now, 0.0, &ATTEMPT_EWMA)
+    }
+}
+
+/// The meters of all tenants.
+pub(super) struct TenantMeters {
+    meters: Vec<TenantMeter>,
+}
+
+/// Who caused the end of an attempt.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum FaultOwner {
+    /// The server, or the way to it.
+    Server,
+    /// The tenant, whose requests fail on every server.
+    Tenant,
+}
+
+impl TenantMeters {
+    /// Meters that have seen nothing.
+    pub fn new(tenant_count: usize) -> Self {
+        Self { meters: vec![TenantMeter::default(); tenant_count] }
+    }
+
+    /// There are this many tenants from now on.
+    pub fn resize(&mut self, tenant_count: usize) {
+        self.meters.resize(tenant_count, TenantMeter::default());
+    }
+
+    /// A request arrived. Returns whether its tenant exceeds its quota, as far as this instance's share of
+    /// the requests shows.
+    pub fn request_arrived(&mut self, tenant: TenantId, now: f64, settings: &Settings) -> bool {
+        let meter = &mut self.meters[tenant.0];
+        let decay = (-(now - meter.last_request_at) / RATE_WINDOW_SECS).exp();
+        meter.requests_per_s = meter.requests_per_s * decay + 1.0 / RATE_WINDOW_SECS;
+        meter.last_request_at = now;
+        let total_rate = meter.requests_per_s * f64::from(settings.instance_count);
+        total_rate > settings.tenants[tenant.0].quota_per_s
+    }
+
+    /// An attempt of a tenant's request ended. Returns who caused it.
+    pub fn attempt_ended(&mut self, tenant: Option<TenantId>, outcome: Outcome, now: f64) -> FaultOwner {
+        let has_result = matches!(outcome, Outcome::Success | Outcome::ServerError);
+        let Some(tenant) = tenant.filter(|_| has_result) else { return FaultOwner::Server };
+        let is_error = f64::from(u8::from(outcome == Outcome::ServerError));
+        self.meters[tenant.0].errors.record(now, is_error, &ATTEMPT_EWMA);
+        let mut other_errors = 0.0;
+        let mut other_tenants = PRIOR_TENANTS;
+        for (_, meter) in self.meters.iter().enumerate().filter(|(index, _)| *index != tenant.0) {
+            other_errors += meter.error_share(now);
+            other_tenants += 1.0;
+        }
+        let max_share = (OWN_ERROR_FACTOR * other_errors / other_tenants).max(MIN_OWN_ERROR_SHARE);
+        let own_share = self.meters[tenant.0].error_share(now);
+        if outcome == Outcome::Success || own_share < max_share {
+            FaultOwner::Server
+        } else {
+            FaultOwner::Tenant
+        }
+    }
+}
--- /dev/null
+++ b/core/src/routing/timer.rs
@@ -0,0 +1,99 @@
+//! When the engine is stepped next, and when it does its upkeep.
+//!
+//! Owns the step timer, of which at most one is pending, and the time of the last upkeep. Times are seconds
+//! on the engine's clock.
+
+use std::time::Duration;
+
+use crate::api::{Action, Settings, TimerId};
+use crate::time::secs;
+
+/// Seconds between two upkeeps.
+const UPKEEP_INTERVAL_SECS: f64 = 0.05;
+/// Longest time in seconds that one upkeep accounts for.
+const MAX_UPKEEP_SECS: f64 = 1.0;
+/// Seconds between steps while no request is open.
+const IDLE_STEP_INTERVAL_SECS: f64 = 0.2;
+/// Shortest interval in seconds that the steps of queued requests are computed with.
+const MIN_QUEUE_STEP_SECS: f64 = 0.005;
+/// Steps of queued requests come after this many of the shortest intervals.
+const QUEUE_STEP_FACTOR: f64 = 2.0;
+/// A pending timer is replaced if it is due later than wanted by more than this, in seconds.
+const TIMER_TOLERANCE_SECS: f64 = 0.001;
+/// Delay in seconds of a timer from which on the process counts as paused.
+const MIN_PAUSE_SECS: f64 = 0.1;
+
+/// What the interval until the next step depends on.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Activity {
+    /// No request is open.
+    Idle,
+    /// All open requests are in flight.
+    InFlight,
+    /// A request waits for a server.
+    Queued,
+}
+
+/// The step timer.
+#[derive(Default)]
+pub(super) struct StepTimer {
+    due_at: Option<f64>,
+    last_id: u64,
+    pause_secs: f64,
+}
+
+impl StepTimer {
+    /// A step begins. A timer that is overdue by far shows that the process was paused.
+    pub fn step_started(&mut self, now: f64) {
+        let overdue_secs = self.due_at.map_or(0.0, |due_at| now - due_at);
+        self.pause_secs = if overdue_secs > MIN_PAUSE_SECS { overdue_secs } else { 0.0 };
+    }
+
+    /// Seconds for which the process was paused before this step.
+    pub fn pause_secs(&self) -> f64 {
+        self.pause_secs
+    }
+
+    /// A timer came due.
+    pub fn fired(&mut self, id: TimerId) {
+        if id.0 == self.last_id {
+            self.due_at = None;
+        }
+    }
+
+    /// Sets the timer, unless the pending one is due early enough.
+    pub fn schedule(&mut self, now: f64, activity: Activity, settings: &Settings, actions: &mut Vec<Action>) {
+        let after_secs = match activity {
+            Activity::Idle => IDLE_STEP_INTERVAL_SECS,
+            Activity::InFlight => UPKEEP_INTERVAL_SECS,
+            Activity::Queued => QUEUE_STEP_FACTOR * secs(settings.min_step_interval).max(MIN_QUEUE_STEP_SECS),
+        };
+        let due_at = now + after_secs;
+        let is_pending =
+            self.due_at.is_some_and(|pending| pending <= due_at + TIMER_TOLERANCE_SECS && pending >= now);
+        if !is_pending {
+            self.last_id += 1;
+            self.due_at = Some(due_at);
+            let after = Duration::from_secs_f64(after_secs);
+            actions.push(Action::SetTimer { after, id: TimerId(self.last_id) });
+        }
+    }
+}
+
+/// The time of the last upkeep.
+#[derive(Default)]
+pub(super) struct UpkeepSchedule {
+    last_at: f64,
+}
+
+impl UpkeepSchedule {
+    /// Starts an upkeep where one is due. Returns the seconds that it accounts for.
+    pub fn start_if_due(&mut self, now: f64) -> Option<f64> {
+        let elapsed_secs = (now - self.last_at).min(MAX_UPKEEP_SECS);
+        if elapsed_secs < UPKEEP_INTERVAL_SECS {
+            return None;
+        }
+        self.last_at = now;
+        Some(elapsed_secs)
+    }
+}
--- a/core/tests/routing.rs
+++ b/core/tests/routing.rs
@@ -546,7 +546,8 @@
     for broken in 1..=2 {
         assert_eq!(targets(&b.call(ONCE)), [1]);
         let after = b.end(Outcome::Reset, None, ms(0));
-        let down = after.iter().any(|a| matches!(a, Action::Log(text) if text.contains("gives no answers")));
+        let down =
+            after.iter().any(|a| matches!(a, Action::Log(text) if text.contains("stopped responding")));
         assert_eq!(down, broken == 2);
     }
 }
@@ -568,7 +569,8 @@
         }
         b.pass(ms(900));
         let after = b.end_of(r, a, server, Outcome::Timeout, None, ms(0));
-        let down = after.iter().any(|a| matches!(a, Action::Log(text) if text.contains("gives no answers")));
+        let down =
+            after.iter().any(|a| matches!(a, Action::Log(text) if text.contains("stopped responding")));
         assert_eq!(down, !answered);
     }
 }
