--- a/core/tests/common/mod.rs
+++ b/core/tests/common/mod.rs
@@ -1,45 +1,50 @@
-//! A small cluster to drive the module with: one group, server 1 the primary, 2 and 3 its replicas.
-#![allow(dead_code)] // each test file uses a part of this
+//! A small cluster to test the routing engine with: one group, whose primary is server 1 and whose replicas are
+//! servers 2 and 3.
+#![allow(dead_code, unused_imports)] // each test crate uses a part of this
 
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 use pipittack_core::api::*;
 use pipittack_core::RoutingEngine;
 
-pub const LOOK: ClassId = ClassId(0);
-pub const OWN: ClassId = ClassId(1);
-pub const POST: ClassId = ClassId(2);
-pub const ONCE: ClassId = ClassId(3);
-pub const ANY: ClassId = ClassId(4);
+/// Reads with a bound on staleness.
+pub const BOUNDED_READ: ClassId = ClassId(0);
+/// Reads that see the writes of their session.
+pub const SESSION_READ: ClassId = ClassId(1);
+/// Writes with an idempotency key.
+pub const KEYED_WRITE: ClassId = ClassId(2);
+/// Writes that must not be executed twice.
+pub const UNIQUE_WRITE: ClassId = ClassId(3);
+/// Reads that any member may serve.
+pub const EVENTUAL_READ: ClassId = ClassId(4);
 
-pub fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+// Former names, which tests/driver.rs and core/tests/failover.rs still use.
+pub const LOOK: ClassId = BOUNDED_READ;
+pub const OWN: ClassId = SESSION_READ;
+pub const POST: ClassId = KEYED_WRITE;
+pub const ONCE: ClassId = UNIQUE_WRITE;
+pub const ANY: ClassId = EVENTUAL_READ;
+pub use endpoint as entry;
+pub use failure_count as failures;
+pub use forwarded_to as targets;
+pub use rejection_count as refusals;
+
+/// The server that is the primary at first.
+pub const PRIMARY: ServerId = ServerId(1);
+
+pub fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
 }
 
+/// Settings of the only instance of a fleet.
 pub fn settings() -> Settings {
-    let class = |effect, need| Class {
-        priority_weight: 1.0,
-        latency_objective: ms(500),
-        latency_objective_stretch: 0.0,
-        deadline: ms(2000),
-        late_weight: 0.0,
-        idempotency: effect,
-        consistency: need,
-        streaming: false,
-    };
-    let keyed = Idempotency::WithKey { scope: KeyScope::Group, window: ms(1500) };
     Settings {
         instance_index: 0,
         instance_count: 1,
         zone: ZoneId(0),
         min_step_interval: ms(5),
-        classes: vec![
-            class(Idempotency::Idempotent, Consistency::BoundedStaleness(ms(1000))),
-            class(Idempotency::Idempotent, Consistency::Causal),
-            Class { late_weight: 0.5, ..class(keyed, Consistency::Write) },
-            Class { late_weight: 0.5, ..class(Idempotency::NonIdempotent, Consistency::Write) },
-            class(Idempotency::Idempotent, Consistency::Eventual),
-        ],
+        classes: classes(),
         tenants: Vec::new(),
         over_quota_weight: 1.0,
         stale_read_policy: StaleReadPolicy::AnswerStale,
@@ -48,27 +53,8 @@
         listed_role: ListedRole::Delayed,
         load_reports: LoadReports::Never,
         discovery: DiscoveryMode::Push,
-        limits: Limits {
-            max_attempts: 6,
-            allow_cancel: true,
-            allow_gossip: false,
-            allow_health_checks: false,
-            allow_hedging: false,
-            send_retry_after: true,
-            max_retry_after: ms(1000),
-            connect_timeout: ms(250),
-            max_streams_per_connection: 8,
-        },
-        rules: ServiceRules {
-            answer_grace_period: ms(20),
-            poll_interval: ms(10_000),
-            initial_capacity_share: 0.2,
-            warm_up: ms(15_000),
-            overload_factor: 2.5,
-            overload_duration: ms(1500),
-            drain_grace_period: ms(250),
-            removed_may_serve: false,
-        },
+        limits: limits(),
+        rules: service_rules(),
         prices: Prices {
             cross_zone: 0.0,
             health_check: 0.0,
@@ -80,28 +66,96 @@
     }
 }
 
-pub fn entry(server: u32, head: bool) -> Endpoint {
+/// Settings of one instance of a large fleet.
+pub fn large_fleet_settings() -> Settings {
+    Settings { instance_count: 100, ..settings() }
+}
+
+fn classes() -> Vec<Class> {
+    let class = |idempotency, consistency| Class {
+        priority_weight: 1.0,
+        latency_objective: ms(500),
+        latency_objective_stretch: 0.0,
+        deadline: ms(2000),
+        late_weight: 0.0,
+        idempotency,
+        consistency,
+        streaming: false,
+    };
+    let with_key = Idempotency::WithKey { scope: KeyScope::Group, window: ms(1500) };
+    vec![
+        class(Idempotency::Idempotent, Consistency::BoundedStaleness(ms(1000))),
+        class(Idempotency::Idempotent, Consistency::Causal),
+        Class { late_weight: 0.5, ..class(with_key, Consistency::Write) },
+        Class { late_weight: 0.5, ..class(Idempotency::NonIdempotent, Consistency::Write) },
+        class(Idempotency::Idempotent, Consistency::Eventual),
+    ]
+}
+
+fn limits() -> Limits {
+    Limits {
+        max_attempts: 6,
+        allow_cancel: true,
+        allow_gossip: false,
+        allow_health_checks: false,
+        allow_hedging: false,
+        send_retry_after: true,
+        max_retry_after: ms(1000),
+        connect_timeout: ms(250),
+        max_streams_per_connection: 8,
+    }
+}
+
+fn service_rules() -> ServiceRules {
+    ServiceRules {
+        answer_grace_period: ms(20),
+        poll_interval: ms(10_000),
+        initial_capacity_share: 0.2,
+        warm_up: ms(15_000),
+        overload_factor: 2.5,
+        overload_duration: ms(1500),
+        drain_grace_period: ms(250),
+        removed_may_serve: false,
+    }
+}
+
+/// An entry of the endpoint list.
+pub fn endpoint(server: u32, listed_primary: bool) -> Endpoint {
     Endpoint {
         server: ServerId(server),
         zone: ZoneId(0),
         machine_kind: MachineKindId(0),
         group: GroupId(1),
-        listed_primary: head,
+        listed_primary,
         state: EndpointState::Healthy,
         relative_capacity: 1.0,
         started_at: None,
     }
 }
 
-/// A gateway under test, its clock and what it still has out.
+/// The endpoint list of the cluster.
+pub fn endpoint_list() -> Vec<Endpoint> {
+    vec![endpoint(1, true), endpoint(2, false), endpoint(3, false)]
+}
+
+/// An attempt that the engine has forwarded.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct SentAttempt {
+    pub request: RequestId,
+    pub number: u32,
+    pub server: ServerId,
+}
+
+/// An engine under test, its clock and its attempts in flight.
 pub struct Bench {
-    pub gateway: RoutingEngine,
+    pub engine: RoutingEngine,
     pub now: Duration,
-    next: u64,
-    pub sent: Vec<(RequestId, u32, ServerId)>,
+    /// Attempts in flight, in the order of sending.
+    pub sent: Vec<SentAttempt>,
     /// The class of each request.
-    pub kinds: std::collections::BTreeMap<RequestId, ClassId>,
-    counts: std::collections::BTreeMap<RequestId, u32>,
+    pub classes: BTreeMap<RequestId, ClassId>,
+    last_request: u64,
+    attempt_counts: BTreeMap<RequestId, u32>,
 }
 
 impl Bench {
@@ -110,43 +164,44 @@
     }
 
     pub fn seeded(settings: Settings, seed: u64) -> Self {
-        let gateway = RoutingEngine::new(settings, seed).expect("valid settings");
+        let engine = RoutingEngine::new(settings, seed).expect("valid settings");
         let mut bench = Self {
-            gateway,
+            engine,
             now: ms(100_000),
-            next: 0,
             sent: Vec::new(),
-            kinds: Default::default(),
-            counts: Default::default(),
+            classes: BTreeMap::new(),
+            last_request: 0,
+            attempt_counts: BTreeMap::new(),
         };
-        let list = vec![entry(1, true), entry(2, false), entry(3, false)];
-        bench.step(vec![Event::Endpoints(EndpointUpdate::Cached(list))]);
+        bench.step(vec![Event::Endpoints(EndpointUpdate::Cached(endpoint_list()))]);
         bench
     }
 
     pub fn step(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.gateway.step(self.now, events, &mut actions);
+        self.engine.step(self.now, events, &mut actions);
         for action in &actions {
             if let Action::Forward { request, server, .. } = action {
-                let count = self.counts.entry(*request).or_default();
-                self.sent.push((*request, *count, *server));
+                let count = self.attempt_counts.entry(*request).or_default();
+                self.sent.push(SentAttempt { request: *request, number: *count, server: *server });
                 *count += 1;
             }
         }
         actions
     }
 
+    /// Lets time pass, then steps the engine without an event.
     pub fn pass(&mut self, time: Duration) -> Vec<Action> {
         self.now += time;
         self.step(Vec::new())
     }
 
+    /// A new request of a class.
     pub fn request(&mut self, class: ClassId) -> Request {
-        self.next += 1;
-        self.kinds.insert(RequestId(self.next), class);
+        self.last_request += 1;
+        self.classes.insert(RequestId(self.last_request), class);
         Request {
-            id: RequestId(self.next),
+            id: RequestId(self.last_request),
             class,
             group: GroupId(1),
             tenant: None,
@@ -165,70 +220,86 @@
         self.step(vec![Event::Request(request)])
     }
 
-    /// Ends the oldest attempt that is out; `primary` is what the answer says of its server.
-    pub fn end(&mut self, outcome: Outcome, primary: Option<bool>, behind: Duration) -> Vec<Action> {
-        let (request, attempt, server) = self.sent.remove(0);
-        self.end_of(request, attempt, server, outcome, primary, behind)
+    /// Ends the oldest attempt in flight; see [`Self::end_attempt`].
+    pub fn end(&mut self, outcome: Outcome, is_primary: Option<bool>, lag: Duration) -> Vec<Action> {
+        let attempt = self.sent.remove(0);
+        self.end_attempt(attempt, outcome, is_primary, lag)
     }
 
-    pub fn end_of(
+    /// Ends an attempt. `is_primary` is the role that the response reports, and `lag` how far its position is
+    /// behind.
+    pub fn end_attempt(
         &mut self,
-        request: RequestId,
-        attempt: u32,
-        server: ServerId,
+        attempt: SentAttempt,
         outcome: Outcome,
-        primary: Option<bool>,
-        behind: Duration,
+        is_primary: Option<bool>,
+        lag: Duration,
     ) -> Vec<Action> {
-        let note = primary.map(|p| ServerStatus { position: Some(self.now - behind), primary: Some(p) });
+        let status =
+            is_primary.map(|primary| ServerStatus { position: Some(self.now - lag), primary: Some(primary) });
         self.step(vec![Event::AttemptEnded(AttemptEnded {
-            request,
-            attempt: AttemptNumber(attempt),
-            server,
+            request: attempt.request,
+            attempt: AttemptNumber(attempt.number),
+            server: attempt.server,
             outcome,
             round_trip: ms(10),
             request_complete: outcome == Outcome::Success,
-            status: note,
+            status,
             load_report: None,
         })])
     }
 
-    /// Lets every member tell where it stands: the replicas so far behind the primary.
-    pub fn hear_all(&mut self, behind: Duration) {
+    /// The former name of [`Self::report_all`], which core/tests/failover.rs still uses.
+    pub fn hear_all(&mut self, lag: Duration) {
+        self.report_all(lag);
+    }
+
+    /// Lets every member report its position, the replicas with this lag.
+    pub fn report_all(&mut self, lag: Duration) {
         for _ in 0..60 {
-            self.call(ANY);
+            self.call(EVENTUAL_READ);
             self.now += ms(10);
-            while let Some((_, _, server)) = self.sent.first().copied() {
-                let primary = server == ServerId(1);
-                self.end(Outcome::Success, Some(primary), if primary { ms(0) } else { behind });
+            while let Some(attempt) = self.sent.first().copied() {
+                let is_primary = attempt.server == PRIMARY;
+                self.end(Outcome::Success, Some(is_primary), if is_primary { ms(0) } else { lag });
             }
         }
         for server in [2, 3] {
-            let report = LoadReport {
-                position: Some(self.now - behind),
-                primary: Some(false),
-                ..LoadReport::default()
-            };
-            let probed =
+            let report =
+                LoadReport { position: Some(self.now - lag), primary: Some(false), ..LoadReport::default() };
+            let checked =
                 Event::HealthChecked { server: ServerId(server), ok: true, load_report: Some(report) };
-            self.step(vec![probed]);
+            self.step(vec![checked]);
         }
     }
 }
 
-/// Where the actions send something.
-pub fn targets(actions: &[Action]) -> Vec<u32> {
-    let target = |a: &Action| match a {
+/// The servers that requests are forwarded to.
+pub fn forwarded_to(actions: &[Action]) -> Vec<u32> {
+    let server = |action: &Action| match action {
         Action::Forward { server, .. } => Some(server.0),
         _ => None,
     };
-    actions.iter().filter_map(target).collect()
+    actions.iter().filter_map(server).collect()
 }
 
-pub fn refusals(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Reject { .. })).count()
+pub fn rejection_count(actions: &[Action]) -> usize {
+    actions.iter().filter(|action| matches!(action, Action::Reject { .. })).count()
+}
+
+pub fn failure_count(actions: &[Action]) -> usize {
+    actions.iter().filter(|action| matches!(action, Action::Fail { .. })).count()
+}
+
+/// The timeout of the first attempt that is forwarded.
+pub fn first_timeout(actions: &[Action]) -> Option<Duration> {
+    actions.iter().find_map(|action| match action {
+        Action::Forward { timeout, .. } => Some(*timeout),
+        _ => None,
+    })
 }
 
-pub fn failures(actions: &[Action]) -> usize {
-    actions.iter().filter(|a| matches!(a, Action::Fail { .. })).count()
+/// Whether a log line says that a server stopped responding.
+pub fn is_reported_down(actions: &[Action]) -> bool {
+    actions.iter().any(|action| matches!(action, Action::Log(text) if text.contains("stopped responding")))
 }
--- a/core/tests/failover.rs
+++ b/core/tests/failover.rs
@@ -26,9 +26,10 @@
 
 /// Ends what is out at a server with an answer of this kind.
 fn end_at(b: &mut Bench, server: u32, outcome: Outcome, primary: Option<bool>) -> Vec<Action> {
-    let at = b.sent.iter().position(|(_, _, s)| *s == ServerId(server)).expect("something is out there");
-    let (request, attempt, server) = b.sent.remove(at);
-    b.end_of(request, attempt, server, outcome, primary, ms(0))
+    let at =
+        b.sent.iter().position(|attempt| attempt.server == ServerId(server)).expect("something is out there");
+    let attempt = b.sent.remove(at);
+    b.end_attempt(attempt, outcome, primary, ms(0))
 }
 
 #[test]
@@ -51,9 +52,9 @@
     assert_ne!(targets(&b.call(LOOK)), [1], "one is enough");
     let held = b.call(ONCE);
     assert!(targets(&held).is_empty());
-    let (request, attempt, server) = *b.sent.iter().rev().find(|s| s.2 == ServerId(1)).expect("the canary");
-    b.sent.retain(|s| s.0 != request);
-    let after = b.end_of(request, attempt, server, Outcome::Success, Some(true), ms(0));
+    let canary = *b.sent.iter().rev().find(|attempt| attempt.server == ServerId(1)).expect("the canary");
+    b.sent.retain(|attempt| attempt.request != canary.request);
+    let after = b.end_attempt(canary, Outcome::Success, Some(true), ms(0));
     assert_eq!(targets(&after), [1], "it does, and one slow write is no hang");
 }
 
@@ -65,10 +66,10 @@
     for _ in 0..4 {
         b.call(ONCE);
     }
-    b.sent.retain(|s| s.2 == ServerId(1)); // what asked a member is answered below
+    b.sent.retain(|attempt| attempt.server == ServerId(1)); // what asked a member is answered below
     b.call(ANY);
     let after = match b.sent.last() {
-        Some((_, _, ServerId(server))) if *server != 1 => {
+        Some(SentAttempt { server: ServerId(server), .. }) if *server != 1 => {
             let server = *server;
             end_at(&mut b, server, Outcome::Success, Some(true))
         }
@@ -77,7 +78,7 @@
     let first = targets(&after);
     assert_eq!(first.len(), 1, "{after:?}");
     let successor = first[0];
-    let doomed = b.sent.iter().filter(|s| s.2 == ServerId(1)).count();
+    let doomed = b.sent.iter().filter(|attempt| attempt.server == ServerId(1)).count();
     assert!(
         (1..=2).contains(&doomed),
         "the one that was there, and one that saw whether it answers: {doomed}"
@@ -104,7 +105,7 @@
     for _ in 0..40 {
         b.now += ms(10);
         asked |= targets(&b.call(ANY)) == [1];
-        while let Some((_, _, ServerId(server))) = b.sent.first().copied() {
+        while let Some(SentAttempt { server: ServerId(server), .. }) = b.sent.first().copied() {
             b.end(Outcome::Success, Some(server != 3), ms(if server == 3 { 10 } else { 0 }));
         }
     }
@@ -178,7 +179,7 @@
             ..StateSnapshot::default()
         })),
     ]);
-    let news = b.gateway.snapshot().servers[0].replica_set;
+    let news = b.engine.snapshot().servers[0].replica_set;
     assert_eq!((news.epoch, news.deposed), (4, true));
     assert_eq!(targets(&b.call(ONCE)), [2]);
     b.now += ms(10);
--- /dev/null
+++ b/core/tests/fleet/load.rs
@@ -0,0 +1,40 @@
+//! The instances of a fleet and their pseudo-random load.
+
+use pipittack_core::api::*;
+
+use crate::common::*;
+
+/// The share of requests in each class, in percent; the rest are reads with a staleness bound.
+#[derive(Clone, Copy)]
+pub struct ClassMix {
+    pub writes: u64,
+    pub eventual_reads: u64,
+}
+
+impl ClassMix {
+    /// The class of the `n`th request.
+    pub fn class(self, n: u64) -> ClassId {
+        match pseudo_random(n, 100) {
+            percent if percent < self.writes => UNIQUE_WRITE,
+            percent if percent < 100 - self.eventual_reads => BOUNDED_READ,
+            _ => EVENTUAL_READ,
+        }
+    }
+}
+
+/// The instances of a fleet, each with its own seed, that have cached the same three servers.
+pub fn fleet(settings: &Settings) -> Vec<Bench> {
+    let instance =
+        |index| Bench::seeded(Settings { instance_index: index, ..settings.clone() }, u64::from(index));
+    (0..settings.instance_count).map(instance).collect()
+}
+
+/// The `n`th of a fixed sequence of pseudo-random numbers below a limit (Knuth's multiplicative hash).
+pub fn pseudo_random(n: u64, limit: u64) -> u64 {
+    (n.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) % limit
+}
+
+/// 1 where a condition holds, to be added to a count.
+pub fn one_if(condition: bool) -> f64 {
+    f64::from(u8::from(condition))
+}
--- /dev/null
+++ b/core/tests/fleet/main.rs
@@ -0,0 +1,9 @@
+//! What a large fleet does together: a hundred instances, and what one server gets from all of them.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod discovery;
+mod load;
+mod reads;
+mod robustness;
+mod warm_up;
--- /dev/null
+++ b/core/tests/routing/main.rs
@@ -0,0 +1,10 @@
+//! The routing engine through its public interface: routing, retries and outlier detection.
+
+#[path = "../common/mod.rs"]
+mod common;
+mod endpoints;
+mod outlier_detection;
+mod queueing;
+mod read_routing;
+mod retries;
+mod warm_up;
--- a/core/tests/rules.rs
+++ b/core/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules under random but possible events: late, lost, doubled and unknown ones included.
+//! The service rules under random but possible events, among them late, lost, repeated and unknown ones.
 
 mod common;
 
@@ -9,92 +9,178 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// What a watcher of the wire knows of a request.
+/// Outcomes that an attempt may have.
+const OUTCOMES: [Outcome; 7] = [
+    Outcome::Success,
+    Outcome::ServerError,
+    Outcome::Rejected,
+    Outcome::Timeout,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::Misdirected,
+];
+
+/// What an observer of the network knows of a request.
 #[derive(Default)]
-struct Watched {
+struct ObservedRequest {
     class: usize,
-    sends: u32,
-    out: BTreeMap<u32, ServerId>,
-    may_have_run: bool,
-    finals: u32,
+    attempt_count: u32,
+    in_flight: BTreeMap<u32, ServerId>,
+    may_have_executed: bool,
+    final_answers: u32,
     deadline_ms: u64,
 }
 
-struct Watch {
+/// How often the end of an attempt is reported.
+#[derive(Clone, Copy)]
+enum Delivery {
+    Once,
+    Twice,
+}
+
+/// An engine and an observer that checks its actions.
+struct Observer {
     bench: Bench,
-    requests: BTreeMap<RequestId, Watched>,
+    requests: BTreeMap<RequestId, ObservedRequest>,
     draining: BTreeSet<ServerId>,
 }
 
-impl Watch {
-    fn see(&mut self, actions: Vec<Action>) {
+impl Observer {
+    fn new(settings: Settings) -> Self {
+        Self { bench: Bench::new(settings), requests: BTreeMap::new(), draining: BTreeSet::new() }
+    }
+
+    fn step(&mut self, events: Vec<Event>) {
+        let actions = self.bench.step(events);
+        self.check(actions);
+    }
+
+    fn check(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Forward { request, server, .. } => {
-                    let r = self.requests.get_mut(&request).expect("a request that was taken");
-                    assert_eq!(r.finals, 0, "a send after the final answer");
-                    assert!(r.out.is_empty(), "two attempts out at once");
-                    assert!(!self.draining.contains(&server), "a send to a draining server");
-                    assert!(r.class != ONCE.0 || !r.may_have_run, "a second run of a once-only request");
-                    r.out.insert(r.sends, server);
-                    r.sends += 1;
-                }
-                Action::Reject { request, .. } => {
-                    let r = self.requests.get_mut(&request).expect("a request that was taken");
-                    let keyed = r.class == ONCE.0 || r.class == POST.0;
-                    assert!(
-                        !keyed || (!r.may_have_run && r.out.is_empty()),
-                        "a refusal that is not harmless"
-                    );
-                    r.finals += 1;
-                }
-                Action::Fail { request } => {
-                    self.requests.get_mut(&request).expect("a request that was taken").finals += 1;
-                }
+                Action::Forward { request, server, .. } => self.check_attempt(request, server),
+                Action::Reject { request, .. } => self.check_rejection(request),
+                Action::Fail { request } => self.request(request).final_answers += 1,
                 _ => {}
             }
         }
     }
 
+    fn request(&mut self, id: RequestId) -> &mut ObservedRequest {
+        self.requests.get_mut(&id).expect("a request that has arrived")
+    }
+
+    fn check_attempt(&mut self, id: RequestId, server: ServerId) {
+        let is_draining = self.draining.contains(&server);
+        let request = self.request(id);
+        assert_eq!(request.final_answers, 0, "an attempt after the final answer");
+        assert!(request.in_flight.is_empty(), "two attempts in flight");
+        assert!(!is_draining, "an attempt at a draining server");
+        let is_unique = request.class == UNIQUE_WRITE.0;
+        assert!(!is_unique || !request.may_have_executed, "a second execution of a unique write");
+        request.in_flight.insert(request.attempt_count, server);
+        request.attempt_count += 1;
+    }
+
+    fn check_rejection(&mut self, id: RequestId) {
+        let request = self.request(id);
+        let is_write = request.class == UNIQUE_WRITE.0 || request.class == KEYED_WRITE.0;
+        let was_not_executed = !request.may_have_executed && request.in_flight.is_empty();
+        assert!(!is_write || was_not_executed, "a rejection of a write that may be executed");
+        request.final_answers += 1;
+    }
+
     fn call(&mut self, class: usize) {
         let request = self.bench.request(ClassId(class));
         let deadline_ms = self.bench.now.as_millis() as u64 + 2000;
-        self.requests.insert(request.id, Watched { class, deadline_ms, ..Watched::default() });
-        let actions = self.bench.step(vec![Event::Request(request)]);
-        self.see(actions);
+        let observed = ObservedRequest { class, deadline_ms, ..ObservedRequest::default() };
+        self.requests.insert(request.id, observed);
+        self.step(vec![Event::Request(request)]);
     }
 
-    /// Ends one attempt that is out; twice where `doubled`.
-    fn end(&mut self, pick: usize, outcome: Outcome, doubled: bool) {
-        let open: Vec<_> = self.requests.iter().filter(|(_, r)| !r.out.is_empty()).map(|(i, _)| *i).collect();
+    /// Ends the first attempt in flight of a request, which is chosen by `pick`.
+    fn end(&mut self, pick: usize, outcome: Outcome, delivery: Delivery) {
+        let has_attempt = |(_, request): &(&RequestId, &ObservedRequest)| !request.in_flight.is_empty();
+        let open: Vec<_> = self.requests.iter().filter(has_attempt).map(|(id, _)| *id).collect();
         let Some(id) = open.get(pick % open.len().max(1)).copied() else { return };
-        let r = self.requests.get_mut(&id).expect("open");
-        let (attempt, server) = r.out.pop_first().expect("out");
-        r.may_have_run |= !outcome.rules_out_execution();
-        if outcome == Outcome::Success && r.finals == 0 {
-            r.finals += 1;
+        let request = self.request(id);
+        let (number, server) = request.in_flight.pop_first().expect("an attempt in flight");
+        request.may_have_executed |= !outcome.rules_out_execution();
+        if outcome == Outcome::Success && request.final_answers == 0 {
+            request.final_answers += 1;
         }
-        for _ in 0..if doubled { 2 } else { 1 } {
-            let answered = matches!(
-                outcome,
-                Outcome::Success | Outcome::Misdirected | Outcome::Rejected | Outcome::ServerError
-            );
-            let role = answered.then_some(server == ServerId(1));
-            let actions = self.bench.end_of(id, attempt, server, outcome, role, ms(5));
-            self.see(actions);
+        let attempt = SentAttempt { request: id, number, server };
+        let is_primary = outcome.is_response().then_some(server == PRIMARY);
+        let count = match delivery {
+            Delivery::Once => 1,
+            Delivery::Twice => 2,
+        };
+        for _ in 0..count {
+            let actions = self.bench.end_attempt(attempt, outcome, is_primary, ms(5));
+            self.check(actions);
         }
     }
 
-    fn list(&mut self, pick: u32, health: EndpointState) {
+    /// The endpoint list changes the state of one server, which is chosen by `pick`.
+    fn change_endpoint(&mut self, pick: u32, state: EndpointState) {
         let server = 1 + pick % 3;
-        match health {
+        match state {
             EndpointState::Draining => self.draining.insert(ServerId(server)),
             _ => self.draining.remove(&ServerId(server)),
         };
-        let started = (pick > 127).then_some(self.bench.now);
-        let entry = Endpoint { state: health, started_at: started, ..entry(server, server == 1) };
-        let actions = self.bench.step(vec![Event::Endpoints(EndpointUpdate::Changes(vec![entry]))]);
-        self.see(actions);
+        let started_at = (pick > 127).then_some(self.bench.now);
+        let entry = Endpoint { state, started_at, ..endpoint(server, server == 1) };
+        self.step(vec![Event::Endpoints(EndpointUpdate::Changes(vec![entry]))]);
+    }
+
+    /// Events that concern nothing the engine knows, or that may come at any time.
+    fn send_unrelated_events(&mut self, pick: u8) {
+        let checked = Event::HealthChecked {
+            server: ServerId(u32::from(pick)),
+            ok: pick.is_multiple_of(2),
+            load_report: None,
+        };
+        self.step(vec![
+            Event::Gossip { from: 3, bytes: vec![pick; usize::from(pick % 8)] },
+            checked,
+            Event::ClientGone(RequestId(9_999_999)),
+            Event::Timer(TimerId(u64::from(pick))),
+        ]);
+    }
+
+    /// Lets time pass. Attempts time out at the deadlines of their requests.
+    fn pass(&mut self, time_ms: u64) {
+        let now_ms = self.bench.now.as_millis() as u64 + time_ms;
+        self.bench.now = ms(now_ms);
+        self.step(Vec::new());
+        let is_overdue = |(_, request): &(&RequestId, &ObservedRequest)| {
+            request.deadline_ms <= now_ms && !request.in_flight.is_empty()
+        };
+        let first_attempt = |(id, request): (&RequestId, &ObservedRequest)| {
+            (*id, *request.in_flight.keys().next().expect("an attempt in flight"))
+        };
+        let overdue: Vec<_> = self.requests.iter().filter(is_overdue).map(first_attempt).collect();
+        for (id, number) in overdue {
+            let request = self.request(id);
+            let server = request.in_flight.remove(&number).expect("an attempt in flight");
+            request.may_have_executed = true;
+            let attempt = SentAttempt { request: id, number, server };
+            let actions = self.bench.end_attempt(attempt, Outcome::Timeout, None, ms(0));
+            self.check(actions);
+        }
+    }
+
+    fn apply(&mut self, kind: u8, pick: u8) {
+        let index = usize::from(pick);
+        let delivery = if pick.is_multiple_of(5) { Delivery::Twice } else { Delivery::Once };
+        match kind {
+            0..=3 => self.call(index % 5),
+            4..=7 => self.end(index, OUTCOMES[index % OUTCOMES.len()], delivery),
+            8 => self.change_endpoint(u32::from(pick), EndpointState::Draining),
+            9 => self.change_endpoint(u32::from(pick), EndpointState::Healthy),
+            10 => self.send_unrelated_events(pick),
+            _ => {}
+        }
     }
 }
 
@@ -104,49 +190,23 @@
     })]
 
     #[test]
-    fn the_rules_hold_under_any_events(
-        gateways in prop_oneof![Just(1u32), Just(100)],
+    fn the_service_rules_hold_under_any_events(
+        instance_count in prop_oneof![Just(1u32), Just(100)],
         steps in prop::collection::vec((0u8..12, any::<u8>(), 0u64..400), 1..200),
     ) {
-        let mut s = Settings { instance_count: gateways, ..settings() };
-        (s.limits.allow_gossip, s.limits.allow_health_checks) = (true, true);
-        let mut w = Watch { bench: Bench::new(s), requests: BTreeMap::new(), draining: BTreeSet::new() };
-        let ends = [Outcome::Success, Outcome::ServerError, Outcome::Rejected, Outcome::Timeout, Outcome::ConnectFailed,
-            Outcome::Reset, Outcome::Misdirected];
-        for (kind, pick, time) in steps {
-            match kind {
-                0..=3 => w.call(usize::from(pick) % 5),
-                4..=7 => w.end(usize::from(pick), ends[usize::from(pick) % ends.len()], pick % 5 == 0),
-                8 => w.list(u32::from(pick), EndpointState::Draining),
-                9 => w.list(u32::from(pick), EndpointState::Healthy),
-                10 => {
-                    let actions = w.bench.step(vec![
-                        Event::Gossip { from: 3, bytes: vec![pick; usize::from(pick % 8)] },
-                        Event::HealthChecked { server: ServerId(u32::from(pick)), ok: pick % 2 == 0, load_report: None },
-                        Event::ClientGone(RequestId(9_999_999)),
-                        Event::Timer(TimerId(u64::from(pick))),
-                    ]);
-                    w.see(actions);
-                }
-                _ => {}
-            }
-            // Time-outs are cut to the deadline.
-            let now = w.bench.now.as_millis() as u64 + time;
-            w.bench.now = ms(now);
-            let actions = w.bench.step(Vec::new());
-            w.see(actions);
-            let over: Vec<_> = w.requests.iter().filter(|(_, r)| r.deadline_ms <= now && !r.out.is_empty())
-                .map(|(i, r)| (*i, *r.out.keys().next().expect("out"))).collect();
-            for (id, attempt) in over {
-                let r = w.requests.get_mut(&id).expect("open");
-                let server = r.out.remove(&attempt).expect("out");
-                r.may_have_run = true;
-                let actions = w.bench.end_of(id, attempt, server, Outcome::Timeout, None, ms(0));
-                w.see(actions);
-            }
-            for (id, r) in &w.requests {
-                prop_assert!(r.finals <= 1, "{id:?} has {} final answers", r.finals);
-                prop_assert!(r.finals == 1 || r.deadline_ms > now || !r.out.is_empty(), "{id:?} is lost");
+        let mut settings = Settings { instance_count, ..settings() };
+        settings.limits.allow_gossip = true;
+        settings.limits.allow_health_checks = true;
+        let mut observer = Observer::new(settings);
+        for (kind, pick, time_ms) in steps {
+            observer.apply(kind, pick);
+            observer.pass(time_ms);
+            let now_ms = observer.bench.now.as_millis() as u64;
+            for (id, request) in &observer.requests {
+                let answers = request.final_answers;
+                prop_assert!(answers <= 1, "{id:?} has {answers} final answers");
+                let is_open = request.deadline_ms > now_ms || !request.in_flight.is_empty();
+                prop_assert!(answers == 1 || is_open, "{id:?} is lost");
             }
         }
     }
