--- a/core/src/routing/arrival.rs
+++ b/core/src/routing/arrival.rs
@@ -25,7 +25,7 @@
         self.cluster.groups_mut().get_or_create(open.request().group);
         let view = self.view();
         let is_rejected = (is_shed && !view.has_lightly_loaded_replica(&open))
-            || (is_read && is_large_fleet(&self.settings) && view.has_no_place_for_read(&open));
+            || (is_read && is_large_fleet(&self.settings) && view.lacks_capacity_for_read(&open));
         self.requests.insert(id, open);
         if is_rejected {
             self.finish(id, None, actions);
--- a/core/src/routing/cluster/endpoints.rs
+++ b/core/src/routing/cluster/endpoints.rs
@@ -3,8 +3,8 @@
 use crate::api::{Endpoint, Settings};
 use crate::time::secs;
 
-use super::super::server::{RemovalRule, Server};
 use super::Cluster;
+use crate::routing::server::{RemovalRule, Server};
 
 /// How much of the endpoint list an update has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/core/src/routing/cluster/primary_watch.rs
+++ b/core/src/routing/cluster/primary_watch.rs
@@ -3,8 +3,8 @@
 use crate::api::{Action, Settings};
 use crate::failover::{PrimaryObservation, SilenceThreshold};
 
-use super::super::in_flight::InFlightTable;
 use super::Cluster;
+use crate::routing::in_flight::InFlightTable;
 
 impl Cluster {
     /// Compares the silence of each primary with the threshold. `slowest_mean_secs` is the mean response time
--- a/core/src/routing/cluster/upkeep.rs
+++ b/core/src/routing/cluster/upkeep.rs
@@ -2,10 +2,10 @@
 
 use crate::api::{Action, Settings};
 
-use super::super::group::Group;
-use super::super::in_flight::InFlightTable;
-use super::super::server::{Server, WarmRate};
 use super::Cluster;
+use crate::routing::group::Group;
+use crate::routing::in_flight::InFlightTable;
+use crate::routing::server::{Server, WarmRate};
 
 /// The capacity of the servers that have warmed up, in units of relative capacity.
 #[derive(Debug, Clone, Copy)]
--- a/core/src/routing/completion.rs
+++ b/core/src/routing/completion.rs
@@ -13,6 +13,7 @@
 use super::cluster::ServerResponse;
 use super::gossip::{GossipKind, GossipMessage, Timeliness};
 use super::in_flight::InFlightAttempt;
+use super::open_request::OpenRequest;
 use super::outlier_detection::CompletionContext;
 use super::server::{Server, StatusReport};
 use super::tenant_meter::FaultOwner;
@@ -161,20 +162,26 @@
             if server.is_up() {
                 self.latencies.record(end.class, end.took_secs);
                 let objective_secs = secs(self.settings.classes[end.class.0].latency_objective);
-                let max_secs = THROUGHPUT_OBJECTIVE_SHARE * objective_secs;
-                server.record_completion(end.is_success() && end.took_secs <= max_secs);
+                if end.is_success() && end.took_secs <= THROUGHPUT_OBJECTIVE_SHARE * objective_secs {
+                    server.record_completion_in_time();
+                } else {
+                    server.record_late_completion();
+                }
             }
         }
         if end.counts_in_error_share() {
-            let is_error = matches!(end.outcome, Outcome::ServerError | Outcome::Rejected);
-            server.record_error_share(now, f64::from(u8::from(is_error)));
+            match end.outcome {
+                Outcome::ServerError | Outcome::Rejected => server.record_error(now),
+                _ => server.record_no_error(now),
+            }
         }
         let context = CompletionContext {
+            now,
             settings: &self.settings,
             deviation_secs: self.latencies.deviation_secs(end.class),
             is_steady_primary,
         };
-        self.outliers.attempt_ended(server, end, &context, now, actions);
+        self.outliers.attempt_ended(server, end, &context, actions);
     }
 
     fn record_primary_lateness(&mut self, end: &Completion) {
@@ -221,15 +228,14 @@
     }
 
     /// A write ended. If it is the first one served after a failover, the writes in flight at the former
-    /// primary get no response any more. Their clients are told at once, since those writes may have been
+    /// primary get no response any more. Their clients are notified at once, since those writes may have been
     /// executed.
     fn write_ended(&mut self, end: &Completion, actions: &mut Vec<Action>) {
         let Some(group) = self.cluster.group_of(end.server) else { return };
         let set = self.cluster.groups_mut().get_or_create(group).replica_set_mut();
         let Some(former_primary) = set.write_ended(end.server, end.sent_at, end.is_success()) else { return };
         let view = self.view();
-        let is_lost =
-            |open: &&super::OpenRequest| view.is_write(open) && open.is_in_flight_at(former_primary);
+        let is_lost = |open: &&OpenRequest| view.is_write(open) && open.is_in_flight_at(former_primary);
         let lost: Vec<_> = self.requests.values().filter(is_lost).map(|open| open.request().id).collect();
         for request in lost {
             self.cancel_attempts(request, actions);
@@ -256,7 +262,7 @@
         }
     }
 
-    /// Another instance told of an attempt: it counts like an own one, except that it settles no role, no
+    /// Another instance reported an attempt: it counts like an own one, except that it settles no role, no
     /// position and no down state.
     pub(super) fn gossip_received(&mut self, bytes: &[u8]) {
         let Some(message) = GossipMessage::decode(bytes) else { return };
--- a/core/src/routing/eligibility.rs
+++ b/core/src/routing/eligibility.rs
@@ -71,7 +71,7 @@
     }
 
     /// Whether only the primary could serve a read, and has no capacity for it.
-    pub fn has_no_place_for_read(&self, request: &OpenRequest) -> bool {
+    pub fn lacks_capacity_for_read(&self, request: &OpenRequest) -> bool {
         let group = request.request().group;
         let Some(primary) = self.cluster.primary(group) else { return false };
         if self.primary_admits_read(request) {
--- a/core/src/routing/gossip.rs
+++ b/core/src/routing/gossip.rs
@@ -12,7 +12,7 @@
 
 /// Share of the service that messages may cost for each request.
 const MAX_COST_SHARE: f64 = 0.002;
-/// Largest number of instances that are told of one attempt.
+/// Largest number of instances that are notified of one attempt.
 const MAX_RECIPIENTS: f64 = 8.0;
 /// Length in bytes that the price of gossip refers to.
 const PRICED_BYTES: f64 = 256.0;
--- a/core/src/routing/group.rs
+++ b/core/src/routing/group.rs
@@ -11,7 +11,7 @@
 
 use super::read_admission::GroupAdmission;
 
-/// Seconds for which a request that waited in vain shows that the queue is too long.
+/// Seconds for which a request that expired in the queue shows that the queue is too long.
 const CONGESTION_SECS: f64 = 1.0;
 
 /// A group of servers that hold the same data.
@@ -94,12 +94,12 @@
         self.queued_writes += 1;
     }
 
-    /// A request waited here in vain.
+    /// A request expired in the queue.
     pub fn request_expired(&mut self, now: f64) {
         self.request_expired_at = now;
     }
 
-    /// Whether a request waited here in vain a moment ago.
+    /// Whether a request expired in the queue a moment ago.
     pub fn is_congested(&self, now: f64) -> bool {
         now - self.request_expired_at < CONGESTION_SECS
     }
--- a/core/src/routing/outlier_detection.rs
+++ b/core/src/routing/outlier_detection.rs
@@ -33,6 +33,8 @@
 
 /// What the detector has to know besides the completion.
 pub(super) struct CompletionContext<'s> {
+    /// The time, in seconds on the engine's clock.
+    pub now: f64,
     /// The settings.
     pub settings: &'s Settings,
     /// Mean deviation of the class's response times, in seconds.
@@ -55,9 +57,9 @@
         server: &mut Server,
         end: &Completion,
         context: &CompletionContext,
-        now: f64,
         actions: &mut Vec<Action>,
     ) {
+        let now = context.now;
         let is_lost = match end.outcome {
             Outcome::ConnectFailed | Outcome::Reset => true,
             Outcome::Timeout => {
@@ -70,10 +72,10 @@
         if is_lost || end.outcome.is_response() {
             self.lost.record(now, f64::from(u8::from(is_lost)), &ATTEMPT_EWMA);
         }
-        self.record_connection(server, end, context, now, actions);
+        self.record_connection(server, end, context, actions);
         if end.outcome.is_response() {
             if let Some(down) = server.clear_suspicion() {
-                responded_again(server, &down, end, context, lost_share, now, actions);
+                responded_again(server, &down, end, context, lost_share, actions);
             }
         }
         let is_short_of_connections = end.outcome == Outcome::ConnectFailed && server.responded_recently(now);
@@ -97,9 +99,9 @@
         server: &mut Server,
         end: &Completion,
         context: &CompletionContext,
-        now: f64,
         actions: &mut Vec<Action>,
     ) {
+        let now = context.now;
         let settings = context.settings;
         let refused_within_secs = REFUSED_WITHIN * secs(settings.limits.connect_timeout);
         if end.outcome.is_response() {
@@ -124,15 +126,14 @@
     end: &Completion,
     context: &CompletionContext,
     lost_share: f64,
-    now: f64,
     actions: &mut Vec<Action>,
 ) {
     let has_health_checks = context.settings.limits.allow_health_checks;
     let min_down_secs = if has_health_checks { MIN_RESTART_SECS } else { 2.0 * MIN_RESTART_SECS };
     let may_be_dead = down.cause() == DownCause::Dead || !has_health_checks;
-    let has_restarted = may_be_dead && now - down.since() > min_down_secs;
+    let has_restarted = may_be_dead && context.now - down.since() > min_down_secs;
     if has_restarted && end.is_primary != Some(true) && lost_share < NETWORK_FAULT_SHARE {
-        server.recovered_from_death(now, context.settings);
+        server.recovered_from_death(context.now, context.settings);
         actions.push(Action::Log(format!("server {} responds again", end.server.0)));
     }
 }
--- a/core/src/routing/queue.rs
+++ b/core/src/routing/queue.rs
@@ -57,7 +57,7 @@
             return arrival.arrived_at;
         };
         if is_write && group.replica_set().is_releasing() {
-            // Writes that a failover buffered go out by their deadlines.
+            // Writes that a failover buffered are forwarded by their deadlines.
             arrival.deadline
         } else if !is_write && group.is_congested(self.now) {
             // In order of arrival all would be just too late; the youngest have time left.
@@ -78,12 +78,12 @@
         let max_secs = secs(class.latency_objective).min(request.time_limit_secs());
         let mean_secs = estimate.mean.min(MAX_RESPONSE_SHARE * max_secs);
         let min_secs_left = estimate.min_time_left(mean_secs, class.idempotency);
-        self.now + min_secs_left >= useful_until || self.is_congestion_victim(request)
+        self.now + min_secs_left >= useful_until || self.has_waited_too_long(request)
     }
 
     /// Whether a read of a congested group has waited for near half its time. Rejecting it then lets its
     /// client retry in time, since the youngest reads go first.
-    fn is_congestion_victim(&self, request: &OpenRequest) -> bool {
+    fn has_waited_too_long(&self, request: &OpenRequest) -> bool {
         let group = self.cluster.groups().get(request.request().group);
         let is_congested = group.is_some_and(|group| group.is_congested(self.now));
         let max_wait_secs = MAX_CONGESTED_WAIT_SHARE * request.time_limit_secs();
@@ -93,7 +93,7 @@
             && self.now >= request.arrival().arrived_at + max_wait_secs
     }
 
-    /// What becomes of a write whose group takes none; `None` where it takes some or is only suspected.
+    /// Whether a write waits whose group takes none; `None` where it takes some or is only suspected.
     pub fn buffer_decision(&self, request: &OpenRequest) -> Option<BufferDecision> {
         let set = self.cluster.groups().get(request.request().group)?.replica_set();
         let forecast = set.recovery_forecast(self.now, self.cluster.failover_durations())?;
--- a/core/src/routing/server/faults.rs
+++ b/core/src/routing/server/faults.rs
@@ -1,9 +1,16 @@
 //! How a server's faults count: backoff, suspicion, down state and health checks.
 
-use super::{
-    DownCause, DownState, Server, FIRST_TRIAL_DELAY_SECS, MAX_BACKOFF_SECS, MAX_SUSPICION, MIN_BACKOFF_SECS,
-    MIN_LIMIT,
-};
+use super::{DownCause, DownState, Server, FIRST_TRIAL_DELAY_SECS};
+use crate::concurrency_limit::MIN_LIMIT;
+
+/// Shortest backoff in seconds after a rejection.
+const MIN_BACKOFF_SECS: f64 = 0.1;
+/// Longest backoff in seconds after a rejection.
+const MAX_BACKOFF_SECS: f64 = 1.0;
+/// Log odds of the suspicion above which a server counts as down.
+const MAX_SUSPICION: f64 = 2.0;
+/// Part of the first trial's delay within which a response counts as recent.
+const RECENT_RESPONSE_SHARE: f64 = 0.5;
 
 /// What a lost attempt changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,7 +34,7 @@
 
     /// Whether it responded so recently that a failed connection says only that it is short of them.
     pub fn responded_recently(&self, now: f64) -> bool {
-        now - self.replication.last_response_at() < 0.5 * FIRST_TRIAL_DELAY_SECS
+        now - self.replication.last_response_at() < RECENT_RESPONSE_SHARE * FIRST_TRIAL_DELAY_SECS
     }
 
     /// It rejected an attempt: it gets no further ones for a moment, and fewer at a time.
--- a/core/src/routing/server/mod.rs
+++ b/core/src/routing/server/mod.rs
@@ -18,7 +18,7 @@
 pub(super) use warm_up::WarmRate;
 
 use crate::api::{Endpoint, GroupId, ServiceRules, Settings, ZoneId};
-use crate::concurrency_limit::{ConcurrencyLimit, MIN_LIMIT};
+use crate::concurrency_limit::ConcurrencyLimit;
 use crate::ewma::Ewma;
 use listing::Listing;
 use load::AttemptLoad;
@@ -32,12 +32,6 @@
 const MIN_RELATIVE_CAPACITY: f64 = 1e-3;
 /// A single response counts as at most this many times slower than usual.
 const MAX_SLOWNESS: f64 = 10.0;
-/// Shortest backoff in seconds after a rejection.
-const MIN_BACKOFF_SECS: f64 = 0.1;
-/// Longest backoff in seconds after a rejection.
-const MAX_BACKOFF_SECS: f64 = 1.0;
-/// Log odds of the suspicion above which a server counts as down.
-const MAX_SUSPICION: f64 = 2.0;
 
 /// A server.
 #[derive(Default)]
@@ -229,14 +223,24 @@
         self.slowness.record(now, ratio.min(MAX_SLOWNESS), &ATTEMPT_EWMA);
     }
 
-    /// An attempt completed; `in_time` counts towards the throughput of the present limit.
-    pub fn record_completion(&mut self, in_time: bool) {
-        self.concurrency_limit.record_completion(in_time);
+    /// An attempt completed early enough to count in the throughput of the present limit.
+    pub fn record_completion_in_time(&mut self) {
+        self.concurrency_limit.record_completion(true);
     }
 
-    /// An attempt ended with an error or without.
-    pub fn record_error_share(&mut self, now: f64, error: f64) {
-        self.errors.record(now, error, &ATTEMPT_EWMA);
+    /// An attempt completed late.
+    pub fn record_late_completion(&mut self) {
+        self.concurrency_limit.record_completion(false);
+    }
+
+    /// An attempt ended with an error that is the server's.
+    pub fn record_error(&mut self, now: f64) {
+        self.errors.record(now, 1.0, &ATTEMPT_EWMA);
+    }
+
+    /// An attempt ended without an error of the server's.
+    pub fn record_no_error(&mut self, now: f64) {
+        self.errors.record(now, 0.0, &ATTEMPT_EWMA);
     }
 
     /// Ends the period of the concurrency limit where it is due; `queued` requests wait for its group.
