--- a/core/src/routing/cluster/endpoints.rs
+++ b/core/src/routing/cluster/endpoints.rs
@@ -80,8 +80,10 @@
             }
             let group = self.groups.get_or_create(server.group());
             group.add_member(*id);
-            if server.is_closed() {
-                group.replica_set_mut().server_withdrawn(*id, now, server.listing().is_listed());
+            if server.is_closed() && server.listing().is_listed() {
+                group.replica_set_mut().server_draining(*id, now);
+            } else if server.is_closed() {
+                group.replica_set_mut().server_removed(*id, now);
             }
         }
         self.groups.values_mut().for_each(|group| group.retain_members(now));
--- a/core/src/routing/cluster/mod.rs
+++ b/core/src/routing/cluster/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::{GroupId, LoadReport, Outcome, ServerId, Settings};
-use crate::failover::{FailoverDurations, Phase};
+use crate::failover::{FailoverDurations, InquiryCandidate, Phase, RoleReport};
 use crate::time::secs;
 
 use super::group::{Group, GroupTable};
@@ -162,7 +162,8 @@
         let set = self.groups.get_or_create(server.group()).replica_set_mut();
         let is_primary = report.is_primary.filter(|is_primary| !(*is_primary && server.is_closed()));
         let durations = &mut self.failover_durations;
-        set.role_reported(id, is_primary, report.valid_at, report.sent_at, now, durations);
+        let role = RoleReport { server: id, observed_at: report.valid_at, sent_at: report.sent_at };
+        set.role_reported(is_primary, role, now, durations);
         let known = KnownRole { is_primary: set.primary() == Some(id), is_deposed: set.is_deposed(id) };
         server.replication_mut().record(&StatusReport { is_primary, ..report }, known);
     }
@@ -182,7 +183,7 @@
     pub fn next_member_to_ask(
         &mut self,
         group: GroupId,
-        members: &[(ServerId, f64)],
+        members: &[InquiryCandidate],
         now: f64,
     ) -> Option<ServerId> {
         let set = self.groups.get_mut(group)?.replica_set_mut();
--- a/core/src/routing/cluster/upkeep.rs
+++ b/core/src/routing/cluster/upkeep.rs
@@ -1,21 +1,13 @@
 //! The periodic upkeep of all servers.
 
 use crate::api::{Action, Settings};
+use crate::server_throughput::WarmCapacity;
 
 use super::Cluster;
 use crate::routing::group::Group;
 use crate::routing::in_flight::InFlightTable;
 use crate::routing::server::{Server, WarmRate};
 
-/// The capacity of the servers that have warmed up, in units of relative capacity.
-#[derive(Debug, Clone, Copy)]
-pub(in crate::routing) struct WarmCapacity {
-    /// Of all servers.
-    pub all: f64,
-    /// Of the primaries of groups with no member down.
-    pub primaries: f64,
-}
-
 impl Cluster {
     /// The replication position that all servers which may be read from have passed; infinite without any.
     pub fn lowest_position(&self) -> f64 {
--- a/core/src/routing/completion.rs
+++ b/core/src/routing/completion.rs
@@ -8,6 +8,7 @@
     Action, AttemptEnded, AttemptId, AttemptNumber, ClassId, Consistency, LoadReport, Outcome, RequestId,
     ServerId, ServerStatus,
 };
+use crate::primary_read_admission::PrimaryAttempt;
 use crate::time::secs;
 
 use super::cluster::ServerResponse;
@@ -187,8 +188,8 @@
     fn record_primary_lateness(&mut self, end: &Completion) {
         let Some(group) = self.cluster.led_group_mut(end.server) else { return };
         let class = &self.settings.classes[end.class.0];
-        let late = group.late_at_primary_mut();
-        self.primary_reads.record(late, self.now, class, end.took_secs, end.outcome, &ATTEMPT_EWMA);
+        let attempt = PrimaryAttempt { class, elapsed_secs: end.took_secs, outcome: end.outcome };
+        self.primary_reads.record(group.late_at_primary_mut(), self.now, &attempt, &ATTEMPT_EWMA);
     }
 
     /// Counts a response of a server that has warmed up.
@@ -233,7 +234,11 @@
     fn write_ended(&mut self, end: &Completion, actions: &mut Vec<Action>) {
         let Some(group) = self.cluster.group_of(end.server) else { return };
         let set = self.cluster.groups_mut().get_or_create(group).replica_set_mut();
-        let Some(former_primary) = set.write_ended(end.server, end.sent_at, end.is_success()) else { return };
+        if !end.is_success() {
+            set.write_failed(end.sent_at);
+            return;
+        }
+        let Some(former_primary) = set.write_served(end.server, end.sent_at) else { return };
         let view = self.view();
         let is_lost = |open: &&OpenRequest| view.is_write(open) && open.is_in_flight_at(former_primary);
         let lost: Vec<_> = self.requests.values().filter(is_lost).map(|open| open.request().id).collect();
--- a/core/src/routing/dispatch.rs
+++ b/core/src/routing/dispatch.rs
@@ -131,7 +131,12 @@
         let number = open.attempt_sent(planned.server, now);
         let is_write = self.settings.classes[class.0].consistency == Consistency::Write;
         if let Some(group) = self.cluster.groups_mut().get_mut(open.request().group) {
-            group.replica_set_mut().attempt_sent(planned.server, is_write, now);
+            let set = group.replica_set_mut();
+            if is_write {
+                set.write_sent(planned.server, now);
+            } else {
+                set.read_sent(planned.server, now);
+            }
         }
         let tracks_session = is_write && self.settings.session_tokens == SessionTokens::Tracked;
         let session = open.request().session.clone().filter(|_| tracks_session);
--- a/core/src/routing/group.rs
+++ b/core/src/routing/group.rs
@@ -160,6 +160,6 @@
 
     /// A server takes no new attempts; it still drains.
     pub fn server_draining(&mut self, server: ServerId, now: f64) {
-        self.values_mut().for_each(|group| group.replica_set.server_withdrawn(server, now, true));
+        self.values_mut().for_each(|group| group.replica_set.server_draining(server, now));
     }
 }
--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -264,7 +264,7 @@
         self.sessions.forget_up_to(self.cluster.lowest_position());
         self.cluster.refresh_load(self.now, &self.in_flight);
         let warm = self.cluster.warm_capacity(self.now, &self.settings);
-        self.throughput.advance(elapsed_secs, (warm.all, warm.primaries), &ATTEMPT_EWMA);
+        self.throughput.advance(elapsed_secs, warm, &ATTEMPT_EWMA);
         let rate = self.throughput.per_server();
         self.cluster.maintain_servers(self.now, elapsed_secs, rate, &self.settings, actions);
     }
--- a/core/src/routing/open_request.rs
+++ b/core/src/routing/open_request.rs
@@ -4,7 +4,7 @@
 //! not change any more. Times are seconds on the engine's clock.
 
 use crate::api::{AttemptNumber, Idempotency, Outcome, Request, ServerId};
-use crate::failover::{AttemptLog, RetrySafety};
+use crate::failover::{AttemptLog, PossibleExecution, RetrySafety};
 
 /// What is computed once, when a request arrives.
 pub(super) struct Arrival {
@@ -24,15 +24,6 @@
     pub max_attempts: u32,
 }
 
-/// The first attempt that has ended and may have been executed.
-#[derive(Debug, Clone, Copy)]
-pub(super) struct PossibleExecution {
-    /// When it was sent.
-    pub sent_at: f64,
-    /// Where.
-    pub server: ServerId,
-}
-
 /// An open request.
 pub(super) struct OpenRequest {
     arrival: Arrival,
@@ -102,8 +93,7 @@
 
     /// The first attempt that has ended and may have been executed.
     pub fn first_possible_execution(&self) -> Option<PossibleExecution> {
-        let first = self.attempt_log.first_possible_execution();
-        first.map(|(sent_at, server)| PossibleExecution { sent_at, server })
+        self.attempt_log.first_possible_execution()
     }
 
     /// Whether an attempt is in flight at a server.
--- a/core/src/routing/snapshot.rs
+++ b/core/src/routing/snapshot.rs
@@ -11,10 +11,10 @@
 
 /// All that another process of this proxy instance must know.
 pub(super) fn take(cluster: &Cluster, sessions: &SessionTokenStore, now: f64) -> StateSnapshot {
-    let (floor, tokens) = sessions.snapshot();
+    let tokens = sessions.snapshot();
     StateSnapshot {
-        session_floor: Some(floor),
-        session_tokens: tokens.map(|(session, commit)| (session.to_owned(), commit)).collect(),
+        session_floor: Some(tokens.floor),
+        session_tokens: tokens.tokens.map(|(session, commit)| (session.to_owned(), commit)).collect(),
         servers: cluster.servers().map(|member| take_server(cluster, member, now)).collect(),
     }
 }
--- a/core/src/routing/write_routing.rs
+++ b/core/src/routing/write_routing.rs
@@ -2,7 +2,7 @@
 //! primary is known, to the members in turn, which decline it unless they are the primary.
 
 use crate::api::{GroupId, ServerId};
-use crate::failover::{Phase, ReplicaSet};
+use crate::failover::{InquiryCandidate, Phase, ReplicaSet};
 
 use super::cluster::Member;
 use super::open_request::OpenRequest;
@@ -26,8 +26,8 @@
 pub(super) struct PrimaryQuery {
     /// The group.
     pub group: GroupId,
-    /// Each eligible member with the seconds for which it has owed a response, in the order of ids.
-    pub members: Vec<(ServerId, f64)>,
+    /// The eligible members in the order of ids.
+    pub members: Vec<InquiryCandidate>,
     /// Seconds after which the attempt is given up.
     pub timeout_secs: f64,
 }
@@ -93,6 +93,10 @@
         member.server.has_capacity(view.now) && view.is_eligible(write, member.id, member.server)
     };
     let able = view.cluster.members(group).filter(is_able);
-    let members = able.map(|member| (member.id, member.server.silence_secs(view.now))).collect();
+    let candidate = |member: Member| InquiryCandidate {
+        server: member.id,
+        silence_secs: member.server.silence_secs(view.now),
+    };
+    let members = able.map(candidate).collect();
     WriteDecision::AskMembers(PrimaryQuery { group, members, timeout_secs: write.secs_left(view.now) })
 }
