--- a/src/main.rs
+++ b/src/main.rs
@@ -20,7 +20,7 @@
 use pipittack::net::buffers::BufferPool;
 use pipittack::net::client::{self, ClientService};
 use pipittack::net::discovery::{self, EndpointRegistry, SharedEndpointRegistry};
-use pipittack::net::driver::{Clock, Driver, ServerCommand};
+use pipittack::net::driver::{Clock, DriverParts, ServerCommand};
 use pipittack::net::hot_restart::frame::{self, Hello, PredecessorStatus};
 use pipittack::net::hot_restart::handover::{self, SharedResources};
 use pipittack::net::server::{self, PgDriver};
@@ -217,7 +217,8 @@
             .map(|(name, (i, class))| (name, (ClassId(i), class)))
             .collect(),
     };
-    let (driver, orders, asks) = Driver::new(settings, seed, clock).map_err(|e| format!("settings: {e}"))?;
+    let DriverParts { driver, server_commands, discovery_commands } =
+        DriverParts::new(settings, seed, clock).map_err(|e| format!("settings: {e}"))?;
     let registry = Rc::new(RefCell::new(EndpointRegistry::new(env.names, clock)));
     let clients = ClientService::new(driver.clone(), to_clients, pool.clone());
     let control = Rc::new(AdminApi {
@@ -235,9 +236,9 @@
             driver.endpoints_updated(view, addresses);
         }
     }
-    spawn_local(server::run(driver.clone(), orders, to_servers, pool.clone()));
+    spawn_local(server::run(driver.clone(), server_commands, to_servers, pool.clone()));
     let (moved, service) = watch::channel(config.discovery);
-    spawn_local(discovery::run(driver.clone(), asks, service, registry.clone()));
+    spawn_local(discovery::run(driver.clone(), discovery_commands, service, registry.clone()));
     driver.step();
     let followed = control.clone();
     spawn_local(async move { followed.follow_file().await });
--- /dev/null
+++ b/src/net/driver/hot_restart.rs
@@ -0,0 +1,83 @@
+//! Hot restart: the state that is handed over, and the messages between the two processes while both serve.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use super::attempt_table::InFlightAttempt;
+use super::peer_link::PeerLink;
+use super::Driver;
+use crate::api::{EndpointState, EndpointUpdate, Event, PeerMessage, ServerId, StateSnapshot};
+
+impl<Q, A> Driver<Q, A> {
+    /// The state for a successor process. The engine is stepped first, since a client may have a response
+    /// that the engine has not been fed yet.
+    pub fn snapshot(&self) -> StateSnapshot {
+        self.step();
+        self.0.state.borrow().engine.snapshot()
+    }
+
+    /// Restores the state of the predecessor process, whose clock had its zero at `zero_unix_ms` in Unix
+    /// milliseconds.
+    pub fn restore(&self, mut snapshot: StateSnapshot, zero_unix_ms: f64) {
+        snapshot.shift((zero_unix_ms - self.0.clock.zero_unix_ms()) / 1e3);
+        let mut state = self.0.state.borrow_mut();
+        for server in snapshot.servers.iter().filter(|server| !server.primary) {
+            let position = server.position.and_then(|secs| Duration::try_from_secs_f64(secs).ok());
+            let position = position.filter(|at| *at <= self.0.clock.now());
+            state.endpoints.restore_position(ServerId(server.server), position);
+        }
+        state.events.push(Event::SnapshotReceived(Box::new(snapshot)));
+        self.0.event_queued.notify_one();
+    }
+
+    /// Connects the peer process, which serves as well, so that both notify each other of changes.
+    pub fn connect_peer(&self, link: Rc<dyn PeerLink>) {
+        self.0.peer.connect(link);
+        self.wake();
+    }
+
+    /// Tells the peer that this process has answered all its requests and accepts no more.
+    pub fn close_peer(&self) {
+        if let Some(peer) = self.0.peer.link() {
+            peer.close();
+        }
+    }
+
+    /// Reports that a peer process serves and cannot be reached.
+    pub fn peer_unreachable(&self) {
+        self.queue_event(Event::PeerMessage(PeerMessage::PeerUnreachable(true)));
+    }
+
+    /// Reports that the peer process has ended.
+    pub fn peer_gone(&self) {
+        let peer = self.0.peer.disconnect();
+        let messages = peer.map(|peer| peer.receive()).unwrap_or_default();
+        self.0.state.borrow_mut().events.extend(messages.into_iter().map(Event::PeerMessage));
+        self.queue_event(Event::PeerMessage(PeerMessage::PeerUnreachable(false)));
+    }
+
+    /// Requests a step of the engine.
+    pub fn wake(&self) {
+        self.0.event_queued.notify_one();
+    }
+
+    /// Notifies the peer of a session's write, if the attempt was one.
+    pub(super) fn send_session_write(&self, attempt: &InFlightAttempt, commit: Duration) {
+        if let (Some(session), Some(peer)) = (&attempt.writing_session, self.0.peer.link()) {
+            peer.send(&PeerMessage::SessionWrite {
+                session: session.to_string(),
+                commit: commit.as_secs_f64(),
+            });
+        }
+    }
+
+    /// Tells the peer which servers an update from the discovery service withdraws.
+    pub(super) fn send_withdrawn_servers(&self, update: &EndpointUpdate, removed: &[ServerId]) {
+        let Some(peer) = self.0.peer.link() else { return };
+        let (EndpointUpdate::Changes(entries) | EndpointUpdate::Full(entries)) = update else { return };
+        let withdrawn = entries.iter().filter(|entry| entry.state != EndpointState::Healthy);
+        for server in withdrawn.map(|entry| entry.server).chain(removed.iter().copied()) {
+            peer.send(&PeerMessage::ServerWithdrawn(server));
+        }
+    }
+}
