--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! A read/write splitting proxy for replicated database clusters.
 //!
-//! Every decision is made in the package `pipittack-core`, whose module is named here again. The proxy around it
-//! is in [`net`].
+//! The routing engine, which makes all decisions, is in the package `pipittack-core` and re-exported here. The
+//! proxy around it is in [`net`].
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -19,7 +19,7 @@
 use pipittack::net::admin::{self, AdminApi, OutOfServiceList};
 use pipittack::net::buffers::BufferPool;
 use pipittack::net::client::{self, ClientService};
-use pipittack::net::discovery::{self, EndpointRegistry, SharedEndpointRegistry};
+use pipittack::net::discovery::{self, EndpointRegistry, RegistryUpdate, SharedEndpointRegistry};
 use pipittack::net::driver::{Clock, DriverParts, ServerCommand};
 use pipittack::net::hot_restart::frame::{self, Hello, PredecessorStatus};
 use pipittack::net::hot_restart::handover::{self, SharedResources};
@@ -232,9 +232,8 @@
     // The process before this one has it from the service, the configuration only as of some earlier time.
     let handed = heritage.as_mut().and_then(|heritage| heritage.state.as_mut()?.endpoint_list.take());
     if let Some(known) = handed.or(config.known.take()) {
-        if let Some((view, addresses)) = registry.borrow_mut().apply(known, true) {
-            driver.endpoints_updated(view, addresses);
-        }
+        let RegistryUpdate { update, addresses } = registry.borrow_mut().apply_cached(known);
+        driver.endpoints_updated(update, addresses);
     }
     spawn_local(server::run(driver.clone(), server_commands, to_servers, pool.clone()));
     let (moved, service) = watch::channel(config.discovery);
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -4,7 +4,7 @@
 
 use pipittack::net::admin::{call, AdminCall};
 use pipittack::net::buffers::{BufferPool, SIZE};
-use pipittack::net::discovery::{chunk_size, head, Framing};
+use pipittack::net::discovery::{parse_chunk_size, parse_response_head, BodyFraming};
 use pipittack::net::postgres::{self, Query, Startup};
 use rstest::rstest;
 
@@ -170,14 +170,18 @@
 }
 
 #[rstest]
-#[case("HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n", Some((200, Framing::Chunked)))]
-#[case("HTTP/1.1 503 Service Unavailable\r\ncontent-length:0\r\n", Some((503, Framing::Length(0))))]
-#[case("HTTP/1.0 200\r\n", Some((200, Framing::ToEnd)))]
-#[case("HTTP/1.1 200 \r\n", Some((200, Framing::ToEnd)))]
+#[case("HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n", Some((200, BodyFraming::Chunked)))]
+#[case("HTTP/1.1 503 Service Unavailable\r\ncontent-length:0\r\n", Some((503, BodyFraming::Length(0))))]
+#[case("HTTP/1.0 200\r\n", Some((200, BodyFraming::UntilClose)))]
+#[case("HTTP/1.1 200 \r\n", Some((200, BodyFraming::UntilClose)))]
 #[case("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n", None)]
 #[case("SSH-2.0-x\r\n", None)]
-fn a_response_head_tells_status_and_framing(#[case] text: &str, #[case] read: Option<(u16, Framing)>) {
-    assert_eq!(head(text.as_bytes()), read);
+fn a_response_head_has_a_status_and_a_body_framing(
+    #[case] text: &str,
+    #[case] expected: Option<(u16, BodyFraming)>,
+) {
+    let head = parse_response_head(text.as_bytes());
+    assert_eq!(head.map(|head| (head.status, head.framing)), expected);
 }
 
 #[rstest]
@@ -185,8 +189,8 @@
 #[case(b"0;last\r\n", Some(0))]
 #[case(b"\r\n", None)]
 #[case(b"ffffffffffffffffff\r\n", None)]
-fn a_chunk_starts_with_its_size_in_hex(#[case] line: &[u8], #[case] size: Option<usize>) {
-    assert_eq!(chunk_size(line), size);
+fn a_chunk_size_line_is_parsed_as_hexadecimal(#[case] line: &[u8], #[case] size: Option<usize>) {
+    assert_eq!(parse_chunk_size(line), size);
 }
 
 #[rstest]
