--- a/src/net/driver/step.rs
+++ b/src/net/driver/step.rs
@@ -82,7 +82,7 @@
             Action::Watch { on } => self.command_discovery(DiscoveryCommand::Watch(on)),
             Action::Poll => self.command_discovery(DiscoveryCommand::Poll),
             Action::SetTimer { after, id } => state.timers.schedule(now + after, id),
-            Action::Log(text) => log::info!("module: {text}"),
+            Action::Log(text) => log::info!("routing engine: {text}"),
             // Proxy instances are not connected with each other, so there is nobody to send it to.
             Action::Gossip { .. } => {}
         }
@@ -96,7 +96,7 @@
     /// Gives a request the final response that the engine has decided on.
     fn complete(now: Duration, id: RequestId, response: Response<A>, state: &mut State<Q, A>) {
         let Some(request) = state.requests.remove(id) else { return };
-        let result = if matches!(response, Response::Failed) { "failed" } else { "refused" };
+        let result = if matches!(response, Response::Failed) { "failed" } else { "rejected" };
         let waited_ms = now.saturating_sub(request.submitted_at).as_millis();
         let limit_ms = request.deadline.saturating_sub(request.submitted_at).as_millis();
         log::debug!(
