--- /dev/null
+++ b/src/bootstrap.rs
@@ -0,0 +1,175 @@
+//! Starts a proxy process, runs it until a signal ends it, and shuts it down.
+//!
+//! Owns the order of the start: resources, the predecessor's listener or a new one, the components, and then
+//! the tasks. The order matters. Endpoints that are known already are applied before anything runs, and
+//! clients are accepted last.
+//!
+//! All tasks run on one [`LocalSet`], which owns them: a task that still runs when [`run`] returns is dropped
+//! with it. Most tasks run for as long as the process does. Two kinds end earlier. The tasks of a takeover
+//! and the one that waits for discovery end when their work is done. The client task ends once a graceful
+//! shutdown has closed the listener; it then ends the handover task, unless a successor accepts from the same
+//! queue. No task returns an error: each logs its own and goes on. A panic ends only the task that it occurs
+//! in.
+
+use std::io;
+use std::time::Duration;
+
+use log::LevelFilter;
+use pipittack::api::SettingsError;
+use pipittack::net::buffers::BufferPool;
+use pipittack::net::client::ClientService;
+use pipittack::net::discovery;
+use pipittack::net::driver::Clock;
+use pipittack::net::hot_restart::frame::Hello;
+use pipittack::net::server::{self, PgDriver, ServerOptions};
+use pipittack::settings::{Config, ConfigError, LoadedConfig};
+use tokio::sync::watch;
+use tokio::task::{spawn_local, LocalSet};
+use tokio::time::Instant;
+
+use crate::cli::ServeOptions;
+use crate::components::{client_options, ClientTasks, Components};
+use crate::config_files::LoadError;
+use crate::listeners::{ListenError, Listeners, StateFiles};
+use crate::logger;
+use crate::reload::Reloader;
+use crate::signals::{SignalRequest, Signals};
+use crate::socket_budget::{SocketBudget, SocketBudgetError};
+
+/// Time after the start at which a process is ready without an update from discovery.
+const MAX_DISCOVERY_WAIT: Duration = Duration::from_millis(4500);
+/// Share of the memory limit that is for buffers; the rest is for the program and its state.
+const BUFFER_SHARE: f64 = 0.7;
+const BYTES_PER_MEGABYTE: f64 = 1e6;
+
+/// Why a process could not start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// There is no asynchronous runtime.
+    #[error("cannot create the runtime: {0}")]
+    Runtime(#[source] io::Error),
+    /// There are no signal handlers.
+    #[error("cannot install signal handlers: {0}")]
+    Signals(#[source] io::Error),
+    /// The files cannot be used.
+    #[error(transparent)]
+    Load(#[from] LoadError),
+    /// A value of the configuration cannot be used.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The process has too few descriptors.
+    #[error(transparent)]
+    Sockets(#[from] SocketBudgetError),
+    /// A listener cannot be opened.
+    #[error(transparent)]
+    Listen(#[from] ListenError),
+    /// The engine refuses the settings.
+    #[error("settings: {0}")]
+    Settings(#[from] SettingsError),
+}
+
+/// Runs a proxy process until it has shut down.
+///
+/// # Errors
+///
+/// Where the process cannot start.
+pub fn run(options: &ServeOptions, log_level: LevelFilter) -> Result<(), StartError> {
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)?;
+    let result = LocalSet::new().block_on(&runtime, async {
+        // A signal that arrives while the configuration is read must not end the process, so handlers come
+        // first.
+        let signals = Signals::install().map_err(StartError::Signals)?;
+        let loaded = options.files.load()?;
+        logger::install(&loaded.config.name, log_level);
+        serve(options, loaded, signals).await
+    });
+    log::logger().flush();
+    result
+}
+
+async fn serve(options: &ServeOptions, loaded: LoadedConfig, mut signals: Signals) -> Result<(), StartError> {
+    let mut reloader = start(options, loaded).await?;
+    while signals.next().await == SignalRequest::Reload {
+        if let Err(error) = reloader.reload() {
+            log::warn!("{error}");
+        }
+    }
+    shut_down(&reloader.clients, &reloader.driver).await;
+    Ok(())
+}
+
+async fn shut_down(clients: &ClientService, driver: &PgDriver) {
+    log::info!("graceful shutdown started, {} requests in flight", driver.requests_in_flight());
+    clients.shut_down().await;
+    driver.close_peer();
+    match driver.requests_in_flight() {
+        0 => {}
+        in_flight => log::warn!("graceful shutdown ended with {in_flight} requests in flight"),
+    }
+}
+
+/// Starts all components and tasks. Returns what a reload and a shutdown need of them.
+async fn start(options: &ServeOptions, loaded: LoadedConfig) -> Result<Reloader<'_>, StartError> {
+    let LoadedConfig { mut config, settings, connections } = loaded;
+    let resources = Resources::reserve(&config)?;
+    let state_files = StateFiles::new(options.state_dir.as_deref(), &config);
+    let hello = Hello::new(&config.name);
+    let mut listeners = Listeners::open(&config, options.admin_address, &state_files, &hello).await?;
+
+    let server_options = ServerOptions::new(
+        &settings,
+        connections.server_idle_timeout,
+        resources.sockets.max_server_sockets(),
+    );
+    let client_options = client_options(&settings, &connections.names, resources.sockets);
+    let (driver, server_commands, discovery_commands) =
+        PgDriver::new(settings, resources.seed, resources.clock)?;
+    let components = Components::new(driver, connections.names, client_options, &resources, &state_files);
+    components.admin.sync_file();
+    // The predecessor's endpoint list comes from discovery, the configuration's from some earlier time.
+    let cached_endpoints = listeners.origin.take_endpoint_list().or(config.cached_endpoints.take());
+    components.apply_cached_endpoints(cached_endpoints);
+
+    let driver = components.driver.clone();
+    spawn_local(server::run(driver.clone(), server_commands, server_options, resources.buffers.clone()));
+    let (discovery_address, address_updates) = watch::channel(config.discovery);
+    let registry = components.registry.clone();
+    spawn_local(discovery::run(driver.clone(), discovery_commands, address_updates, registry));
+    driver.step();
+    components.spawn_admin_tasks(listeners.admin, resources.buffers.clone())?;
+    spawn_local(async move { driver.run().await });
+    components.spawn_client_tasks(ClientTasks {
+        listener: listeners.clients,
+        address: listeners.clients_address,
+        origin: listeners.origin,
+        handover_path: state_files.handover_socket(),
+        hello,
+        buffers: resources.buffers,
+        ready_by: resources.started_at + MAX_DISCOVERY_WAIT,
+    })?;
+    let Components { driver, registry, clients, .. } = components;
+    Ok(Reloader { files: &options.files, current: config, discovery_address, clients, driver, registry })
+}
+
+/// What a process needs before it opens any listener.
+pub struct Resources {
+    pub clock: Clock,
+    pub started_at: Instant,
+    pub buffers: BufferPool,
+    /// Seed of the engine's random numbers.
+    pub seed: u64,
+    pub sockets: SocketBudget,
+}
+
+impl Resources {
+    fn reserve(config: &Config) -> Result<Self, StartError> {
+        let clock = Clock::start();
+        let started_at = Instant::now();
+        let buffer_bytes = config.limits.memory_mb as f64 * BYTES_PER_MEGABYTE * BUFFER_SHARE;
+        let buffers = BufferPool::new(buffer_bytes as usize);
+        let seed = config.seed()?;
+        let sockets = SocketBudget::acquire(config.limits.sockets)?;
+        Ok(Self { clock, started_at, buffers, seed, sockets })
+    }
+}
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -308,23 +308,34 @@
     /// The discovery service.
     pub discovery: SocketAddr,
     /// Where the operators' calls are answered; nowhere without it.
-    #[serde(default)]
-    pub ops: Option<SocketAddr>,
+    #[serde(default, rename = "ops")]
+    pub admin: Option<SocketAddr>,
     /// For random numbers, in hex.
     pub seed: String,
     /// What it runs within.
     #[serde(default)]
     pub limits: ResourceLimits,
     /// The server list as an earlier run had it, in discovery's form.
-    #[serde(default)]
-    pub known: Option<crate::endpoint_list::EndpointList>,
+    #[serde(default, rename = "known")]
+    pub cached_endpoints: Option<crate::endpoint_list::EndpointList>,
     settings: Value,
 }
 
+/// A configuration file with its settings.
+#[derive(Debug, Clone)]
+pub struct LoadedConfig {
+    /// The file itself.
+    pub config: Config,
+    /// Settings of the routing engine.
+    pub settings: Settings,
+    /// Settings of the connections around it.
+    pub connections: ConnectionSettings,
+}
+
 impl Config {
     /// Reads the text of a configuration file that takes the place of this one. Guards against half a file: no
     /// key that this one has may be missing, but for what only a start needs.
-    pub fn read_replacement(&self, text: &str) -> Parsed<(Self, Settings, ConnectionSettings)> {
+    pub fn read_replacement(&self, text: &str) -> Parsed<LoadedConfig> {
         let object: Value = serde_json::from_str(text).map_err(|e| format!("not a configuration: {e}"))?;
         for key in ["name", "limits"] {
             object.get(key).ok_or_else(|| format!("{key} is missing"))?;
@@ -337,15 +348,15 @@
     }
 
     /// Reads the text of a configuration file, its settings included.
-    pub fn read(text: &str) -> Parsed<(Self, Settings, ConnectionSettings)> {
+    pub fn read(text: &str) -> Parsed<LoadedConfig> {
         let config: Self = serde_json::from_str(text).map_err(|e| format!("not a configuration: {e}"))?;
-        let (settings, env) = read(&config.settings)?;
+        let (settings, connections) = read(&config.settings)?;
         settings.validate().map_err(|e| e.to_string())?;
         config.seed()?;
         if config.limits.sockets < MIN_SOCKETS {
             return Err(format!("limits.sockets is under {MIN_SOCKETS}").into());
         }
-        Ok((config, settings, env))
+        Ok(LoadedConfig { config, settings, connections })
     }
 
     /// The seed as a number.
--- a/tests/network.rs
+++ b/tests/network.rs
@@ -529,10 +529,10 @@
         (&new, ""),
         (&new[new.len() / 2..], ""),
     ] {
-        let answer = reload(new.replace(broken, with), "kept as it was");
+        let answer = reload(new.replace(broken, with), "configuration unchanged");
         assert_eq!(field(&answer, b'C').as_deref(), Some("42601"), "{broken}");
     }
-    assert_eq!(kinds(&reload(new, "read again")), "TDCZ");
+    assert_eq!(kinds(&reload(new, "configuration reloaded")), "TDCZ");
     until("the old name goes", || field(&client.ask(&write(3000)), b'C').as_deref() == Some("42601"));
 }
 
@@ -608,7 +608,7 @@
         (0..10).for_each(|_| drop(client.ask(&write(3000))));
     }
     proxy.signal("HUP");
-    proxy.logged("configuration read again");
+    proxy.logged("configuration reloaded");
     (0..10).for_each(|_| drop(client.ask(&write(3000))));
     drop((client, proxy));
     // What was killed has left the ban behind for the next one, which hears of the server as never banned.
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -361,7 +361,7 @@
     for text in [&second, &third] {
         std::fs::write(&proxy.config, text).expect("a writable folder");
         proxy.signal("HUP");
-        proxy.logged("configuration read again");
+        proxy.logged("configuration reloaded");
     }
     for class in ["usage-write", "w2", "own-changes"] {
         assert_eq!(kinds(&client.ask(&write(3000).replace("usage-write", class))), "TDCZ", "{class}");
@@ -393,7 +393,7 @@
     drop(fifo);
     let mut log = std::io::BufReader::new(child.stderr.take().expect("piped"));
     let lines = std::io::BufRead::lines(&mut log).map_while(Result::ok);
-    let word = if name == "HUP" { "configuration read again" } else { "told to end" };
+    let word = if name == "HUP" { "configuration reloaded" } else { "graceful shutdown started" };
     assert!(lines.into_iter().any(|line| line.contains(word)), "it goes by the signal");
     if name == "TERM" {
         assert!(child.wait().expect("it ends").success());
@@ -419,7 +419,7 @@
     client.send(&[held, query(&read_as("b", 1500)), query(&write(3000).replace("id=2,", "id=c,"))].concat());
     until("it is sent", || server.count() == 1);
     proxy.signal("TERM");
-    proxy.logged("told to end");
+    proxy.logged("graceful shutdown started");
     proxy.signal("HUP");
     proxy.signal("TERM");
     tell.send(()).expect("the server waits");
@@ -474,7 +474,7 @@
     }
     proxy.signal("TERM");
     proxy.signal("CONT");
-    proxy.logged("told to end");
+    proxy.logged("graceful shutdown started");
     client.send(&request[half..]);
     if let Some(mut stream) = dialled {
         stream.write_all(&welcome()).expect("it reads");
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -98,7 +98,7 @@
             break address.parse().expect("an address");
         }
     };
-    let (ops, address) = (after("calls are answered at "), after("serving at "));
+    let (ops, address) = (after("admin API listening at "), after("serving at "));
     let (tell, lines) = std::sync::mpsc::channel();
     std::thread::spawn(move || log.map_while(Result::ok).for_each(|line| drop(tell.send(line))));
     Proxy { child, config, address, ops, log: lines, _discovery: discovery }
