--- a/src/bin/simulator-adapter/parse.rs
+++ b/src/bin/simulator-adapter/parse.rs
@@ -22,7 +22,7 @@
 
 type Parsed<T> = Result<T, String>;
 
-fn millis(value: f64, what: &str) -> Parsed<Duration> {
+fn millis(value: f64, what: &'static str) -> Parsed<Duration> {
     pipittack::settings::millis(value, what).map_err(|e| e.to_string())
 }
 
@@ -54,7 +54,7 @@
     at(values, place).and_then(Value::as_str).ok_or(format!("{what} is not a string"))
 }
 
-fn time(values: &[Value], place: usize, what: &str) -> Parsed<Duration> {
+fn time(values: &[Value], place: usize, what: &'static str) -> Parsed<Duration> {
     millis(num(values, place, what)?, what)
 }
 
