--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,128 +1,70 @@
-//! Speaks the line protocol of the bench on standard input and output, and hosts one gateway per instance.
+//! Hosts routing engines for a simulator, which drives them by a line protocol on standard input and output.
+//!
+//! Input comes in batches. Each line is a JSON array with a name first. `TURN` starts a batch and `EOB` ends
+//! it; the reply is one line for each action, and then `OK`. A line that is malformed ends the process.
 
+mod endpoints;
+mod error;
+mod event;
+mod fields;
+mod host;
 mod parse;
 mod write;
 
-use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
-use std::time::Duration;
 
-use parse::Line;
-use pipittack::api::{Action, Endpoint, Event};
-use pipittack::settings::{self, ConnectionSettings};
-use pipittack::RoutingEngine;
+use crate::error::{LineError, RunError};
+use crate::host::Host;
+use crate::parse::{parse_line, parse_message, parse_turn, Turn};
 
-/// An instance: its gateway, the names of its settings, and its events of the present batch.
-struct Instance {
-    gateway: RoutingEngine,
-    env: ConnectionSettings,
-    events: Vec<Event>,
-}
-
-#[derive(Default)]
-struct Host {
-    instances: BTreeMap<u64, Instance>,
-    /// The process's numbered lists, as they came.
-    lists: BTreeMap<u64, serde_json::Value>,
-    /// Instances with an event in this batch.
-    touched: Vec<u64>,
-}
-
-impl Host {
-    /// Takes one event line of a batch.
-    fn take(&mut self, line: Line) -> Result<(), String> {
-        match line {
-            Line::Register { number, items } => {
-                self.lists.insert(number, items);
-            }
-            Line::Enlist { instance, seed, env } => {
-                let (settings, env) = settings::read(&env).map_err(|e| e.to_string())?;
-                let gateway = RoutingEngine::new(settings, seed).map_err(|e| format!("settings: {e}"))?;
-                self.instances.insert(instance, Instance { gateway, env, events: Vec::new() });
-                self.touch(instance);
-            }
-            Line::Teardown { instance } => {
-                self.instances.remove(&instance);
-                self.touched.retain(|&i| i != instance);
-            }
-            Line::EndpointUpdate { instance, form, list } => {
-                let Some(host) = self.instances.get_mut(&instance) else { return Ok(()) };
-                let entries: Vec<Endpoint> = match list {
-                    Some(number) => {
-                        let items = self.lists.get(&number).ok_or(format!("no list number {number}"))?;
-                        parse::entries(items, &mut host.env.names)?
-                    }
-                    None => Vec::new(),
-                };
-                host.events.push(Event::Endpoints(parse::view(&form, entries)?));
-                self.touch(instance);
-            }
-            Line::Event { instance, name, values } => {
-                let Some(host) = self.instances.get_mut(&instance) else { return Ok(()) };
-                host.events.push(parse::event(&name, &values, &host.env)?);
-                self.touch(instance);
-            }
+fn main() -> ExitCode {
+    let mut out = io::BufWriter::new(io::stdout().lock());
+    match run(io::stdin().lock(), &mut out) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("simulator-adapter: {error}");
+            ExitCode::FAILURE
         }
-        Ok(())
     }
+}
 
-    fn touch(&mut self, instance: u64) {
-        if !self.touched.contains(&instance) {
-            self.touched.push(instance);
-        }
+fn run(input: impl BufRead, out: &mut impl Write) -> Result<(), RunError> {
+    let mut session = Session::default();
+    for (index, line) in input.lines().enumerate() {
+        let result = line.map_err(LineError::Io).and_then(|line| session.process(&line, out));
+        result.map_err(|source| RunError::Line { number: index + 1, source })?;
     }
-
-    /// Ends a batch: steps every instance that has an event, and writes the reply.
-    fn reply(&mut self, now: Duration, batch: &serde_json::Value, out: &mut impl Write) -> io::Result<()> {
-        self.touched.sort_unstable();
-        let mut actions: Vec<Action> = Vec::new();
-        for instance in std::mem::take(&mut self.touched) {
-            let Some(host) = self.instances.get_mut(&instance) else { continue };
-            host.gateway.step(now, host.events.drain(..), &mut actions);
-            for action in actions.drain(..) {
-                writeln!(out, "{}", write::action(instance, &action))?;
-            }
-        }
-        writeln!(out, "{}", serde_json::json!(["OK", batch]))?;
-        out.flush()
+    match session.turn {
+        Some(_) => Err(RunError::UnfinishedBatch),
+        None => Ok(()),
     }
 }
 
-fn run(input: impl BufRead, out: &mut impl Write) -> Result<(), String> {
-    let mut host = Host::default();
-    let mut batch: Option<(Duration, serde_json::Value)> = None;
-    for (at, line) in input.lines().enumerate() {
-        let fault = |what: String| format!("line {}: {what}", at + 1);
-        let line = line.map_err(|e| fault(e.to_string()))?;
+/// The state between two lines.
+#[derive(Default)]
+struct Session {
+    host: Host,
+    /// The batch that is open.
+    turn: Option<Turn>,
+}
+
+impl Session {
+    fn process(&mut self, line: &str, out: &mut impl Write) -> Result<(), LineError> {
         if line.trim().is_empty() {
-            continue;
+            return Ok(());
         }
-        let (name, values) = parse::message(&line).map_err(fault)?;
-        match (name.as_str(), &batch) {
-            ("TURN", None) => batch = Some(parse::turn(&values).map_err(fault)?),
-            ("TURN", Some(_)) => return Err(fault("TURN inside a batch".into())),
-            (_, None) => return Err(fault(format!("{name} outside a batch"))),
-            ("EOB", Some((now, number))) => {
-                host.reply(*now, number, out).map_err(|e| fault(e.to_string()))?;
-                batch = None;
+        let message = parse_message(line)?;
+        match (message.name.as_str(), &self.turn) {
+            ("TURN", None) => self.turn = Some(parse_turn(&message.values)?),
+            ("TURN", Some(_)) => return Err(LineError::NestedBatch),
+            (_, None) => return Err(LineError::OutsideBatch { message: message.name }),
+            ("EOB", Some(turn)) => {
+                self.host.reply(turn, out)?;
+                self.turn = None;
             }
-            _ => parse::line(name, values).and_then(|l| host.take(l)).map_err(fault)?,
-        }
-    }
-    match batch {
-        Some(_) => Err("input ended inside a batch".into()),
-        None => Ok(()),
-    }
-}
-
-fn main() -> ExitCode {
-    let mut out = io::BufWriter::new(io::stdout().lock());
-    match run(io::stdin().lock(), &mut out) {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("simulator-adapter: {fault}");
-            ExitCode::FAILURE
+            _ => self.host.apply(parse_line(message)?)?,
         }
+        Ok(())
     }
 }
--- a/src/bin/simulator-adapter/write.rs
+++ b/src/bin/simulator-adapter/write.rs
@@ -1,22 +1,24 @@
-//! Actions to lines.
+//! Writes the engine's actions as lines.
 
 use std::time::Duration;
 
 use pipittack::api::Action;
 use serde_json::{json, Value};
 
-fn ms(time: Duration) -> f64 {
-    time.as_secs_f64() * 1e3
+const MILLIS_PER_SECOND: f64 = 1e3;
+
+fn millis(duration: Duration) -> f64 {
+    duration.as_secs_f64() * MILLIS_PER_SECOND
 }
 
 /// The line for one action of an instance.
 pub fn action(instance: u64, action: &Action) -> Value {
     match action {
         Action::Forward { request, server, timeout } => {
-            json!(["FORWARD", instance, request.0, server.0, ms(*timeout)])
+            json!(["FORWARD", instance, request.0, server.0, millis(*timeout)])
         }
         Action::Reject { request, retry_after } => {
-            json!(["BOUNCE", instance, request.0, retry_after.map(ms)])
+            json!(["BOUNCE", instance, request.0, retry_after.map(millis)])
         }
         Action::Fail { request } => json!(["FINISH_ERROR", instance, request.0]),
         Action::Cancel { request, attempt } => json!(["REVOKE", instance, request.0, attempt.0]),
@@ -26,7 +28,7 @@
         Action::CloseIdle { server } => json!(["DROP_CONNS", instance, server.0]),
         Action::Gossip { to: Some(peer), bytes } => json!(["MEMO_TO", instance, peer, hex::encode(bytes)]),
         Action::Gossip { to: None, bytes } => json!(["MEMO_TO", instance, "all", hex::encode(bytes)]),
-        Action::SetTimer { after, id } => json!(["AFTER", instance, ms(*after), id.0]),
+        Action::SetTimer { after, id } => json!(["AFTER", instance, millis(*after), id.0]),
         Action::Log(text) => json!(["LOG", instance, text]),
     }
 }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,9 +1,9 @@
-//! Transcripts through the binary.
+//! Runs transcripts of the simulator's line protocol through `simulator-adapter`.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const ENV: &str = r#"{"Classes":[{"Credit":1,"DeadlineMs":1500,"Effect":"repeatable","LateValue":0,"Name":"look",
+const SETTINGS: &str = r#"{"Classes":[{"Credit":1,"DeadlineMs":1500,"Effect":"repeatable","LateValue":0,"Name":"look",
 "OnTimeMs":400,"Stream":false,"WindowMs":5000},{"Credit":4,"DeadlineMs":3000,"DedupScope":"cell","Effect":"by_key",
 "LateValue":0.5,"Name":"pay","OnTimeMs":500,"WindowMs":3000}],"Contract":{"AnswerSlackMs":20,"AskEveryMs":10000,
 "ColdShare":0.2,"OverloadFactor":2.5,"OverloadForMs":1500,"StopSendingWithinMs":250,"WarmUpMs":17000},
@@ -21,7 +21,7 @@
         .expect("the adapter starts");
     let text = lines.join("\n") + "\n";
     let mut input = child.stdin.take().expect("piped");
-    // A process that ended on a malformed line no longer reads.
+    // A process that ended on a malformed line reads no more, so a failed write is no error.
     let _ = input.write_all(text.as_bytes());
     drop(input);
     child.wait_with_output().expect("the adapter ends")
@@ -34,38 +34,39 @@
 }
 
 fn enlist(instance: u64) -> String {
-    format!("[\"ENLIST\",{instance},5,{}]", ENV.replace('\n', ""))
+    format!("[\"ENLIST\",{instance},5,{}]", SETTINGS.replace('\n', ""))
 }
 
 fn list(number: u64, servers: &[(u32, u8)]) -> String {
-    let item = |(id, head): &(u32, u8)| format!("[{id},\"north\",{head},\"std\",9,\"healthy\",1,null]");
+    let item =
+        |(id, is_primary): &(u32, u8)| format!("[{id},\"north\",{is_primary},\"std\",9,\"healthy\",1,null]");
     format!("[\"REGISTER\",{number},[{}]]", servers.iter().map(item).collect::<Vec<_>>().join(","))
 }
 
-fn lines(all: &[&str]) -> Vec<String> {
-    all.iter().map(|s| (*s).to_owned()).collect()
+fn lines(lines: &[&str]) -> Vec<String> {
+    lines.iter().map(|line| (*line).to_owned()).collect()
 }
 
-fn started() -> Vec<String> {
-    let mut all = lines(&[r#"["TURN",5000,1]"#]);
-    all.extend([enlist(3), list(0, &[(71, 1), (72, 0)])]);
-    all.extend(lines(&[r#"["VIEW",3,"remembered",1,0]"#, r#"["EOB"]"#]));
-    all
+fn input_with_a_started_instance() -> Vec<String> {
+    let mut input = lines(&[r#"["TURN",5000,1]"#]);
+    input.extend([enlist(3), list(0, &[(71, 1), (72, 0)])]);
+    input.extend(lines(&[r#"["VIEW",3,"remembered",1,0]"#, r#"["EOB"]"#]));
+    input
 }
 
 fn forwards(replies: &[String]) -> Vec<&String> {
-    replies.iter().filter(|l| l.starts_with("[\"FORWARD\"")).collect()
+    replies.iter().filter(|line| line.starts_with("[\"FORWARD\"")).collect()
 }
 
 #[test]
-fn an_empty_batch_is_echoed_and_end_of_input_is_clean() {
+fn an_empty_batch_is_acknowledged_and_end_of_input_is_no_error() {
     assert_eq!(replies(&lines(&[r#"["TURN",8412.25,12]"#, r#"["EOB"]"#])), [r#"["OK",12]"#]);
 }
 
 #[test]
-fn a_write_goes_to_the_listed_primary_and_its_answer_ends_it() {
-    let mut all = started();
-    all.extend(lines(&[
+fn a_write_is_forwarded_to_the_listed_primary_once() {
+    let mut input = input_with_a_started_instance();
+    input.extend(lines(&[
         r#"["TURN",5010,2]"#,
         r#"["CALL",3,9007199254740,900.0,4,0,null,null,"user/a","pay",9]"#,
         r#"["EOB"]"#,
@@ -73,57 +74,57 @@
         r#"["ANSWER",3,9007199254740,0,71,"ok",20.0,true,16081,[4.02,1]]"#,
         r#"["EOB"]"#,
     ]));
-    let out = replies(&all);
-    assert_eq!(forwards(&out).len(), 1);
-    assert!(forwards(&out)[0].starts_with(r#"["FORWARD",3,9007199254740,71,"#), "{out:?}");
-    assert_eq!(out.last().map(String::as_str), Some(r#"["OK",3]"#));
+    let replies = replies(&input);
+    assert_eq!(forwards(&replies).len(), 1);
+    assert!(forwards(&replies)[0].starts_with(r#"["FORWARD",3,9007199254740,71,"#), "{replies:?}");
+    assert_eq!(replies.last().map(String::as_str), Some(r#"["OK",3]"#));
 }
 
 #[test]
-fn a_reused_list_number_is_resolved_in_event_order() {
-    let mut all = lines(&[r#"["TURN",5000,1]"#]);
-    all.extend([enlist(1), list(4, &[(71, 1)])]);
-    all.extend(lines(&[r#"["VIEW",1,"remembered",1,4]"#]));
-    all.extend([enlist(2), list(4, &[(88, 1)])]);
-    all.extend(lines(&[
+fn a_reused_list_number_is_resolved_in_line_order() {
+    let mut input = lines(&[r#"["TURN",5000,1]"#]);
+    input.extend([enlist(1), list(4, &[(71, 1)])]);
+    input.extend(lines(&[r#"["VIEW",1,"remembered",1,4]"#]));
+    input.extend([enlist(2), list(4, &[(88, 1)])]);
+    input.extend(lines(&[
         r#"["VIEW",2,"remembered",1,4]"#,
         r#"["CALL",1,10,900.0,4,0,null,null,"u","pay",9]"#,
         r#"["CALL",2,11,900.0,4,0,null,null,"u","pay",9]"#,
         r#"["EOB"]"#,
     ]));
-    let out = replies(&all);
-    assert!(forwards(&out)[0].starts_with(r#"["FORWARD",1,10,71,"#), "{out:?}");
-    assert!(forwards(&out)[1].starts_with(r#"["FORWARD",2,11,88,"#), "{out:?}");
+    let replies = replies(&input);
+    assert!(forwards(&replies)[0].starts_with(r#"["FORWARD",1,10,71,"#), "{replies:?}");
+    assert!(forwards(&replies)[1].starts_with(r#"["FORWARD",2,11,88,"#), "{replies:?}");
 }
 
 #[test]
-fn an_instance_torn_down_forgets_and_may_start_again_in_the_same_batch() {
-    let mut all = started();
-    all.extend(lines(&[r#"["TURN",5010,2]"#, r#"["TEARDOWN",3]"#]));
-    all.extend([enlist(3), list(0, &[(90, 1)])]);
-    all.extend(lines(&[
+fn an_instance_that_restarts_within_a_batch_has_no_state_of_before() {
+    let mut input = input_with_a_started_instance();
+    input.extend(lines(&[r#"["TURN",5010,2]"#, r#"["TEARDOWN",3]"#]));
+    input.extend([enlist(3), list(0, &[(90, 1)])]);
+    input.extend(lines(&[
         r#"["VIEW",3,"remembered",1,0]"#,
         r#"["CALL",3,10,900.0,4,0,null,null,"u","pay",9]"#,
         r#"["EOB"]"#,
     ]));
-    let out = replies(&all);
-    assert!(forwards(&out)[0].starts_with(r#"["FORWARD",3,10,90,"#), "{out:?}");
+    let replies = replies(&input);
+    assert!(forwards(&replies)[0].starts_with(r#"["FORWARD",3,10,90,"#), "{replies:?}");
 }
 
 #[test]
-fn no_action_follows_for_an_instance_that_was_torn_down() {
-    let mut all = started();
-    all.extend(lines(&[
+fn an_instance_that_was_torn_down_sends_no_actions() {
+    let mut input = input_with_a_started_instance();
+    input.extend(lines(&[
         r#"["TURN",5010,2]"#,
         r#"["CALL",3,10,900.0,4,0,null,null,"u","pay",9]"#,
         r#"["TEARDOWN",3]"#,
         r#"["EOB"]"#,
     ]));
-    assert!(forwards(&replies(&all)).is_empty());
+    assert!(forwards(&replies(&input)).is_empty());
 }
 
 #[test]
-fn malformed_lines_end_the_process_and_are_named() {
+fn a_malformed_line_ends_the_process_with_its_number() {
     let cases = [
         ("{\"a\":1}", "not an array"),
         ("[\"CALL\",", "not JSON"),
@@ -133,23 +134,23 @@
         (r#"["BELL",3]"#, "Nonce is missing"),
         (r#"["VIEW",3,"all",1,15]"#, "no list number 15"),
     ];
-    for (line, what) in cases {
-        let mut all = started();
-        all.extend(lines(&[r#"["TURN",5010,2]"#, line]));
-        let output = run(&all);
-        let said = String::from_utf8_lossy(&output.stderr);
+    for (line, expected) in cases {
+        let mut input = input_with_a_started_instance();
+        input.extend(lines(&[r#"["TURN",5010,2]"#, line]));
+        let output = run(&input);
+        let stderr = String::from_utf8_lossy(&output.stderr);
         assert!(!output.status.success(), "{line}");
-        assert!(said.contains("line 7") && said.contains(what), "{line}: {said}");
+        assert!(stderr.contains("line 7") && stderr.contains(expected), "{line}: {stderr}");
     }
 }
 
 #[test]
-fn settings_that_cannot_work_are_a_plain_message() {
+fn invalid_settings_are_reported_with_their_line() {
     let bad = enlist(1).replace("\"ColdShare\":0.2", "\"ColdShare\":7");
     let output = run(&[r#"["TURN",5000,1]"#.into(), bad]);
-    let said = String::from_utf8_lossy(&output.stderr);
+    let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(
-        !output.status.success() && said.contains("line 2") && said.contains("initial capacity share"),
-        "{said}"
+        !output.status.success() && stderr.contains("line 2") && stderr.contains("initial capacity share"),
+        "{stderr}"
     );
 }
