--- a/src/config_files.rs
+++ b/src/config_files.rs
@@ -7,7 +7,7 @@
 
 use clap::Args;
 use pipittack::api::Settings;
-use pipittack::operator_settings::OperatorSettings;
+use pipittack::operator_settings::{OperatorSettings, OperatorSettingsFileError};
 use pipittack::settings::{Config, ConfigError, LoadedConfig};
 
 /// Paths of the files.
@@ -39,11 +39,11 @@
     #[error(transparent)]
     Config(#[from] ConfigFileError),
     /// The operators' file has errors.
-    #[error("{0}")]
-    Operators(String),
+    #[error(transparent)]
+    Operators(#[from] OperatorSettingsFileError),
     /// Both files have errors.
     #[error("{config}\n{operators}")]
-    Both { config: ConfigFileError, operators: String },
+    Both { config: ConfigFileError, operators: OperatorSettingsFileError },
 }
 
 impl ConfigFiles {
