--- a/src/logger.rs
+++ b/src/logger.rs
@@ -71,9 +71,24 @@
 /// A record as one line; control characters in its text become spaces.
 fn format_line(now: SystemTime, name: &str, record: &Record<'_>) -> String {
     let unix = now.duration_since(UNIX_EPOCH).unwrap_or_default();
-    let target = record.target().rsplit("::").next().unwrap_or_default();
+    let component = component(record.target());
     let text = record.args().to_string().replace(|c: char| c.is_control(), " ");
-    format!("{}.{:03} {:5} {name} {target}: {text}\n", unix.as_secs(), unix.subsec_millis(), record.level())
+    format!(
+        "{}.{:03} {:5} {name} {component}: {text}\n",
+        unix.as_secs(),
+        unix.subsec_millis(),
+        record.level()
+    )
+}
+
+/// The part of the proxy that a module path belongs to: the module below `net`, else the crate.
+fn component(module_path: &str) -> &str {
+    let mut segments = module_path.split("::");
+    let crate_name = segments.next().unwrap_or_default();
+    match (segments.next(), segments.next()) {
+        (Some("net"), Some(component)) => component,
+        _ => crate_name,
+    }
 }
 
 /// Installs the logger of this process. A second call changes nothing.
--- a/src/logger/tests.rs
+++ b/src/logger/tests.rs
@@ -5,7 +5,7 @@
 
 use log::{Level, LevelFilter, Log, Record};
 
-use super::{format_line, Logger, MAX_QUEUED_LINES};
+use super::{component, format_line, Logger, MAX_QUEUED_LINES};
 
 #[test]
 fn control_characters_do_not_split_a_line() {
@@ -16,6 +16,13 @@
     assert_eq!(line, "1767225600.123 WARN  n3 discovery: watch  ended [2J\n");
 }
 
+#[test]
+fn a_line_names_the_component_whatever_file_it_comes_from() {
+    let paths =
+        ["pipittack::net::discovery::client", "pipittack::net::admin", "pipittack::bootstrap", "pipittack"];
+    assert_eq!(paths.map(component), ["discovery", "admin", "pipittack", "pipittack"]);
+}
+
 /// A blocked write to standard error must not block the proxy.
 #[test]
 fn a_blocked_log_does_not_block_the_caller() {
