--- a/testkit/src/bin/fleet-trial.rs
+++ b/testkit/src/bin/fleet-trial.rs
@@ -1,17 +1,21 @@
-//! Plays a scenario against many proxies, with processes of a built program or with stepped gateways, and says what came of it.
+//! Runs a scenario against many proxies, as processes of a built program or as a simulation, and prints the
+//! figures.
 
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 use clap::Parser;
-use pipittack_testkit::fleet::live::{self, Place};
 use pipittack_testkit::fleet::plan::Plan;
+use pipittack_testkit::fleet::process_trial::{self, TrialPaths};
 use pipittack_testkit::fleet::report::Report;
-use pipittack_testkit::fleet::scenario;
-use pipittack_testkit::fleet::stepper::Stepper;
+use pipittack_testkit::fleet::scenario::{self, ScenarioError};
+use pipittack_testkit::fleet::simulation::Simulation;
 use serde_json::json;
 
-/// Play a scenario against a fleet
+/// Number of violations that are printed in full.
+const MAX_PRINTED_VIOLATIONS: usize = 10;
+
+/// Run a scenario against a fleet
 #[derive(Parser)]
 #[command(name = "fleet-trial", version, about)]
 struct Cli {
@@ -20,7 +24,7 @@
     /// The program; by default the release build of this workspace
     #[arg(long, value_name = "PATH", default_value = "target/release/pipittack")]
     program: PathBuf,
-    /// Step gateways in this process on virtual time, with no program and no sockets
+    /// Simulate the proxies in this process on virtual time, with no program and no sockets
     #[arg(long)]
     stepped: bool,
     /// Proxies, in place of the script's number
@@ -29,10 +33,10 @@
     /// Data servers, in place of the script's number
     #[arg(long, value_name = "N")]
     servers: Option<usize>,
-    /// Seed of all that is drawn; several are played one after another
+    /// Seed of all random draws; several are run one after another
     #[arg(long, value_name = "N", value_delimiter = ',', default_value = "1")]
     seed: Vec<u64>,
-    /// Where processes write; kept if a rule was broken
+    /// Where processes write; kept after a violation
     #[arg(long, value_name = "DIR")]
     folder: Option<PathBuf>,
     /// One JSON line for each seed, and nothing else, on standard output
@@ -40,46 +44,63 @@
     json: bool,
 }
 
+/// Why a trial could not run.
+#[derive(Debug, thiserror::Error)]
+enum TrialError {
+    #[error("{path}: {source}")]
+    Read { path: PathBuf, source: std::io::Error },
+    #[error("{path}:{source}")]
+    Scenario { path: PathBuf, source: ScenarioError },
+    #[error("the trial: {0}")]
+    Run(std::io::Error),
+}
+
 fn main() -> ExitCode {
     let cli = Cli::parse();
     match run(&cli) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(2),
-        Err(fault) => {
-            eprintln!("fleet-trial: {fault}");
+        Err(error) => {
+            eprintln!("fleet-trial: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-/// Whether every rule was kept.
-fn run(cli: &Cli) -> Result<bool, String> {
-    let name = cli.scenario.display();
-    let text = std::fs::read_to_string(&cli.scenario).map_err(|e| format!("{name}: {e}"))?;
-    let script = scenario::read(&text).map_err(|e| format!("{name}:{e}"))?;
-    let mut kept = true;
+/// Runs the trials of all seeds; whether there was no violation.
+fn run(cli: &Cli) -> Result<bool, TrialError> {
+    let path = &cli.scenario;
+    let text = std::fs::read_to_string(path).map_err(|source| read_error(path, source))?;
+    let scenario =
+        scenario::read(&text).map_err(|source| TrialError::Scenario { path: path.clone(), source })?;
+    let mut passed = true;
     for seed in &cli.seed {
-        let mut plan = script.clone();
+        let mut plan = scenario.clone();
         scenario::resize(&mut plan, cli.proxies, cli.servers, Some(*seed));
-        let report = if cli.stepped { Stepper::new(plan.clone()).play() } else { processes(cli, &plan)? };
-        kept &= report.broken.is_empty();
+        let report =
+            if cli.stepped { Simulation::new(plan.clone()).run() } else { run_processes(cli, &plan)? };
+        passed &= report.violations.is_empty();
         if cli.json {
-            println!("{}", line(cli, &plan, &report));
+            println!("{}", json_line(cli, &plan, &report));
         } else {
-            tell(&plan, &report);
+            print_report(&plan, &report);
         }
     }
-    Ok(kept)
+    Ok(passed)
+}
+
+fn read_error(path: &Path, source: std::io::Error) -> TrialError {
+    TrialError::Read { path: path.to_owned(), source }
 }
 
-fn processes(cli: &Cli, plan: &Plan) -> Result<Report, String> {
+fn run_processes(cli: &Cli, plan: &Plan) -> Result<Report, TrialError> {
     let folder = cli.folder.clone().unwrap_or_else(|| {
         std::env::temp_dir().join(format!("fleet-trial-{}-{}", std::process::id(), plan.seed))
     });
-    let program = cli.program.canonicalize().map_err(|e| format!("{}: {e}", cli.program.display()))?;
-    let place = Place { program, folder: folder.clone() };
-    let report = live::play(plan.clone(), &place).map_err(|e| format!("the trial: {e}"))?;
-    if report.broken.is_empty() && cli.folder.is_none() {
+    let program = cli.program.canonicalize().map_err(|source| read_error(&cli.program, source))?;
+    let paths = TrialPaths { program, folder: folder.clone() };
+    let report = process_trial::run(plan.clone(), &paths).map_err(TrialError::Run)?;
+    if report.violations.is_empty() && cli.folder.is_none() {
         let _ = std::fs::remove_dir_all(&folder);
     } else {
         eprintln!("the logs are in {}", folder.display());
@@ -87,7 +108,7 @@
     Ok(report)
 }
 
-fn line(cli: &Cli, plan: &Plan, report: &Report) -> serde_json::Value {
+fn json_line(cli: &Cli, plan: &Plan, report: &Report) -> serde_json::Value {
     json!({
         "scenario": cli.scenario.file_stem().map(|name| name.to_string_lossy()),
         "stepped": cli.stepped,
@@ -96,50 +117,65 @@
         "seed": plan.seed,
         "share": report.share(),
         "served_within_1s": report.served_within(1.0),
-        "last_told_s": report.last_told(),
+        "last_told_s": report.last_notified(),
         "report": report,
     })
 }
 
-fn tell(plan: &Plan, report: &Report) {
-    let percent = |part: f64| part * 100.0;
+fn percent(share: f64) -> f64 {
+    share * 100.0
+}
+
+fn print_report(plan: &Plan, report: &Report) {
     println!("{} proxies, {} servers, seed {}", plan.proxies, plan.sets * plan.members, plan.seed);
-    println!("  worth served           {:.1} %", percent(report.share()));
-    for (class, (offered, served)) in report.classes.iter().enumerate() {
-        println!("    class {class}              {:.1} %", percent(served / offered.max(1e-9)));
+    print_clients(report);
+    print_servers(report);
+    print_violations(report);
+}
+
+fn print_clients(report: &Report) {
+    println!("  weight served          {:.1} %", percent(report.share()));
+    for (class, weight) in report.classes.iter().enumerate() {
+        println!("    class {class}              {:.1} %", percent(weight.share()));
     }
-    let seconds: Vec<_> = report
-        .seconds
-        .iter()
-        .map(|(offered, served)| format!("{:.0}", percent(served / offered.max(1e-9))))
-        .collect();
+    let seconds: Vec<_> =
+        report.seconds.iter().map(|weight| format!("{:.0}", percent(weight.share()))).collect();
     println!("  by second              {}", seconds.join(" "));
-    let Report { tries, refused, failed, unheard, attempts, handshakes, probes, .. } = report;
-    println!("  tries                  {tries}: {refused} refused, {failed} failed, {unheard} unheard");
+    let Report { tries, rejected, failed, unreachable, .. } = report;
+    println!(
+        "  tries                  {tries}: {rejected} rejected, {failed} failed, {unreachable} unreachable"
+    );
+}
+
+fn print_servers(report: &Report) {
+    let Report { attempts, handshakes, health_checks, .. } = report;
     println!("  attempts               {attempts}, {} of reads at primaries", report.reads_at_primaries);
     println!(
         "  new connections        {handshakes}, at most {:.1} % of a server",
         percent(report.handshake_share)
     );
-    println!("  probes                 {probes}");
+    println!("  health checks          {health_checks}");
     println!(
-        "  calls for the list     {}: {} failed, the longest wait {:.2} s, {} starts",
-        report.calls,
-        report.calls_failed,
-        report.call_longest_s,
+        "  discovery polls        {}: {} failed, the longest wait {:.2} s, {} starts",
+        report.polls,
+        report.failed_polls,
+        report.longest_poll_s,
         report.starts.len()
     );
-    let told = report.last_told().map_or("never".into(), |at| format!("after {at:.2} s"));
-    println!("  the last was told      {told}");
+    let notified = report.last_notified().map_or("never".into(), |at| format!("after {at:.2} s"));
+    println!("  last list received     {notified}");
     println!("  served within 1 s      {:.1} % of the starts", percent(report.served_within(1.0)));
     println!(
-        "  cold servers           sent at most {:.2} of what they bear, {} fell",
-        report.cold_most, report.fell
+        "  servers warming up     at most {:.2} of their overload limit, {} crashed",
+        report.max_overload_ratio, report.overload_crashes
     );
-    for broken in report.broken.iter().take(10) {
-        println!("  BROKEN {broken}");
+}
+
+fn print_violations(report: &Report) {
+    for violation in report.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
+        println!("  VIOLATION {violation}");
     }
-    if report.broken.len() > 10 {
-        println!("  and {} more", report.broken.len() - 10);
+    if report.violations.len() > MAX_PRINTED_VIOLATIONS {
+        println!("  and {} more", report.violations.len() - MAX_PRINTED_VIOLATIONS);
     }
 }
--- /dev/null
+++ b/testkit/src/fleet/fleet_model.rs
@@ -0,0 +1,171 @@
+//! The models that the stepped simulation and the trial with processes share.
+//!
+//! Owns the plan, the site, the links, the workload, the rule checker and the report of one trial. Times are
+//! seconds of the trial, which begins at [`START_S`]. The order of random draws is part of the behaviour: a
+//! seed always gives the same simulation.
+
+use std::time::Duration;
+
+use pipittack_core::api::{Settings, ZoneId};
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+use super::link_faults::{LinkEnd, LinkFaults, LinkState};
+use super::plan::Plan;
+use super::report::{ProcessStart, Report};
+use super::rule_checker::RuleChecker;
+use super::site::Site;
+use super::workload::Workload;
+
+/// Time at which a trial begins. It leaves room for times before the start, which must not be negative.
+pub const START_S: f64 = 1000.0;
+
+/// Converts seconds to a duration; negative values become zero.
+pub fn duration(seconds: f64) -> Duration {
+    Duration::from_secs_f64(seconds.max(0.0))
+}
+
+/// A temporary change of the request rate.
+#[derive(Debug, Clone, Copy)]
+struct Burst {
+    factor: f64,
+    until: f64,
+}
+
+/// Work of new connections at one server within one second.
+#[derive(Debug, Clone, Copy, Default)]
+struct HandshakeWork {
+    second: u64,
+    work_s: f64,
+}
+
+/// The models and accounts of one trial.
+#[derive(Debug)]
+pub struct FleetModel {
+    /// The plan of the trial.
+    pub plan: Plan,
+    /// Random numbers for everything but the workload.
+    pub rng: Pcg64Mcg,
+    /// The servers, their replication and the discovery service.
+    pub site: Site,
+    /// Faults of the network.
+    pub links: LinkFaults,
+    /// The clients' requests.
+    pub workload: Workload,
+    /// Checks the service rules.
+    pub checker: RuleChecker,
+    /// The figures of the trial.
+    pub report: Report,
+    /// The zone of each proxy.
+    pub zones: Vec<usize>,
+    /// The version of the endpoint list that each proxy has cached.
+    pub cached_versions: Vec<Option<usize>>,
+    burst: Burst,
+    handshakes: Vec<HandshakeWork>,
+}
+
+impl FleetModel {
+    /// Sets up the models of a plan.
+    pub fn new(plan: Plan) -> Self {
+        let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
+        let workload_rng = Pcg64Mcg::seed_from_u64(rng.random());
+        let workload =
+            Workload::new(plan.workload.clone(), plan.requests_per_s, plan.proxies, plan.sets, workload_rng);
+        let site = Site::new(&plan, START_S);
+        let cached_versions = vec![site.initial_list_version(START_S); plan.proxies];
+        let mut fleet = Self {
+            rng,
+            site,
+            links: LinkFaults::default(),
+            workload,
+            checker: RuleChecker::new(plan.settings.clone()),
+            report: Report::new(plan.settings.classes.len()),
+            zones: (0..plan.proxies).map(|proxy| proxy % plan.zones).collect(),
+            cached_versions,
+            burst: Burst { factor: 1.0, until: 0.0 },
+            handshakes: Vec::new(),
+            plan,
+        };
+        fleet.register_new_servers();
+        fleet
+    }
+
+    /// Registers servers that were added since the last call.
+    pub fn register_new_servers(&mut self) {
+        let zones = self.site.zones();
+        for (server, zone) in zones.into_iter().enumerate().skip(self.handshakes.len()) {
+            self.checker.set_server_zone(server, zone);
+            self.handshakes.push(HandshakeWork::default());
+        }
+    }
+
+    /// The settings of one proxy.
+    pub fn proxy_settings(&self, proxy: usize) -> Settings {
+        Settings {
+            instance_index: proxy as u32,
+            instance_count: self.plan.proxies as u32,
+            zone: ZoneId(self.zones[proxy]),
+            ..self.plan.settings.clone()
+        }
+    }
+
+    /// Multiplies the request rate by a factor until a time.
+    pub fn start_burst(&mut self, factor: f64, until: f64) {
+        self.burst = Burst { factor, until };
+    }
+
+    /// The factor of the request rate at a time.
+    pub fn burst_factor(&self, now: f64) -> f64 {
+        if now < self.burst.until {
+            self.burst.factor
+        } else {
+            1.0
+        }
+    }
+
+    /// The state of a proxy's link.
+    pub fn link_state(&self, proxy: usize, end: LinkEnd, now: f64) -> LinkState {
+        self.links.state(proxy, end, now)
+    }
+
+    /// One-way delay in s between a proxy and a server.
+    pub fn one_way_delay(&self, proxy: usize, server: usize, now: f64) -> f64 {
+        let same_zone = self.zones[proxy] == self.site.servers[server].zone;
+        let delay = if same_zone { self.plan.intra_zone_delay_s } else { self.plan.cross_zone_delay_s };
+        delay + self.link_state(proxy, LinkEnd::Server(server), now).delay_s
+    }
+
+    /// Opens a connection at a server; false if its connection limit is reached.
+    pub fn open_connection(&mut self, server: usize, now: f64) -> bool {
+        self.report.handshakes += 1;
+        let model = &mut self.site.servers[server].model;
+        let handshakes = &mut self.handshakes[server];
+        let second = now as u64;
+        if handshakes.second != second {
+            *handshakes = HandshakeWork { second, work_s: 0.0 };
+        }
+        handshakes.work_s += self.plan.server.handshake_work_s;
+        let share = handshakes.work_s / model.capacity(now);
+        self.report.handshake_share = self.report.handshake_share.max(share);
+        model.connect(now)
+    }
+
+    /// Records the start of a process, and returns its index in the report.
+    pub fn record_start(&mut self, now: f64) -> usize {
+        self.report.starts.push(ProcessStart { at: now - START_S, ..ProcessStart::default() });
+        self.report.starts.len() - 1
+    }
+
+    /// Ends the trial: checks for requests without an answer, and completes the report.
+    pub fn finish(&mut self, end: f64) -> Report {
+        self.checker.finish(end);
+        let mut report = std::mem::take(&mut self.report);
+        report.polls = self.site.discovery.polls;
+        report.failed_polls = self.site.discovery.failed_polls;
+        report.longest_poll_s = self.site.discovery.longest_wait_s;
+        report.max_overload_ratio = self.site.max_overload_ratio();
+        report.overload_crashes = self.site.overload_crashes;
+        report.violations = self.checker.descriptions(START_S);
+        report
+    }
+}
--- a/testkit/src/fleet/mod.rs
+++ b/testkit/src/fleet/mod.rs
@@ -1,22 +1,23 @@
-//! A fleet in miniature: many proxies, their data servers and the list that tells of them, on virtual time or as models
-//! behind real sockets.
+//! Trials of a fleet: many proxies, their data servers and the discovery service.
 //!
-//! [`machine`], [`copies`], [`directory`] and [`links`] are the models, and [`site`] puts them together: state that is moved by a time and an event, no clock and no
-//! I/O, so that the stepped trial and the one with processes meet the same servers. [`load`] draws what clients ask.
-//! [`stepper`] drives gateways against all of it in one process, deterministic from its seed, and [`check`] judges what
-//! was done, from what servers and lists saw alone. Sources: queues with several servers and a bounded waiting room
-//! are textbook M/G/c/K; warming up and falling over follow the operators' pages. Nothing here may know how a gateway
-//! decides.
+//! A [`plan`] describes the fleet and its faults; a [`scenario`] is a plan as a script. [`server_model`],
+//! [`replication`], [`discovery_model`] and [`link_faults`] are models without clock and I/O. [`site`] and
+//! [`fleet_model`] combine them, and [`workload`] generates the clients' requests. [`simulation`] runs
+//! routing engines against the models on virtual time, deterministic by a seed. [`process_trial`] runs
+//! processes of the built program against the same models on loopback sockets. [`rule_checker`] checks the
+//! service rules from what servers and the discovery service observe. The models do not depend on how a
+//! routing engine decides.
 
-pub mod check;
-pub mod copies;
-pub mod directory;
-pub mod links;
-pub mod live;
-pub mod load;
-pub mod machine;
+pub mod discovery_model;
+pub mod fleet_model;
+pub mod link_faults;
 pub mod plan;
+pub mod process_trial;
+pub mod replication;
 pub mod report;
+pub mod rule_checker;
 pub mod scenario;
+pub mod server_model;
+pub mod simulation;
 pub mod site;
-pub mod stepper;
+pub mod workload;
--- a/testkit/src/fleet/plan.rs
+++ b/testkit/src/fleet/plan.rs
@@ -1,86 +1,89 @@
-//! What is played: the site, its clients, and what goes wrong when.
+//! The plan of a trial: the site, its clients, and the faults with their times.
 //!
-//! Owns the words in which a trial is described, for gateways that are stepped and for processes alike, and who is meant
-//! by a share of them. It must never hold anything that is found out only while it is played.
+//! A plan is plain data. The stepped simulation and the trial with processes run the same plans. Nothing in
+//! it changes while a trial runs.
 
 use pipittack_core::api::Settings;
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
 
-use super::copies;
-use super::directory::Service;
-use super::links::Fault;
-use super::load;
-use super::machine::{State, Traits};
+use super::discovery_model::DiscoverySettings;
+use super::link_faults::LinkFault;
+use super::replication::ReplicationSettings;
+use super::server_model::{ServerModelSettings, ServerState};
+use super::workload::WorkloadSettings;
 
-/// What is played.
+/// The plan of a trial.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// What proxies are told at their start, but for their number and zone.
+    /// The settings of every proxy, except for its index and zone.
     pub settings: Settings,
-    /// Proxies.
+    /// Number of proxies.
     pub proxies: usize,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// Sets, and members of each.
+    /// Number of replica sets.
     pub sets: usize,
-    /// See `sets`.
+    /// Members of each replica set.
     pub members: usize,
-    /// The servers.
-    pub machine: Traits,
-    /// Servers start cold, with the trial.
-    pub cold: bool,
-    /// How copies follow.
-    pub copies: copies::Habits,
-    /// The list service.
-    pub service: Service,
+    /// The data servers.
+    pub server: ServerModelSettings,
+    /// The servers start with the trial, and warm up.
+    pub cold_start: bool,
+    /// Replication within a set.
+    pub replication: ReplicationSettings,
+    /// The discovery service.
+    pub discovery: DiscoverySettings,
     /// The clients.
-    pub load: load::Habits,
-    /// Requests a second, over all proxies.
-    pub rate: f64,
-    /// One way between two zones, and within one, in s.
-    pub far_s: f64,
-    /// See `far_s`.
-    pub near_s: f64,
-    /// Round trips of a new connection, and the time in s after which an idle one is closed.
+    pub workload: WorkloadSettings,
+    /// Requests per second over all proxies.
+    pub requests_per_s: f64,
+    /// One-way delay in s between two zones.
+    pub cross_zone_delay_s: f64,
+    /// One-way delay in s within a zone.
+    pub intra_zone_delay_s: f64,
+    /// Round trips that a new connection takes.
     pub handshake_rtts: f64,
-    /// See `handshake_rtts`.
-    pub idle_s: f64,
-    /// Work in s of a probe.
-    pub probe_s: f64,
-    /// Age in s of what a load report says.
-    pub report_s: f64,
-    /// Age in s of the copy that a new server starts from.
-    pub seed_s: f64,
-    /// What goes wrong, and when.
-    pub troubles: Vec<(f64, Trouble)>,
-    /// How long clients ask, in s.
-    pub length_s: f64,
-    /// Time in s over which proxies start.
-    pub start_s: f64,
-    /// The list that proxies have at their first start.
-    pub remembered: Remembered,
-    /// For all that is drawn.
+    /// Time in s after which an idle connection is closed.
+    pub idle_timeout_s: f64,
+    /// Work of a health check in s.
+    pub health_check_work_s: f64,
+    /// Maximum age in s of a load report.
+    pub load_report_age_s: f64,
+    /// Age in s of the snapshot from which a new server starts.
+    pub snapshot_age_s: f64,
+    /// The faults.
+    pub faults: Vec<ScheduledFault>,
+    /// How long clients send requests, in s.
+    pub duration_s: f64,
+    /// Time in s over which the starts of proxies are spread.
+    pub start_spread_s: f64,
+    /// The endpoint list that proxies have cached at their first start.
+    pub cached_list: CachedList,
+    /// The seed of all random draws.
     pub seed: u64,
 }
 
-/// A list from before the start.
+/// The endpoint list that a proxy has cached when it starts.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Remembered {
-    /// None.
-    Nothing,
-    /// As things stand.
-    Fresh,
-    /// From long ago: this share of its servers is gone, and others have come in their places.
-    Old(f64),
+pub enum CachedList {
+    /// No list.
+    Absent,
+    /// The current list.
+    Current,
+    /// An old list.
+    Outdated {
+        /// The share of its servers that has been replaced since.
+        replaced_share: f64,
+    },
 }
 
-/// Who is meant, of proxies or of servers.
+/// Selects proxies or servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Pick {
-    /// This one, counted round.
+pub enum Selection {
+    /// The one with this index, modulo their number.
     One(usize),
-    /// A share, drawn.
+    /// A random share.
     Share(f64),
     /// Those of a zone.
     Zone(usize),
@@ -88,13 +91,13 @@
     All,
 }
 
-impl Pick {
-    /// The ones that are meant, in order; `zones` is the zone of each.
-    pub fn of(self, zones: &[usize], rng: &mut Pcg64Mcg) -> Vec<usize> {
+impl Selection {
+    /// The selected indices in ascending order; `zones` has the zone of each candidate.
+    pub fn resolve(self, zones: &[usize], rng: &mut Pcg64Mcg) -> Vec<usize> {
         let all = 0..zones.len();
         match self {
-            Self::One(one) => all.clone().nth(one % zones.len().max(1)).into_iter().collect(),
-            Self::Zone(zone) => all.filter(|i| zones[*i] == zone).collect(),
+            Self::One(index) => all.clone().nth(index % zones.len().max(1)).into_iter().collect(),
+            Self::Zone(zone) => all.filter(|index| zones[*index] == zone).collect(),
             Self::All => all.collect(),
             Self::Share(share) => {
                 let mut drawn: Vec<usize> = all.collect();
@@ -107,46 +110,134 @@
     }
 }
 
-/// The other end of a proxy's link.
+/// The far end of the links that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum End {
+pub enum LinkTarget {
     /// These servers.
-    Servers(Pick),
-    /// The list service.
-    List,
+    Servers(Selection),
+    /// The discovery service.
+    Discovery,
 }
 
-/// Something that goes wrong, or is done.
+/// A fault and when it begins.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Trouble {
-    /// Servers do this for so many s, and start anew then.
-    Strike(Pick, State, f64),
-    /// Servers are so many times slower for so many s.
-    Slow(Pick, f64, f64),
-    /// Replicas of a set apply so many times slower for so many s.
-    Lag(usize, f64, f64),
-    /// The list service is out of reach for so many s.
-    ListDown(f64),
-    /// The list service forgets what it heard in the last so many s.
-    ListBack(f64),
-    /// Servers drain; they go after so many s, and new ones take their places.
-    Replace(Pick, f64),
-    /// The operators take servers out at every proxy, and call them back after so many s.
-    ByHand(Pick, f64),
-    /// Proxies' processes are replaced while they run.
-    Upgrade(Pick),
-    /// Proxies' processes are told to end, and start again so many s after the word.
-    Restart(Pick, f64),
-    /// Proxies' processes are killed, and start anew after so many s.
-    Kill(Pick, f64),
-    /// Proxies' processes are killed each so many s after they started, for so many s in all.
-    Loop(Pick, f64, f64),
-    /// Proxies' processes stand still for so many s.
-    Stall(Pick, f64),
-    /// Proxies read their configuration again.
-    Reload(Pick),
-    /// A fault on the links of these proxies to these ends for so many s.
-    Link(Pick, End, Fault, f64),
-    /// So many times the usual requests for so many s.
-    Burst(f64, f64),
+pub struct ScheduledFault {
+    /// Time in s after the start of the trial.
+    pub at_s: f64,
+    /// The fault.
+    pub fault: Fault,
+}
+
+/// A fault, or an operation that a deployment must survive.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum Fault {
+    /// Servers enter a failed state, and restart afterwards.
+    FailServers {
+        /// The servers.
+        servers: Selection,
+        /// The failed state.
+        state: ServerState,
+        /// How long it lasts, in s.
+        duration_s: f64,
+    },
+    /// Servers work more slowly by a factor.
+    SlowServers {
+        /// The servers.
+        servers: Selection,
+        /// How many times slower they are.
+        factor: f64,
+        /// How long it lasts, in s.
+        duration_s: f64,
+    },
+    /// Replicas of a set apply commits more slowly by a factor.
+    SlowReplication {
+        /// The replica set, modulo their number.
+        set: usize,
+        /// How many times slower they are.
+        factor: f64,
+        /// How long it lasts, in s.
+        duration_s: f64,
+    },
+    /// The discovery service is unreachable.
+    DiscoveryDown {
+        /// How long it lasts, in s.
+        duration_s: f64,
+    },
+    /// The discovery service is restored from a backup, and loses the changes since.
+    DiscoveryRestored {
+        /// Age of the backup in s.
+        backup_age_s: f64,
+    },
+    /// Servers drain, and new ones replace them afterwards.
+    ReplaceServers {
+        /// The servers.
+        servers: Selection,
+        /// How long they drain, in s.
+        drain_s: f64,
+    },
+    /// Operators take servers out of service at every proxy, restart them, and return them afterwards.
+    TakeOutOfService {
+        /// The servers.
+        servers: Selection,
+        /// How long it lasts, in s.
+        duration_s: f64,
+    },
+    /// Proxies are replaced by a hot restart.
+    Upgrade {
+        /// The proxies.
+        proxies: Selection,
+    },
+    /// Proxies shut down gracefully, and start again this long after the signal.
+    Restart {
+        /// The proxies.
+        proxies: Selection,
+        /// Time from the signal until the next start, in s.
+        downtime_s: f64,
+    },
+    /// Proxies are killed, and start again afterwards.
+    Kill {
+        /// The proxies.
+        proxies: Selection,
+        /// Time until the next start, in s.
+        downtime_s: f64,
+    },
+    /// Proxies are killed again and again.
+    CrashLoop {
+        /// The proxies.
+        proxies: Selection,
+        /// Time between two kills, in s.
+        interval_s: f64,
+        /// How long it lasts in all, in s.
+        duration_s: f64,
+    },
+    /// The processes of proxies are paused.
+    Pause {
+        /// The proxies.
+        proxies: Selection,
+        /// How long it lasts, in s.
+        duration_s: f64,
+    },
+    /// Proxies reload their configuration.
+    Reload {
+        /// The proxies.
+        proxies: Selection,
+    },
+    /// A fault on the links of these proxies.
+    Link {
+        /// The proxies.
+        proxies: Selection,
+        /// The far end of the links.
+        target: LinkTarget,
+        /// The fault.
+        fault: LinkFault,
+        /// How long it lasts, in s.
+        duration_s: f64,
+    },
+    /// The request rate is multiplied by a factor.
+    Burst {
+        /// The factor of the request rate.
+        factor: f64,
+        /// How long it lasts, in s.
+        duration_s: f64,
+    },
 }
--- /dev/null
+++ b/testkit/src/fleet/process_trial/clients.rs
@@ -0,0 +1,220 @@
+//! Clients of the proxies behind a load balancer: they create requests, try them and retry them.
+//!
+//! Owns what the load balancer knows of each proxy. It sends requests only to proxies that it has admitted
+//! after a health check.
+
+use std::time::Duration;
+
+use pipittack_core::api::{Consistency, SessionTokens};
+use tokio::task::spawn_local;
+
+use super::super::fleet_model::START_S;
+use super::super::rule_checker::{FinalAnswer, Rule};
+use super::super::workload::{ClientRequest, TryFailure};
+use super::exchange::{exchange, health_check, ClientResponse, ExchangeError, Statement};
+use super::message_stream::MessageStream;
+use super::proxy_config::class_name;
+use super::state::{SharedTrial, TrialState};
+
+/// Interval of the health checks of a proxy that is not admitted.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of a health check.
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time in s after which the load balancer removes a proxy that can't be reached.
+const UNREACHABLE_TIMEOUT_S: f64 = 1.0;
+
+/// A proxy as the load balancer sees it.
+#[derive(Default)]
+pub struct BalancerTarget {
+    /// Clients are sent to it.
+    pub admitted: bool,
+    /// Since when it can't be reached.
+    pub unreachable_since: Option<f64>,
+    /// Idle connections of clients.
+    pub idle: Vec<MessageStream>,
+}
+
+/// Health checks a proxy until it is ready, and admits it.
+pub async fn admit_when_ready(shared: SharedTrial, proxy: usize) {
+    while !shared.with(|trial| trial.balancer_targets[proxy].admitted) {
+        let address = shared.with(|trial| trial.processes.listen_address(proxy));
+        let checked = tokio::time::timeout(HEALTH_CHECK_TIMEOUT, health_check(address)).await;
+        if matches!(checked, Ok(Ok(()))) {
+            shared.with(|trial| {
+                trial.balancer_targets[proxy].admitted = true;
+                trial.balancer_targets[proxy].unreachable_since = None;
+            });
+            return;
+        }
+        tokio::time::sleep(HEALTH_CHECK_INTERVAL).await;
+    }
+}
+
+/// Creates the requests of a proxy's clients until the trial ends.
+pub async fn run_clients(shared: &SharedTrial, proxy: usize) {
+    let clock = shared.clock();
+    loop {
+        let (interval, ended) = shared.with(|trial| {
+            let now = clock.now();
+            let factor = trial.fleet.burst_factor(now);
+            let ended = now > START_S + trial.fleet.plan.duration_s;
+            (trial.fleet.workload.next_interval(proxy, factor), ended)
+        });
+        if ended {
+            return;
+        }
+        clock.sleep_until(clock.now() + interval).await;
+        let request = shared.with(|trial| {
+            let fleet = &mut trial.fleet;
+            let settings = &fleet.plan.settings;
+            let request = fleet.workload.draw_request(proxy, clock.now(), settings);
+            let class = &settings.classes[request.class.0];
+            fleet.report.request_offered(&request, class, request.created_at - START_S);
+            request
+        });
+        spawn_local(run_request(shared.clone(), request));
+    }
+}
+
+/// Tries a request until it is served or its client gives up.
+async fn run_request(shared: SharedTrial, mut request: ClientRequest) {
+    let clock = shared.clock();
+    loop {
+        request.tries += 1;
+        let Err(failure) = run_try(&shared, &request).await else { return };
+        let retry_at = shared.with(|trial| {
+            let class = &trial.fleet.plan.settings.classes[request.class.0];
+            trial.fleet.workload.retry_at(&request, class, failure, clock.now())
+        });
+        let Some(retry_at) = retry_at else { return };
+        clock.sleep_until(retry_at).await;
+    }
+}
+
+/// Runs one try of a request.
+async fn run_try(shared: &SharedTrial, request: &ClientRequest) -> Result<(), TryFailure> {
+    let clock = shared.clock();
+    let (statement, admitted) = shared.with(|trial| {
+        let statement = new_statement(trial, request);
+        trial.client_requests.insert(statement.id, request.clone());
+        (statement, trial.balancer_targets[request.proxy].admitted)
+    });
+    if !admitted {
+        shared.with(|trial| trial.fleet.report.unreachable += 1);
+        return Err(TryFailure::Failed);
+    }
+    let sent_at = clock.now();
+    let result = exchange(shared, request, &statement).await;
+    let now = clock.now();
+    shared.with(|trial| {
+        check_answer(trial, request, &statement, sent_at, &result);
+        let ended = match result {
+            Ok(ClientResponse::Served(body)) => {
+                request_served(trial, request, &statement, &body, now);
+                Ok(())
+            }
+            Ok(ClientResponse::Rejected { retry_after }) => {
+                trial.fleet.report.rejected += 1;
+                Err(TryFailure::Rejected { retry_after })
+            }
+            Ok(ClientResponse::Failed) => {
+                trial.fleet.report.failed += 1;
+                Err(TryFailure::Failed)
+            }
+            Err(error) => {
+                trial.fleet.report.unreachable += 1;
+                if error == ExchangeError::Unreachable {
+                    proxy_unreachable(shared, trial, request.proxy, now);
+                }
+                Err(TryFailure::Failed)
+            }
+        };
+        if ended != Err(TryFailure::Failed) {
+            trial.balancer_targets[request.proxy].unreachable_since = None;
+        }
+        ended
+    })
+}
+
+/// The statement for a new try of a request.
+fn new_statement(trial: &mut TrialState, request: &ClientRequest) -> Statement {
+    trial.fleet.report.tries += 1;
+    trial.requests += 1;
+    let id = trial.requests;
+    let settings = &trial.fleet.plan.settings;
+    let consistency = settings.classes[request.class.0].consistency;
+    let sends_token =
+        settings.session_tokens == SessionTokens::FromClient && consistency == Consistency::Causal;
+    let token_commit = request.session_commit.filter(|_| sends_token);
+    let after = token_commit
+        .map_or(String::new(), |commit| format!(",after={:.0}", trial.clock.to_unix_ms(commit).ceil()));
+    let time_left_ms = ((request.deadline - trial.clock.now()) * 1e3).max(1.0);
+    let retry = if request.tries > 1 { ",r=1" } else { "" };
+    let class = class_name(request.class);
+    let set = request.set;
+    let session = request.session;
+    let comment = format!("/* id={id:x},c={class},d={time_left_ms:.0},cluster={set}{after}{retry} */");
+    let text = if consistency == Consistency::Write {
+        format!(r"INSERT INTO objects (oid, body) VALUES ('{session:x}', '\x00') RETURNING body {comment}")
+    } else {
+        format!("SELECT body FROM objects WHERE oid = '{session:x}' {comment}")
+    };
+    Statement { id, text, token_commit }
+}
+
+/// Checks the final answer of a try.
+fn check_answer(
+    trial: &mut TrialState,
+    request: &ClientRequest,
+    statement: &Statement,
+    sent_at: f64,
+    result: &Result<ClientResponse, ExchangeError>,
+) {
+    let now = trial.clock.now();
+    // A paused process can't answer, and the requests of a process that was killed need no answer.
+    let paused = now > request.deadline && trial.processes.was_paused_since(request.proxy, sent_at);
+    let killed = result.is_err() && trial.processes.was_killed_since(request.proxy, sent_at);
+    let unreachable = matches!(result, Err(ExchangeError::Unreachable));
+    if paused || killed || unreachable {
+        trial.fleet.checker.request_abandoned(statement.id);
+        return;
+    }
+    let answer = match result {
+        Ok(ClientResponse::Rejected { .. }) => FinalAnswer::Rejected,
+        Ok(_) => FinalAnswer::Other,
+        Err(_) => return,
+    };
+    trial.fleet.checker.request_answered(statement.id, answer, now);
+}
+
+/// Records that a request was served, and checks that the response is its own.
+fn request_served(
+    trial: &mut TrialState,
+    request: &ClientRequest,
+    statement: &Statement,
+    body: &[u8],
+    now: f64,
+) {
+    let id = statement.id;
+    let fleet = &mut trial.fleet;
+    if !String::from_utf8_lossy(body).contains(&format!("{id:x}")) {
+        let description = format!("request {id}: served with the response of another request");
+        fleet.checker.report_violation(now, Rule::AnswerInTime, description);
+    }
+    let class = &fleet.plan.settings.classes[request.class.0];
+    fleet.report.request_served(request, class, now, request.created_at - START_S);
+    if let Some(start) = trial.start_report(request.proxy) {
+        start.first_served.get_or_insert(now - START_S - start.at);
+    }
+}
+
+/// Removes a proxy from the load balancer once it has been unreachable for a while.
+fn proxy_unreachable(shared: &SharedTrial, trial: &mut TrialState, proxy: usize, now: f64) {
+    let target = &mut trial.balancer_targets[proxy];
+    let since = *target.unreachable_since.get_or_insert(now);
+    if now - since > UNREACHABLE_TIMEOUT_S {
+        target.admitted = false;
+        target.idle.clear();
+        spawn_local(admit_when_ready(shared.clone(), proxy));
+    }
+}
--- /dev/null
+++ b/testkit/src/fleet/process_trial/exchange.rs
@@ -0,0 +1,171 @@
+//! Sends a client's statement to a proxy, and reads the response.
+//!
+//! A statement that crosses the close of an idle connection is sent again once, on a new connection.
+
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use tokio::net::TcpStream;
+
+use super::super::fleet_model::START_S;
+use super::super::rule_checker::AcceptedRequest;
+use super::super::workload::ClientRequest;
+use super::message_stream::{message_field, MessageStream};
+use super::state::SharedTrial;
+use crate::script::{query, startup};
+
+/// Time in s past its deadline for which a client reads a response.
+const RESPONSE_GRACE_PERIOD_S: f64 = 0.5;
+/// SQLSTATEs of a rejection: too many connections, and cannot connect now.
+const REJECTION_CODES: [&str; 2] = ["53300", "57P03"];
+
+/// The statement of one try.
+pub struct Statement {
+    /// The id of the try.
+    pub id: u64,
+    /// The SQL text.
+    pub text: String,
+    /// The commit in its session token.
+    pub token_commit: Option<f64>,
+}
+
+/// A complete response.
+pub enum ClientResponse {
+    /// A result with this body.
+    Served(Vec<u8>),
+    /// A rejection, which promises that the client can try again safely.
+    Rejected { retry_after: Option<Duration> },
+    /// Another error.
+    Failed,
+}
+
+/// Why there is no response.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ExchangeError {
+    /// No connection could be opened.
+    Unreachable,
+    /// The connection was closed before the first byte of a response.
+    ClosedBeforeResponse,
+    /// The connection was closed within a response, or once more before it.
+    NoResponse,
+    /// There was no response in time.
+    TimedOut,
+}
+
+async fn connect(address: SocketAddr) -> io::Result<MessageStream> {
+    let stream = MessageStream::new(TcpStream::connect(address).await?)?;
+    stream.write(&startup()).await?;
+    Ok(stream)
+}
+
+/// Whether a proxy answers an empty query.
+pub async fn health_check(address: SocketAddr) -> io::Result<()> {
+    let mut stream = connect(address).await?;
+    stream.write(&query("")).await?;
+    loop {
+        match stream.message().await? {
+            (b'I', _) => return Ok(()),
+            (b'E', _) => return Err(io::ErrorKind::ConnectionRefused.into()),
+            _ => {}
+        }
+    }
+}
+
+/// Sends a statement on an idle connection or on a new one, and reads the response.
+pub async fn exchange(
+    shared: &SharedTrial,
+    request: &ClientRequest,
+    statement: &Statement,
+) -> Result<ClientResponse, ExchangeError> {
+    let idle = shared.with(|trial| trial.balancer_targets[request.proxy].idle.pop());
+    if let Some(stream) = idle {
+        match exchange_on(shared, stream, request, statement).await {
+            Err(ExchangeError::ClosedBeforeResponse) => {}
+            result => return result,
+        }
+    }
+    let address = shared.with(|trial| trial.processes.listen_address(request.proxy));
+    let stream = connect(address).await.map_err(|_| ExchangeError::Unreachable)?;
+    shared.with(|trial| {
+        let now = trial.clock.now();
+        if let Some(start) = trial.start_report(request.proxy) {
+            start.first_request.get_or_insert(now - START_S - start.at);
+        }
+    });
+    match exchange_on(shared, stream, request, statement).await {
+        Err(ExchangeError::ClosedBeforeResponse) => Err(ExchangeError::NoResponse),
+        result => result,
+    }
+}
+
+async fn exchange_on(
+    shared: &SharedTrial,
+    mut stream: MessageStream,
+    request: &ClientRequest,
+    statement: &Statement,
+) -> Result<ClientResponse, ExchangeError> {
+    let clock = shared.clock();
+    stream.write(&query(&statement.text)).await.map_err(|_| ExchangeError::ClosedBeforeResponse)?;
+    shared.with(|trial| {
+        trial.fleet.checker.request_accepted(AcceptedRequest {
+            id: statement.id,
+            proxy: request.proxy,
+            class: request.class,
+            session: request.session,
+            token_commit: statement.token_commit,
+            accepted_at: clock.now(),
+            deadline: request.deadline,
+        });
+    });
+    let mut response = None;
+    loop {
+        let read = tokio::select! {
+            read = stream.message() => read,
+            () = clock.sleep_until(request.deadline + RESPONSE_GRACE_PERIOD_S) => {
+                return Err(ExchangeError::TimedOut);
+            }
+        };
+        match read {
+            Ok((b'D', body)) => {
+                write_acknowledged(shared, request, statement.id);
+                response = Some(ClientResponse::Served(body));
+            }
+            Ok((b'E', body)) => response = Some(error_response(&body)),
+            Ok((b'Z', _)) if response.is_some() => break,
+            Ok(_) => {}
+            Err(_) if response.is_none() && stream.is_empty() => {
+                return Err(ExchangeError::ClosedBeforeResponse);
+            }
+            Err(_) => return Err(ExchangeError::NoResponse),
+        }
+    }
+    shared.with(|trial| {
+        let target = &mut trial.balancer_targets[request.proxy];
+        if target.admitted {
+            target.idle.push(stream);
+        }
+    });
+    response.ok_or(ExchangeError::NoResponse)
+}
+
+/// Records that a write was acknowledged: later reads of its session must see it.
+fn write_acknowledged(shared: &SharedTrial, request: &ClientRequest, id: u64) {
+    shared.with(|trial| {
+        let Some(commit) = trial.commits.remove(&id) else { return };
+        let now = trial.clock.now();
+        trial.fleet.checker.write_acknowledged(request.proxy, request.session, commit);
+        trial.fleet.workload.write_acknowledged(request, commit, now);
+    });
+}
+
+/// The meaning of an `ErrorResponse`.
+fn error_response(body: &[u8]) -> ClientResponse {
+    let code = message_field(body, b'C').unwrap_or_default();
+    if REJECTION_CODES.contains(&code.as_str()) {
+        let detail = message_field(body, b'D');
+        let retry_after = detail.and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
+        return ClientResponse::Rejected { retry_after };
+    }
+    ClientResponse::Failed
+}
--- /dev/null
+++ b/testkit/src/fleet/process_trial/lifecycle.rs
@@ -0,0 +1,125 @@
+//! Starts, hot restarts, shutdowns and kills of proxy processes.
+
+use std::time::Duration;
+
+use rand::Rng;
+use serde_json::json;
+use tokio::task::spawn_local;
+
+use super::state::{SharedTrial, TrialState};
+use super::{admin, clients, discovery_service, proxy_config};
+
+/// Time in s in which a successor must be ready.
+const READY_TIMEOUT_S: f64 = 6.0;
+/// Interval of the checks whether a process is ready or has exited.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time in s from the signal to shut down until a process is killed.
+const SHUTDOWN_TIMEOUT_S: f64 = 3.7;
+/// Time in s from that signal until the load balancer sends the proxy no more requests.
+const BALANCER_DELAY_S: f64 = 0.4;
+/// Maximum number of descriptors of a process.
+const MAX_SOCKETS: u32 = 512;
+/// Maximum memory of a process in MiB.
+const MAX_MEMORY_MB: u32 = 64;
+
+/// Starts a process of a proxy.
+pub async fn start(shared: &SharedTrial, proxy: usize) {
+    let (config, start_index) = shared.with(|trial| {
+        let start_index = trial.fleet.record_start(trial.clock.now());
+        (configuration(trial, proxy), start_index)
+    });
+    let prepared = shared.with(|trial| trial.processes.prepare_start(proxy, &config));
+    let started = match prepared {
+        Ok(prepared) => prepared.spawn(start_index).await,
+        Err(error) => Err(error),
+    };
+    shared.with(|trial| match started {
+        Ok(process) => trial.processes.add(proxy, process),
+        Err(error) => {
+            let violation = format!("the trial itself: proxy {proxy} can't be started: {error}");
+            trial.fleet.report.violations.push(violation);
+        }
+    });
+    if !shared.with(|trial| trial.balancer_targets[proxy].admitted) {
+        spawn_local(clients::admit_when_ready(shared.clone(), proxy));
+    }
+}
+
+/// The configuration of a new process.
+fn configuration(trial: &mut TrialState, proxy: usize) -> String {
+    let settings = trial.fleet.proxy_settings(proxy);
+    let cached_list = trial.fleet.cached_versions[proxy].map(|version| {
+        let endpoints = trial.fleet.site.discovery.full_list(version);
+        trial.learn_starts(proxy, &endpoints);
+        discovery_service::full_list(trial, proxy, &endpoints, version)
+    });
+    let seed = trial.fleet.rng.random::<u64>();
+    let plan = &trial.fleet.plan;
+    json!({
+        "name": format!("p{proxy}"),
+        "listen": trial.processes.listen_address(proxy),
+        "discovery": trial.discovery_addresses[proxy],
+        "seed": format!("{seed:016x}"),
+        "limits": { "memory_mb": MAX_MEMORY_MB, "sockets": MAX_SOCKETS },
+        "known": cached_list,
+        "settings": proxy_config::settings(&settings, plan.zones, plan.idle_timeout_s),
+    })
+    .to_string()
+}
+
+fn kill_processes(trial: &mut TrialState, proxy: usize) {
+    trial.processes.kill(proxy, trial.clock.now());
+    trial.balancer_targets[proxy].idle.clear();
+}
+
+/// Kills a proxy's processes, and starts a new one after a downtime in s.
+pub async fn kill(shared: SharedTrial, proxy: usize, downtime_s: f64) {
+    let clock = shared.clock();
+    shared.with(|trial| kill_processes(trial, proxy));
+    clock.sleep_until(clock.now() + downtime_s).await;
+    shared.with(|trial| trial.balancer_targets[proxy].admitted = false);
+    start(&shared, proxy).await;
+}
+
+/// Shuts down a proxy gracefully, and starts a new process this long in s after the signal.
+pub async fn restart(shared: SharedTrial, proxy: usize, downtime_s: f64) {
+    let clock = shared.clock();
+    let signalled_at = clock.now();
+    shared.with(|trial| trial.processes.shut_down(proxy));
+    clock.sleep_until(signalled_at + BALANCER_DELAY_S).await;
+    // The load balancer opens no new connections; clients keep theirs.
+    shared.with(|trial| trial.balancer_targets[proxy].admitted = false);
+    clock.sleep_until(signalled_at + SHUTDOWN_TIMEOUT_S).await;
+    shared.with(|trial| kill_processes(trial, proxy));
+    clock.sleep_until(signalled_at + downtime_s.max(SHUTDOWN_TIMEOUT_S)).await;
+    start(&shared, proxy).await;
+}
+
+/// Hot restart: starts a successor beside a proxy's process, and shuts that one down once the successor is
+/// ready.
+pub async fn upgrade(shared: SharedTrial, proxy: usize) {
+    let clock = shared.clock();
+    let started_at = clock.now();
+    if shared.with(|trial| trial.processes.count(proxy) != 1) {
+        return;
+    }
+    start(&shared, proxy).await;
+    let Some(address) = shared.with(|trial| trial.processes.successor_admin_address(proxy)) else { return };
+    while !admin::is_ready(address).await {
+        if clock.now() > started_at + READY_TIMEOUT_S {
+            let violation = format!("proxy {proxy}: its successor was not ready after {READY_TIMEOUT_S} s");
+            shared.with(|trial| trial.fleet.report.violations.push(violation));
+            break;
+        }
+        tokio::time::sleep(CHECK_INTERVAL).await;
+    }
+    let signalled_at = clock.now();
+    shared.with(|trial| trial.processes.shut_down_oldest(proxy));
+    while clock.now() < signalled_at + SHUTDOWN_TIMEOUT_S {
+        if shared.with(|trial| trial.processes.oldest_has_exited(proxy)) {
+            break;
+        }
+        tokio::time::sleep(CHECK_INTERVAL).await;
+    }
+    shared.with(|trial| trial.processes.kill_predecessors(proxy));
+}
--- /dev/null
+++ b/testkit/src/fleet/process_trial/message_stream.rs
@@ -0,0 +1,137 @@
+//! PostgreSQL messages and lines of text on a socket.
+//!
+//! Owns the bytes that were read and not yet consumed, so that reading can be cancelled at any `await` and
+//! resumed. Messages have a maximum length.
+
+use std::io;
+use std::time::Duration;
+
+use tokio::net::TcpStream;
+
+use crate::script::message;
+
+/// Maximum length of a message or line.
+const MAX_MESSAGE_BYTES: usize = 64 * 1024;
+
+/// A connection and its read buffer.
+pub struct MessageStream {
+    stream: TcpStream,
+    buffer: Vec<u8>,
+}
+
+impl MessageStream {
+    /// A stream with an empty buffer.
+    pub fn new(stream: TcpStream) -> io::Result<Self> {
+        stream.set_nodelay(true)?;
+        Ok(Self { stream, buffer: Vec::new() })
+    }
+
+    /// Reads more bytes; an error at the end of the connection. Safe to cancel.
+    async fn fill_buffer(&mut self) -> io::Result<()> {
+        loop {
+            self.stream.readable().await?;
+            let mut chunk = [0; 4096];
+            match self.stream.try_read(&mut chunk) {
+                Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
+                Ok(read) => {
+                    self.buffer.extend_from_slice(&chunk[..read]);
+                    return Ok(());
+                }
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Err(error),
+            }
+        }
+    }
+
+    /// Whether all bytes that were read have been consumed.
+    pub fn is_empty(&self) -> bool {
+        self.buffer.is_empty()
+    }
+
+    /// Takes the next message. `length` computes its length from the first `header_bytes` bytes.
+    async fn take(&mut self, header_bytes: usize, length: impl Fn(&[u8]) -> usize) -> io::Result<Vec<u8>> {
+        loop {
+            if self.buffer.len() >= header_bytes {
+                let total = length(&self.buffer);
+                if total > MAX_MESSAGE_BYTES {
+                    return Err(io::ErrorKind::InvalidData.into());
+                }
+                if self.buffer.len() >= total {
+                    let rest = self.buffer.split_off(total);
+                    return Ok(std::mem::replace(&mut self.buffer, rest));
+                }
+            }
+            self.fill_buffer().await?;
+        }
+    }
+
+    /// Reads the startup packet.
+    pub async fn startup(&mut self) -> io::Result<()> {
+        let length = |b: &[u8]| u32::from_be_bytes([b[0], b[1], b[2], b[3]]) as usize;
+        self.take(4, length).await.map(|_| ())
+    }
+
+    /// Reads the next message, and returns its type and body.
+    pub async fn message(&mut self) -> io::Result<(u8, Vec<u8>)> {
+        let length = |b: &[u8]| u32::from_be_bytes([b[1], b[2], b[3], b[4]]) as usize + 1;
+        let mut message = self.take(5, length).await?;
+        let body = message.split_off(5);
+        Ok((message[0], body))
+    }
+
+    /// Reads a line of text, and returns it without its end.
+    pub async fn line(&mut self) -> io::Result<String> {
+        loop {
+            if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+                let rest = self.buffer.split_off(end + 1);
+                let line = std::mem::replace(&mut self.buffer, rest);
+                return Ok(String::from_utf8_lossy(&line).trim_end().to_owned());
+            }
+            if self.buffer.len() > MAX_MESSAGE_BYTES {
+                return Err(io::ErrorKind::InvalidData.into());
+            }
+            self.fill_buffer().await?;
+        }
+    }
+
+    /// Waits until the connection is closed, and buffers what is received before.
+    pub async fn closed(&mut self) {
+        while self.buffer.len() <= MAX_MESSAGE_BYTES && self.fill_buffer().await.is_ok() {}
+    }
+
+    /// Writes all bytes.
+    pub async fn write(&self, mut bytes: &[u8]) -> io::Result<()> {
+        while !bytes.is_empty() {
+            self.stream.writable().await?;
+            match self.stream.try_write(bytes) {
+                Ok(written) => bytes = &bytes[written..],
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+                Err(error) => return Err(error),
+            }
+        }
+        Ok(())
+    }
+
+    /// Closes the connection with a reset.
+    pub fn reset(self) {
+        let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
+    }
+}
+
+/// The field of an `ErrorResponse` with this type.
+pub fn message_field(body: &[u8], field_type: u8) -> Option<String> {
+    let field = body.split(|byte| *byte == 0).find(|field| field.first() == Some(&field_type))?;
+    Some(String::from_utf8_lossy(&field[1..]).into_owned())
+}
+
+/// An `ErrorResponse` with this SQLSTATE.
+pub fn error_message(code: &str) -> Vec<u8> {
+    message(b'E', format!("SERROR\0VERROR\0C{code}\0Mno\0\0").as_bytes())
+}
+
+/// The value of a name in the comment of a statement.
+pub fn comment_value<'t>(text: &'t str, name: &str) -> Option<&'t str> {
+    let comment = text.rsplit_once("/*")?.1;
+    let pair = comment.split([',', ' ', '*']).find_map(|pair| pair.strip_prefix(name));
+    pair?.strip_prefix('=')
+}
--- /dev/null
+++ b/testkit/src/fleet/process_trial/proxy_config.rs
@@ -0,0 +1,160 @@
+//! The configuration of a proxy process, in the names of the platform.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use pipittack_core::api::{
+    Class, ClassId, Consistency, Endpoint, EndpointState, Idempotency, KeyScope, Limits, ListedRole,
+    LoadReports, Prices, ServiceRules, SessionTokens, Settings, StaleReadPolicy,
+};
+use serde_json::{json, Value};
+
+fn ms(time: Duration) -> f64 {
+    time.as_secs_f64() * 1e3
+}
+
+/// The name of a class.
+pub fn class_name(class: ClassId) -> String {
+    format!("c{}", class.0)
+}
+
+/// The name of a zone.
+pub fn zone_name(zone: usize) -> String {
+    format!("z{zone}")
+}
+
+fn class(index: usize, class: &Class) -> Value {
+    let (effect, scope, window) = match class.idempotency {
+        Idempotency::Idempotent => ("repeatable", "", Duration::ZERO),
+        Idempotency::NonIdempotent => ("once", "", Duration::ZERO),
+        Idempotency::WithKey { scope: KeyScope::All, window } => ("by_key", "all", window),
+        Idempotency::WithKey { scope: KeyScope::Zone, window } => ("by_key", "zone", window),
+        Idempotency::WithKey { scope: KeyScope::Group, window } => ("by_key", "cell", window),
+    };
+    json!({
+        "Name": class_name(ClassId(index)),
+        "Credit": class.priority_weight,
+        "OnTimeMs": ms(class.latency_objective),
+        "DeadlineMs": ms(class.deadline),
+        "LateValue": class.late_weight,
+        "Effect": effect,
+        "DedupScope": scope,
+        "WindowMs": ms(window),
+    })
+}
+
+/// The settings of one proxy, with the timeout in s of its idle connections to servers.
+pub fn settings(settings: &Settings, zones: usize, idle_timeout_s: f64) -> Value {
+    json!({
+        "Index": settings.instance_index,
+        "GroupSize": settings.instance_count,
+        "Zone": zone_name(settings.zone.0),
+        "Zones": (0..zones).map(zone_name).collect::<Vec<_>>(),
+        "TickMs": ms(settings.min_step_interval),
+        "Classes": settings.classes.iter().enumerate().map(|(i, c)| class(i, c)).collect::<Vec<_>>(),
+        "Domain": domain(settings),
+        "Report": load_reports(settings.load_reports),
+        "Discovery": "subscribe",
+        "Limits": limits(&settings.limits, idle_timeout_s),
+        "Contract": rules(&settings.rules),
+        "Prices": prices(&settings.prices),
+    })
+}
+
+fn domain(settings: &Settings) -> Value {
+    let consistency = |class: &Class| match class.consistency {
+        Consistency::Write => "mutate",
+        Consistency::Linearizable => "strong",
+        Consistency::Causal => "causal",
+        Consistency::BoundedStaleness(_) => "lag_bound",
+        Consistency::Eventual => "eventual",
+    };
+    let max_age = |class: &Class| match class.consistency {
+        Consistency::BoundedStaleness(age) => ms(age),
+        _ => 0.0,
+    };
+    json!({
+        "NeedsByClass": settings.classes.iter().map(consistency).collect::<Vec<_>>(),
+        "MaxAgeMs": settings.classes.iter().map(max_age).collect::<Vec<_>>(),
+        "Positions": settings.responses_carry_position,
+        "ServerChecks": match settings.stale_read_policy {
+            StaleReadPolicy::AnswerStale => "silent",
+            StaleReadPolicy::Decline => "bounce",
+            StaleReadPolicy::WaitThenDecline(_) => "await",
+        },
+        "SessionMarks": match settings.session_tokens {
+            SessionTokens::FromClient => "brought",
+            SessionTokens::Tracked => "kept",
+        },
+        "ShowsRole": match settings.listed_role {
+            ListedRole::Delayed => "trailing",
+            ListedRole::Static => "static",
+            ListedRole::Absent => "silent",
+        },
+    })
+}
+
+fn load_reports(load_reports: LoadReports) -> Value {
+    json!({
+        "How": match load_reports {
+            LoadReports::Piggyback => "piggyback",
+            LoadReports::OnHealthCheck => "pull",
+            LoadReports::Never => "silent",
+        },
+        "Columns": if load_reports == LoadReports::Never { vec![] } else { vec!["x0", "x1"] },
+    })
+}
+
+fn limits(limits: &Limits, idle_timeout_s: f64) -> Value {
+    json!({
+        "AttemptsCap": limits.max_attempts,
+        "MayCancel": limits.allow_cancel,
+        "Probes": limits.allow_health_checks,
+        "SecondCopies": limits.allow_hedging,
+        "RetryAfter": limits.send_retry_after,
+        "MaxRetryAfterMs": ms(limits.max_retry_after),
+        "ConnectTimeoutMs": ms(limits.connect_timeout),
+        "ConnIdleMs": idle_timeout_s * 1e3,
+        "StreamsPerConn": limits.max_streams_per_connection,
+    })
+}
+
+fn rules(rules: &ServiceRules) -> Value {
+    json!({
+        "AnswerSlackMs": ms(rules.answer_grace_period),
+        "AskEveryMs": ms(rules.poll_interval),
+        "ColdShare": rules.initial_capacity_share,
+        "WarmUpMs": ms(rules.warm_up),
+        "OverloadFactor": rules.overload_factor,
+        "OverloadForMs": ms(rules.overload_duration),
+        "StopSendingWithinMs": ms(rules.drain_grace_period),
+        "OnlyDrainingBinds": rules.removed_may_serve,
+    })
+}
+
+fn prices(prices: &Prices) -> Value {
+    json!({
+        "CrossZone": prices.cross_zone,
+        "Probe": prices.health_check,
+        "Waste": prices.wasted_work,
+        "LateFail": prices.late_failure,
+    })
+}
+
+/// An entry of the endpoint list, without the role of the server.
+pub fn endpoint_entry(endpoint: &Endpoint, address: SocketAddr, started_unix_ms: Option<f64>) -> Value {
+    json!({
+        "uid": format!("s{}", endpoint.server.0),
+        "endpoint": address,
+        "az": zone_name(endpoint.zone.0),
+        "model": "std",
+        "pod_group": endpoint.group.0,
+        "state": match endpoint.state {
+            EndpointState::Healthy => "Ready",
+            EndpointState::Draining => "Terminating",
+            EndpointState::Removed => "Gone",
+        },
+        "capacity_hint": endpoint.relative_capacity,
+        "boot_ms": started_unix_ms.map_or(0.0, f64::round),
+    })
+}
--- /dev/null
+++ b/testkit/src/fleet/process_trial/server_connections.rs
@@ -0,0 +1,265 @@
+//! Data servers on sockets: each listens at an address of its own for each proxy.
+//!
+//! Owns the connections of proxies to servers. Statements go to the model of the server, and responses are
+//! written after the delay of the link. A connection writes nothing while its link or its server drops data,
+//! and is reset when either comes back.
+
+use std::io;
+use std::time::Duration;
+
+use tokio::net::TcpStream;
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+
+use super::super::link_faults::{LinkEnd, LinkState};
+use super::super::server_model::ServerState;
+use super::message_stream::{error_message, MessageStream};
+use super::server_execution::{execute, request_id, ServerResponse};
+use super::state::{SharedTrial, TrialState};
+use crate::script::message;
+
+/// Interval of the checks whether a link has come back.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// SQLSTATE of a full server.
+const TOO_MANY_CONNECTIONS: &str = "53300";
+
+/// Listens for a proxy at the servers that were added since the last call.
+pub fn listen(shared: &SharedTrial, proxy: usize) -> io::Result<()> {
+    let servers = shared.with(|trial| trial.fleet.site.servers.len());
+    for server in 0..servers {
+        if shared.with(|trial| trial.server_addresses.contains_key(&(proxy, server))) {
+            continue;
+        }
+        let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
+        listener.set_nonblocking(true)?;
+        let address = listener.local_addr()?;
+        let listener = tokio::net::TcpListener::from_std(listener)?;
+        shared.with(|trial| trial.server_addresses.insert((proxy, server), address));
+        let shared = shared.clone();
+        spawn_local(async move {
+            while let Ok((stream, _)) = listener.accept().await {
+                let connection = ServerConnection::new(&shared, proxy, server);
+                spawn_local(connection.run(stream));
+            }
+        });
+    }
+    Ok(())
+}
+
+/// A connection of a proxy to a server.
+struct ServerConnection {
+    shared: SharedTrial,
+    proxy: usize,
+    server: usize,
+    /// The incarnation of the server that accepted it.
+    incarnation: u32,
+    opened_at: f64,
+    changes: watch::Receiver<u64>,
+    /// Data was dropped: the connection is reset once the link and the server are back.
+    data_lost: bool,
+}
+
+/// Why a connection ends.
+enum ConnectionEnd {
+    /// The proxy closed it.
+    Closed,
+    /// The server or the link resets it.
+    Reset,
+}
+
+impl From<io::Error> for ConnectionEnd {
+    fn from(_: io::Error) -> Self {
+        Self::Closed
+    }
+}
+
+/// The state of a connection's link and server.
+struct ConnectionState {
+    link: LinkState,
+    server: ServerState,
+    /// The connection is reset.
+    reset: bool,
+}
+
+impl TrialState {
+    fn was_reset_since(&self, proxy: usize, server: usize, since: f64) -> bool {
+        self.resets.iter().any(|reset| {
+            let affected = reset.proxies.contains(&proxy) && reset.ends.contains(&LinkEnd::Server(server));
+            affected && reset.at >= since
+        })
+    }
+}
+
+impl ServerConnection {
+    fn new(shared: &SharedTrial, proxy: usize, server: usize) -> Self {
+        let incarnation = shared.with(|trial| trial.fleet.site.servers[server].model.incarnation);
+        Self {
+            shared: shared.clone(),
+            proxy,
+            server,
+            incarnation,
+            opened_at: shared.now(),
+            changes: shared.with(|trial| trial.changes.subscribe()),
+            data_lost: false,
+        }
+    }
+
+    fn state(&self) -> ConnectionState {
+        let link = self.shared.link_state(self.proxy, LinkEnd::Server(self.server));
+        self.shared.with(|trial| {
+            let server = &trial.fleet.site.servers[self.server];
+            let model = &server.model;
+            let exited =
+                server.removed || model.incarnation != self.incarnation || model.state == ServerState::Dead;
+            let reset = link.cut || exited || trial.was_reset_since(self.proxy, self.server, self.opened_at);
+            ConnectionState { link, server: model.state, reset }
+        })
+    }
+
+    /// Waits until the connection is reset.
+    async fn wait_for_reset(&mut self) -> ConnectionEnd {
+        loop {
+            let state = self.state();
+            let is_back = state.link.is_open() && state.server != ServerState::Unresponsive;
+            if state.reset || (self.data_lost && is_back) {
+                return ConnectionEnd::Reset;
+            }
+            // The end of a link fault sends no notification of its own.
+            tokio::select! {
+                _ = self.changes.changed() => {}
+                () = tokio::time::sleep(CHECK_INTERVAL), if self.data_lost => {}
+            }
+        }
+    }
+
+    /// Drops what was received, and waits until the connection is reset.
+    async fn drop_data(&mut self) -> ConnectionEnd {
+        self.data_lost = true;
+        self.wait_for_reset().await
+    }
+
+    /// Sleeps for a multiple of the link's one-way delay.
+    async fn sleep_one_way(&self, factor: f64) {
+        self.shared.sleep_one_way(self.proxy, self.server, factor).await;
+    }
+
+    async fn run(mut self, stream: TcpStream) {
+        let Ok(mut stream) = MessageStream::new(stream) else { return };
+        let end = match self.accept(&mut stream).await {
+            Ok(true) => {
+                let end = self.serve(&mut stream).await;
+                self.release();
+                end
+            }
+            Ok(false) => ConnectionEnd::Closed,
+            Err(end) => end,
+        };
+        if matches!(end, ConnectionEnd::Reset) {
+            stream.reset();
+        }
+    }
+
+    /// Counts the connection as closed at its server.
+    fn release(&self) {
+        self.shared.with(|trial| {
+            let model = &mut trial.fleet.site.servers[self.server].model;
+            if model.incarnation == self.incarnation {
+                model.connections = model.connections.saturating_sub(1);
+            }
+        });
+    }
+
+    /// Accepts the connection; false if the server's connection limit is reached.
+    async fn accept(&mut self, stream: &mut MessageStream) -> Result<bool, ConnectionEnd> {
+        tokio::select! {
+            end = self.wait_for_reset() => return Err(end),
+            read = stream.startup() => read?,
+        }
+        let state = self.state();
+        if state.link.requests_dropped || state.server == ServerState::Unresponsive {
+            return Err(self.drop_data().await);
+        }
+        let (accepted, rtts) = self.shared.with(|trial| {
+            let accepted = trial.fleet.open_connection(self.server, trial.clock.now());
+            (accepted, trial.fleet.plan.handshake_rtts)
+        });
+        self.sleep_one_way(2.0 * rtts).await;
+        if state.link.responses_dropped {
+            return Err(self.drop_data().await);
+        }
+        if !accepted {
+            stream.write(&error_message(TOO_MANY_CONNECTIONS)).await?;
+            return Ok(false);
+        }
+        stream.write(&[message(b'R', &[0; 4]), message(b'Z', b"I")].concat()).await?;
+        Ok(true)
+    }
+
+    /// Serves the statements of a connection until it ends.
+    async fn serve(&mut self, stream: &mut MessageStream) -> ConnectionEnd {
+        loop {
+            let read = tokio::select! {
+                end = self.wait_for_reset() => return end,
+                read = stream.message() => read,
+            };
+            let Ok((b'Q', body)) = read else { return ConnectionEnd::Closed };
+            let text = String::from_utf8_lossy(body.strip_suffix(&[0]).unwrap_or(&body)).into_owned();
+            let state = self.state();
+            if state.link.requests_dropped || state.server == ServerState::Unresponsive {
+                return self.drop_data().await;
+            }
+            let execution = execute(self.shared.clone(), self.proxy, self.server, text.clone());
+            let response = tokio::select! {
+                end = self.wait_for_reset() => return end,
+                () = stream.closed() => return self.attempt_abandoned(&text),
+                response = execution => response,
+            };
+            let Some(response) = response else { return self.never_respond(stream, &text).await };
+            self.sleep_one_way(1.0).await;
+            let state = self.state();
+            if state.reset || state.link.responses_dropped || state.server != ServerState::Up {
+                return self.drop_data().await;
+            }
+            self.response_sent(&response);
+            if stream.write(&response.to_bytes()).await.is_err() {
+                return ConnectionEnd::Closed;
+            }
+        }
+    }
+
+    /// Receives data without a response until the connection ends.
+    async fn never_respond(&mut self, stream: &mut MessageStream, text: &str) -> ConnectionEnd {
+        let end = tokio::select! {
+            end = self.wait_for_reset() => end,
+            () = stream.closed() => ConnectionEnd::Closed,
+        };
+        self.attempt_abandoned(text);
+        end
+    }
+
+    /// Records that the proxy closed the connection during an attempt, whose execution continues.
+    fn attempt_abandoned(&self, text: &str) -> ConnectionEnd {
+        if let Some(id) = request_id(text) {
+            self.shared.with(|trial| {
+                trial.fleet.checker.attempt_abandoned(id, self.server, trial.clock.now());
+            });
+        }
+        ConnectionEnd::Closed
+    }
+
+    /// Records what the proxy learns from a response.
+    fn response_sent(&self, response: &ServerResponse) {
+        let Some(attempt) = response.attempt else { return };
+        self.shared.with(|trial| {
+            let now = trial.clock.now();
+            let checker = &mut trial.fleet.checker;
+            checker.attempt_ended_at_server(attempt.request, self.server, attempt.outcome, now);
+            let key = (self.proxy, self.server);
+            if response.status.primary == Some(false) {
+                trial.not_primary_since.entry(key).or_insert(now);
+            } else {
+                trial.not_primary_since.remove(&key);
+            }
+        });
+    }
+}
--- /dev/null
+++ b/testkit/src/fleet/process_trial/server_execution.rs
@@ -0,0 +1,292 @@
+//! Execution of statements at the modelled servers, and their responses on the wire.
+
+use pipittack_core::api::{ClassId, Consistency, Outcome, ServerStatus};
+use rand::Rng;
+use tokio::task::spawn_local;
+
+use super::super::rule_checker::{ReplicaRead, Rule};
+use super::super::server_model::ServerState;
+use super::super::site::{Completion, IncomingRequest, RequestAdmission};
+use super::message_stream::{comment_value, error_message};
+use super::state::{SharedTrial, TrialState};
+use crate::script::{message, row};
+
+/// Time in s in which a proxy is expected to process a response.
+const RESPONSE_PROCESSING_S: f64 = 0.1;
+/// Tolerance in s when the start times of a server are compared.
+const START_TOLERANCE_S: f64 = 1e-6;
+/// The statement of a health check.
+const HEALTH_CHECK: &str = "SELECT 1";
+/// The statement of a health check with a load report.
+const LOAD_REPORT: &str = "SHOW stats";
+
+/// SQLSTATE of an unknown statement.
+const PROTOCOL_VIOLATION: &str = "08P01";
+/// SQLSTATE of a write at a replica.
+const READ_ONLY_TRANSACTION: &str = "25006";
+/// SQLSTATE of a server that sends no load reports.
+const INSUFFICIENT_PRIVILEGE: &str = "42501";
+/// SQLSTATE of a full server.
+const TOO_MANY_CONNECTIONS: &str = "53300";
+/// SQLSTATE of a failed execution.
+const INTERNAL_ERROR: &str = "XX000";
+
+/// An attempt that ended at its server.
+#[derive(Debug, Clone, Copy)]
+pub struct EndedAttempt {
+    pub request: u64,
+    pub outcome: Outcome,
+}
+
+/// A server's response to a statement.
+pub struct ServerResponse {
+    body: Vec<u8>,
+    pub status: ServerStatus,
+    position_unix_ms: Option<f64>,
+    /// The attempt that ended; none for a health check.
+    pub attempt: Option<EndedAttempt>,
+}
+
+impl ServerResponse {
+    /// A response without the server's status.
+    fn without_status(body: Vec<u8>) -> Self {
+        let status = ServerStatus { position: None, primary: None };
+        Self { body, status, position_unix_ms: None, attempt: None }
+    }
+
+    /// The messages of the response.
+    pub fn to_bytes(&self) -> Vec<u8> {
+        let mut bytes = self.body.clone();
+        if let Some(primary) = self.status.primary {
+            let mode: &[u8] = if primary { b"mode\0read-write\0" } else { b"mode\0read-only\0" };
+            bytes.extend(message(b'S', mode));
+        }
+        if let Some(ms) = self.position_unix_ms {
+            bytes.extend(message(b'S', format!("wal_time\0{ms:.0}\0").as_bytes()));
+        }
+        bytes.extend(message(b'Z', b"I"));
+        bytes
+    }
+}
+
+/// The id of the try in a statement's comment.
+pub fn request_id(text: &str) -> Option<u64> {
+    comment_value(text, "id").and_then(|id| u64::from_str_radix(id, 16).ok())
+}
+
+/// An attempt at a server.
+#[derive(Clone)]
+struct Attempt {
+    shared: SharedTrial,
+    server: usize,
+    request: u64,
+    class: ClassId,
+    work_s: f64,
+    sent_at: f64,
+    /// The server was primary before, and the proxy could not know otherwise.
+    may_read_stale: bool,
+}
+
+/// Executes a statement; none if the server never responds.
+pub async fn execute(
+    shared: SharedTrial,
+    proxy: usize,
+    server: usize,
+    text: String,
+) -> Option<ServerResponse> {
+    if text == HEALTH_CHECK || text == LOAD_REPORT {
+        return health_check(&shared, server, &text).await;
+    }
+    let sent_at = shared.now();
+    let known = shared.with(|trial| {
+        let request = request_id(&text)?;
+        let client = trial.client_requests.get(&request)?;
+        Some((request, client.class, client.work_s))
+    });
+    let Some((request, class, work_s)) = known else {
+        shared.with(|trial| {
+            let description = format!("server {server} received a statement that no client sent: {text}");
+            trial.fleet.checker.report_violation(sent_at, Rule::AnswerInTime, description);
+        });
+        return Some(ServerResponse::without_status(error_message(PROTOCOL_VIOLATION)));
+    };
+    let may_read_stale = shared.with(|trial| may_read_stale(trial, proxy, server, sent_at));
+    let attempt = Attempt { shared, server, request, class, work_s, sent_at, may_read_stale };
+    let admission = attempt.admit(proxy);
+    attempt.shared.sleep_one_way(proxy, server, 1.0).await;
+    match admission {
+        RequestAdmission::NoResponse => None,
+        RequestAdmission::NotPrimary => {
+            Some(attempt.reject(Outcome::Misdirected, error_message(READ_ONLY_TRANSACTION)))
+        }
+        RequestAdmission::Rejected => {
+            Some(attempt.reject(Outcome::Rejected, error_message(TOO_MANY_CONNECTIONS)))
+        }
+        RequestAdmission::Crashed { informed_share } => {
+            attempt.crash_server(informed_share);
+            None
+        }
+        RequestAdmission::Executing { starts_at, ends_at } => {
+            // The execution continues even if its proxy closes the connection.
+            let execution = spawn_local(attempt.clone().run(starts_at, ends_at));
+            let completion = execution.await.ok().flatten()?;
+            Some(attempt.complete(completion))
+        }
+    }
+}
+
+/// Whether a server was primary before, and a proxy could not know otherwise.
+fn may_read_stale(trial: &TrialState, proxy: usize, server: usize, now: f64) -> bool {
+    let informed_at = trial.not_primary_since.get(&(proxy, server));
+    let informed = informed_at.is_some_and(|at| at + RESPONSE_PROCESSING_S < now);
+    trial.fleet.site.servers[server].was_primary && !informed
+}
+
+/// Whether a proxy has been informed of the last start of a server.
+fn is_informed_of_start(trial: &TrialState, proxy: usize, server: usize) -> bool {
+    let Some(started_at) = trial.fleet.site.servers[server].model.started_at else { return true };
+    let known = trial.known_starts.get(&(proxy, server)).copied().unwrap_or(0.0);
+    known + START_TOLERANCE_S > started_at
+}
+
+impl Attempt {
+    /// Has the server admit the attempt.
+    fn admit(&self, proxy: usize) -> RequestAdmission {
+        self.shared.with(|trial| {
+            let request = IncomingRequest {
+                class: self.class,
+                work_s: self.work_s,
+                sender_informed: is_informed_of_start(trial, proxy, self.server),
+            };
+            let fleet = &mut trial.fleet;
+            fleet.report.attempts += 1;
+            let is_write = fleet.plan.settings.classes[self.class.0].consistency == Consistency::Write;
+            if !is_write && fleet.site.is_primary(self.server) {
+                fleet.report.reads_at_primaries += 1;
+            }
+            fleet.checker.attempt_sent(self.request, self.server, self.sent_at);
+            fleet.checker.statement_written(self.request, self.server, self.sent_at);
+            fleet.site.admit(self.server, request, self.sent_at)
+        })
+    }
+
+    /// A response with the present status of the server.
+    fn reject(&self, outcome: Outcome, body: Vec<u8>) -> ServerResponse {
+        let status = self.shared.with(|trial| trial.fleet.site.status(self.server, trial.clock.now()));
+        self.respond(outcome, body, status)
+    }
+
+    fn respond(&self, outcome: Outcome, body: Vec<u8>, status: ServerStatus) -> ServerResponse {
+        self.shared.with(|trial| {
+            trial.fleet.report.attempt_ended(outcome);
+            let position_unix_ms = status.position.map(|at| trial.clock.to_unix_ms(at.as_secs_f64()));
+            let attempt = Some(EndedAttempt { request: self.request, outcome });
+            ServerResponse { body, status, position_unix_ms, attempt }
+        })
+    }
+
+    /// The response to an attempt that was executed.
+    fn complete(&self, completion: Completion) -> ServerResponse {
+        let Completion { outcome, status } = completion;
+        let body = if outcome == Outcome::Success {
+            row(format!("{:x}", self.request).as_bytes())
+        } else {
+            error_message(INTERNAL_ERROR)
+        };
+        self.respond(outcome, body, status)
+    }
+
+    /// Crashes the server, which the attempt has overloaded.
+    fn crash_server(&self, informed_share: f64) {
+        let mut effects = Vec::new();
+        self.shared.with(|trial| {
+            let now = trial.clock.now();
+            trial.fleet.checker.server_crashed(self.server, informed_share, now);
+            trial.fleet.site.crash(self.server, now, &mut effects);
+        });
+        self.shared.handle_effects(effects);
+    }
+
+    /// Executes the attempt; none if the server fails before it is done.
+    async fn run(self, starts_at: f64, ends_at: f64) -> Option<Completion> {
+        let clock = self.shared.clock();
+        let incarnation = self.shared.with(|trial| trial.fleet.site.servers[self.server].model.incarnation);
+        clock.sleep_until(starts_at).await;
+        if !self.is_executing(incarnation) {
+            return None;
+        }
+        self.read_data();
+        clock.sleep_until(ends_at).await;
+        if !self.is_executing(incarnation) {
+            return None;
+        }
+        Some(self.finish())
+    }
+
+    /// Whether the server still works on the attempt.
+    fn is_executing(&self, incarnation: u32) -> bool {
+        self.shared.with(|trial| {
+            let model = &trial.fleet.site.servers[self.server].model;
+            model.incarnation == incarnation && model.state == ServerState::Up
+        })
+    }
+
+    /// Starts the execution, and reads the data.
+    fn read_data(&self) {
+        self.shared.with(|trial| {
+            let now = trial.clock.now();
+            let fleet = &mut trial.fleet;
+            let position = fleet.site.start_execution(self.server, self.class, self.work_s, now);
+            if let Some(position) = position {
+                let read = ReplicaRead {
+                    request: self.request,
+                    sent_at: self.sent_at,
+                    position,
+                    may_read_stale: self.may_read_stale,
+                };
+                fleet.checker.read_executed(read, now);
+            }
+        });
+    }
+
+    /// Ends the execution, and commits a write.
+    fn finish(&self) -> Completion {
+        self.shared.with(|trial| {
+            let now = trial.clock.now();
+            let fleet = &mut trial.fleet;
+            let completion = fleet.site.finish_execution(self.server, self.class, now);
+            let is_write = fleet.plan.settings.classes[self.class.0].consistency == Consistency::Write;
+            if is_write && completion.outcome == Outcome::Success {
+                fleet.checker.write_executed(self.request, self.class, now);
+                if let Some(commit) = completion.status.position {
+                    trial.commits.insert(self.request, commit.as_secs_f64());
+                }
+            }
+            completion
+        })
+    }
+}
+
+/// Answers a health check, with a load report if the statement asks for one and servers send them.
+async fn health_check(shared: &SharedTrial, server: usize, text: &str) -> Option<ServerResponse> {
+    let clock = shared.clock();
+    let done_at = shared.with(|trial| {
+        trial.fleet.report.health_checks += 1;
+        let work_s = trial.fleet.plan.health_check_work_s;
+        let model = &mut trial.fleet.site.servers[server].model;
+        (model.state == ServerState::Up).then(|| model.add_work(clock.now(), work_s))
+    })?;
+    clock.sleep_until(done_at).await;
+    let body = shared.with(|trial| {
+        let age_s = trial.fleet.plan.load_report_age_s * trial.fleet.rng.random::<f64>();
+        let report = trial.fleet.site.load_report(server, age_s, clock.now());
+        if text != LOAD_REPORT {
+            return row(b"1");
+        }
+        let Some(report) = report else { return error_message(INSUFFICIENT_PRIVILEGE) };
+        let position_s = report.position.map_or(0.0, |at| clock.to_unix_ms(at.as_secs_f64()) / 1e3);
+        let primary = u8::from(report.primary == Some(true));
+        row(format!("x0={position_s:.3},x1={primary}").as_bytes())
+    });
+    Some(ServerResponse::without_status(body))
+}
--- /dev/null
+++ b/testkit/src/fleet/process_trial/state.rs
@@ -0,0 +1,157 @@
+//! The state that all sockets of a trial share.
+//!
+//! Owns the models of the fleet, the addresses, and what each proxy has received. All tasks run on one
+//! thread; a borrow of the state never lasts across an `await`.
+
+use std::cell::RefCell;
+use std::collections::{BTreeMap, HashMap};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use pipittack_core::api::Endpoint;
+use tokio::sync::watch;
+use tokio::task::spawn_local;
+
+use super::super::fleet_model::FleetModel;
+use super::super::link_faults::{LinkEnd, LinkState};
+use super::super::plan::Plan;
+use super::super::report::ProcessStart;
+use super::super::site::Effect;
+use super::super::workload::ClientRequest;
+use super::clients::BalancerTarget;
+use super::clock::Clock;
+use super::process_table::ProcessTable;
+
+/// Connections between proxies and ends that were reset.
+pub struct LinkReset {
+    pub proxies: Vec<usize>,
+    pub ends: Vec<LinkEnd>,
+    pub at: f64,
+}
+
+/// The state of a trial.
+pub struct TrialState {
+    pub fleet: FleetModel,
+    pub clock: Clock,
+    /// Each try by its id.
+    pub client_requests: HashMap<u64, ClientRequest>,
+    /// Number of tries so far.
+    pub requests: u64,
+    /// Commits that no client has received yet, by request.
+    pub commits: HashMap<u64, f64>,
+    /// Where each proxy reaches each server.
+    pub server_addresses: HashMap<(usize, usize), SocketAddr>,
+    /// Where each proxy reaches the discovery service.
+    pub discovery_addresses: Vec<SocketAddr>,
+    /// The proxies as the clients' load balancer sees them.
+    pub balancer_targets: Vec<BalancerTarget>,
+    pub processes: ProcessTable,
+    /// When each proxy was first informed that a server is not primary.
+    pub not_primary_since: BTreeMap<(usize, usize), f64>,
+    /// The start times of servers that each proxy has received.
+    pub known_starts: HashMap<(usize, usize), f64>,
+    /// Incremented by changes that may end connections.
+    pub changes: watch::Sender<u64>,
+    pub resets: Vec<LinkReset>,
+}
+
+impl TrialState {
+    /// The state of a plan before its start.
+    pub fn new(plan: Plan, processes: ProcessTable) -> Self {
+        Self {
+            clock: Clock::start(),
+            client_requests: HashMap::new(),
+            requests: 0,
+            commits: HashMap::new(),
+            server_addresses: HashMap::new(),
+            discovery_addresses: Vec::new(),
+            balancer_targets: (0..plan.proxies).map(|_| BalancerTarget::default()).collect(),
+            processes,
+            not_primary_since: BTreeMap::new(),
+            known_starts: HashMap::new(),
+            changes: watch::Sender::new(0),
+            resets: Vec::new(),
+            fleet: FleetModel::new(plan),
+        }
+    }
+
+    /// Has connections check whether they end.
+    pub fn notify_connections(&self) {
+        self.changes.send_modify(|changes| *changes += 1);
+    }
+
+    /// Records the start times in a list that a proxy receives.
+    pub fn learn_starts(&mut self, proxy: usize, endpoints: &[Endpoint]) {
+        for endpoint in endpoints {
+            if let Some(started_at) = endpoint.started_at {
+                let server = endpoint.server.0 as usize;
+                self.known_starts.insert((proxy, server), started_at.as_secs_f64());
+            }
+        }
+    }
+
+    /// The report's entry for the start of the process that serves a proxy.
+    pub fn start_report(&mut self, proxy: usize) -> Option<&mut ProcessStart> {
+        let index = self.processes.start_index(proxy)?;
+        self.fleet.report.starts.get_mut(index)
+    }
+}
+
+/// The state, shared by all tasks of a trial.
+#[derive(Clone)]
+pub struct SharedTrial(Rc<RefCell<TrialState>>);
+
+impl SharedTrial {
+    pub fn new(state: TrialState) -> Self {
+        Self(Rc::new(RefCell::new(state)))
+    }
+
+    /// Calls a function with the state.
+    pub fn with<T>(&self, act: impl FnOnce(&mut TrialState) -> T) -> T {
+        act(&mut self.0.borrow_mut())
+    }
+
+    pub fn clock(&self) -> Clock {
+        self.0.borrow().clock
+    }
+
+    pub fn now(&self) -> f64 {
+        self.clock().now()
+    }
+
+    /// The present state of a proxy's link.
+    pub fn link_state(&self, proxy: usize, end: LinkEnd) -> LinkState {
+        let trial = self.0.borrow();
+        trial.fleet.link_state(proxy, end, trial.clock.now())
+    }
+
+    /// Sleeps for a multiple of the one-way delay between a proxy and a server.
+    pub async fn sleep_one_way(&self, proxy: usize, server: usize, factor: f64) {
+        let clock = self.clock();
+        let now = clock.now();
+        let delay = self.with(|trial| trial.fleet.one_way_delay(proxy, server, now));
+        clock.sleep_until(now + factor * delay).await;
+    }
+
+    /// Handles the effects of an operation on the site. Watches and connections notice publications and exits
+    /// themselves.
+    pub fn handle_effects(&self, effects: Vec<Effect>) {
+        for effect in effects {
+            if let Effect::ElectionDue { set, at } = effect {
+                spawn_local(self.clone().elect(set, at));
+            }
+        }
+        self.with(|trial| {
+            trial.fleet.register_new_servers();
+            trial.notify_connections();
+        });
+    }
+
+    async fn elect(self, set: usize, at: f64) {
+        let clock = self.clock();
+        clock.sleep_until(at).await;
+        let mut effects = Vec::new();
+        self.with(|trial| trial.fleet.site.elect(set, clock.now(), &mut effects));
+        self.handle_effects(effects);
+    }
+}
--- a/testkit/src/fleet/report.rs
+++ b/testkit/src/fleet/report.rs
@@ -1,129 +1,163 @@
-//! What came of a trial, counted.
+//! The figures of a trial.
 //!
-//! Owns the figures and how they are read; stepped trials and those with processes give the same ones, but for what one of
-//! them can't see. It must never be told by a proxy.
+//! Owns the counters that a trial prints. The stepped simulation and the trial with processes fill in the
+//! same figures, except for those that one of them cannot observe. All figures come from clients, servers and
+//! the discovery service; none is reported by a proxy.
 
 use std::collections::BTreeMap;
 
 use pipittack_core::api::{Class, Outcome};
 use serde::Serialize;
 
-use super::load::Wish;
+use super::workload::ClientRequest;
 
-/// How one start of a process went, in s after it.
+/// The start of a process. The times of its first events are in s after the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
-pub struct Start {
-    /// When it was, in s of the trial.
+pub struct ProcessStart {
+    /// When it started, in s of the trial.
     pub at: f64,
-    /// When the list service had told it.
-    pub told: Option<f64>,
-    /// When the first request was asked of it, and when the first one was served.
-    pub asked: Option<f64>,
-    /// See `asked`.
-    pub served: Option<f64>,
+    /// When the discovery service first sent it the endpoint list.
+    #[serde(rename = "told")]
+    pub notified: Option<f64>,
+    /// When it received its first request.
+    #[serde(rename = "asked")]
+    pub first_request: Option<f64>,
+    /// When it first served a request.
+    #[serde(rename = "served")]
+    pub first_served: Option<f64>,
 }
 
-/// What came of a trial.
+/// Priority weight of requests; printed as a pair.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
+#[serde(into = "(f64, f64)")]
+pub struct Weight {
+    /// Weight of the requests that clients created.
+    pub offered: f64,
+    /// Weight of those that were served, with a deduction for late responses.
+    pub served: f64,
+}
+
+impl From<Weight> for (f64, f64) {
+    fn from(weight: Weight) -> Self {
+        (weight.offered, weight.served)
+    }
+}
+
+impl Weight {
+    /// The served share.
+    pub fn share(&self) -> f64 {
+        self.served / self.offered.max(1e-9)
+    }
+}
+
+/// The figures of a trial.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// Worth asked for, and served within the classes' aims.
+    /// Priority weight of the requests that clients created.
     pub offered: f64,
-    /// See `offered`.
+    /// Priority weight of those that were served, with a deduction for late responses.
     pub served: f64,
-    /// The same by class.
-    pub classes: Vec<(f64, f64)>,
-    /// The same by second.
-    pub seconds: Vec<(f64, f64)>,
-    /// Tries of clients, those that were refused, those that failed, and those whose proxy was not there.
+    /// The weights by class.
+    pub classes: Vec<Weight>,
+    /// The weights by the second in which clients created the requests.
+    pub seconds: Vec<Weight>,
+    /// Tries of clients.
     pub tries: usize,
-    /// See `tries`.
-    pub refused: usize,
-    /// See `tries`.
+    /// Tries that were rejected.
+    #[serde(rename = "refused")]
+    pub rejected: usize,
+    /// Tries that failed.
     pub failed: usize,
-    /// See `tries`.
-    pub unheard: usize,
-    /// Attempts, and those at primaries for reads.
+    /// Tries whose proxy was not reachable.
+    #[serde(rename = "unheard")]
+    pub unreachable: usize,
+    /// Attempts.
     pub attempts: usize,
-    /// See `attempts`.
+    /// Attempts of reads at primaries.
     pub reads_at_primaries: usize,
     /// New connections to servers.
     pub handshakes: usize,
-    /// The largest part of what a server could do that went into them in one second.
+    /// The largest share of a server's capacity that new connections took within one second.
     pub handshake_share: f64,
-    /// Probes.
-    pub probes: usize,
-    /// How attempts ended.
+    /// Health checks.
+    #[serde(rename = "probes")]
+    pub health_checks: usize,
+    /// Number of attempts by outcome.
     pub outcomes: BTreeMap<String, usize>,
-    /// Calls for the list, those that failed while the service was up, and the longest wait of one that was answered.
-    pub calls: usize,
-    /// See `calls`.
-    pub calls_failed: usize,
-    /// See `calls`.
-    pub call_longest_s: f64,
-    /// Processes that were started.
-    pub starts: Vec<Start>,
-    /// The most that a cold server was sent, as a part of what pushes it over.
-    pub cold_most: f64,
-    /// Cold servers that fell over.
-    pub fell: usize,
-    /// Broken rules.
-    pub broken: Vec<String>,
+    /// Polls of the discovery service.
+    #[serde(rename = "calls")]
+    pub polls: usize,
+    /// Polls that timed out while the service was reachable.
+    #[serde(rename = "calls_failed")]
+    pub failed_polls: usize,
+    /// Longest wait in s of an answered poll.
+    #[serde(rename = "call_longest_s")]
+    pub longest_poll_s: f64,
+    /// Starts of processes.
+    pub starts: Vec<ProcessStart>,
+    /// The largest overload ratio of a server that warmed up; a server crashes above 1.
+    #[serde(rename = "cold_most")]
+    pub max_overload_ratio: f64,
+    /// Servers that crashed on overload.
+    #[serde(rename = "fell")]
+    pub overload_crashes: usize,
+    /// Violations of the service rules.
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
 impl Report {
-    /// One with so many classes, and nothing in it.
-    pub fn of(classes: usize) -> Self {
-        Self { classes: vec![(0.0, 0.0); classes], ..Self::default() }
+    /// An empty report with this number of classes.
+    pub fn new(classes: usize) -> Self {
+        Self { classes: vec![Weight::default(); classes], ..Self::default() }
     }
 
-    /// A client asks for something for the first time, so many s into the trial.
-    pub fn asked(&mut self, wish: &Wish, class: &Class, at: f64) {
+    /// Records a new request of a client. `at` is the time of the trial in s.
+    pub fn request_offered(&mut self, request: &ClientRequest, class: &Class, at: f64) {
         self.offered += class.priority_weight;
-        self.classes[wish.class.0].0 += class.priority_weight;
+        self.classes[request.class.0].offered += class.priority_weight;
         let second = at.max(0.0) as usize;
         if self.seconds.len() <= second {
-            self.seconds.resize(second + 1, (0.0, 0.0));
+            self.seconds.resize(second + 1, Weight::default());
         }
-        self.seconds[second].0 += class.priority_weight;
+        self.seconds[second].offered += class.priority_weight;
     }
 
-    /// It is served at `now`; `at` is when it was asked, in s of the trial.
-    pub fn served(&mut self, wish: &Wish, class: &Class, now: f64, at: f64) {
-        let in_time = now <= wish.asked + class.latency_objective.as_secs_f64();
-        let worth = class.priority_weight * if in_time { 1.0 } else { class.late_weight };
-        self.served += worth;
-        self.classes[wish.class.0].1 += worth;
-        if let Some(second) = self.seconds.get_mut(at.max(0.0) as usize) {
-            second.1 += worth;
+    /// Records a request that was served at `now`. `created_at` is when the client created it, in s of the
+    /// trial.
+    pub fn request_served(&mut self, request: &ClientRequest, class: &Class, now: f64, created_at: f64) {
+        let in_time = now <= request.created_at + class.latency_objective.as_secs_f64();
+        let weight = class.priority_weight * if in_time { 1.0 } else { class.late_weight };
+        self.served += weight;
+        self.classes[request.class.0].served += weight;
+        if let Some(second) = self.seconds.get_mut(created_at.max(0.0) as usize) {
+            second.served += weight;
         }
     }
 
-    /// An attempt ended.
-    pub fn ended(&mut self, outcome: Outcome) {
+    /// Records the end of an attempt.
+    pub fn attempt_ended(&mut self, outcome: Outcome) {
         *self.outcomes.entry(format!("{outcome:?}")).or_default() += 1;
     }
 
-    /// The share of the worth that was served.
+    /// The served share of the offered weight.
     pub fn share(&self) -> f64 {
-        self.served / self.offered.max(1e-9)
-    }
-
-    /// The share between two seconds.
-    pub fn share_between(&self, from: usize, to: usize) -> f64 {
-        let part = self.seconds.get(from..to.min(self.seconds.len())).unwrap_or_default();
-        let (offered, served) = part.iter().fold((0.0, 0.0), |sum, s| (sum.0 + s.0, sum.1 + s.1));
-        served / f64::max(offered, 1e-9)
+        Weight { offered: self.offered, served: self.served }.share()
     }
 
-    /// When the last process had been told of the list, in s after its start; none where one never was.
-    pub fn last_told(&self) -> Option<f64> {
-        self.starts.iter().map(|start| start.told).try_fold(0.0, |most, told| Some(f64::max(most, told?)))
+    /// When the last process received the endpoint list, in s after its start; none if one never did.
+    pub fn last_notified(&self) -> Option<f64> {
+        let mut notified = self.starts.iter().map(|start| start.notified);
+        notified.try_fold(0.0, |last, at| Some(f64::max(last, at?)))
     }
 
-    /// The share of the starts that served so soon after the first request was asked of them.
+    /// The share of the starts that served a request within this time in s after their first request.
     pub fn served_within(&self, seconds: f64) -> f64 {
-        let asked: Vec<_> = self.starts.iter().filter_map(|s| Some((s.asked?, s.served))).collect();
-        let soon = asked.iter().filter(|(asked, served)| served.is_some_and(|at| at - asked <= seconds));
-        soon.count() as f64 / asked.len().max(1) as f64
+        let requested: Vec<_> = self.starts.iter().filter(|start| start.first_request.is_some()).collect();
+        let in_time = requested.iter().filter(|start| {
+            let first_request = start.first_request.unwrap_or_default();
+            start.first_served.is_some_and(|served| served - first_request <= seconds)
+        });
+        in_time.count() as f64 / requested.len().max(1) as f64
     }
 }
--- /dev/null
+++ b/testkit/src/fleet/scenario/faults.rs
@@ -0,0 +1,121 @@
+//! The faults of a script.
+
+use lexpr::datum::Ref;
+
+use super::super::link_faults::LinkFault;
+use super::super::plan::{Fault, LinkTarget, Selection};
+use super::super::server_model::ServerState;
+use super::syntax::{number, split_form, unexpected, Form, SyntaxError};
+
+/// Reads a selection: `all`, `(one NUMBER)`, `(share SHARE)` or `(zone NUMBER)`.
+fn read_selection(datum: Ref<'_>) -> Result<Selection, SyntaxError> {
+    if datum.value().as_symbol() == Some("all") {
+        return Ok(Selection::All);
+    }
+    let expected = "all, (one NUMBER), (share SHARE) or (zone NUMBER)";
+    let form = split_form(datum, expected)?;
+    let value = form.single_number()?;
+    match form.name {
+        "one" => Ok(Selection::One(value as usize)),
+        "share" => Ok(Selection::Share(value)),
+        "zone" => Ok(Selection::Zone(value as usize)),
+        _ => Err(unexpected(datum, expected)),
+    }
+}
+
+fn first_selection(form: &Form<'_>) -> Result<Selection, SyntaxError> {
+    match form.items.first() {
+        Some(item) => read_selection(*item),
+        None => Err(unexpected(form.datum, "which servers or proxies")),
+    }
+}
+
+/// Reads a fault.
+pub fn read_fault(datum: Ref<'_>) -> Result<Fault, SyntaxError> {
+    let form = split_form(datum, "(FAULT ...)")?;
+    match form.name {
+        "kill-servers" => read_server_failure(&form, ServerState::Dead),
+        "hang-servers" => read_server_failure(&form, ServerState::Hung),
+        "silence-servers" => read_server_failure(&form, ServerState::Unresponsive),
+        "slow-servers" | "replace" | "by-hand" => read_server_fault(&form),
+        "upgrade" | "restart" | "kill" | "crash-loop" | "stall" | "reload" => read_proxy_fault(&form),
+        "link" => read_link_fault(&form),
+        "lag" => Ok(Fault::SlowReplication {
+            set: form.number_at(0)? as usize,
+            factor: form.number_at(1)?,
+            duration_s: form.number_at(2)?,
+        }),
+        "list-down" => Ok(Fault::DiscoveryDown { duration_s: form.number_at(0)? }),
+        "list-back" => Ok(Fault::DiscoveryRestored { backup_age_s: form.number_at(0)? }),
+        "burst" => Ok(Fault::Burst { factor: form.number_at(0)?, duration_s: form.number_at(1)? }),
+        _ => Err(unexpected(datum, "a fault")),
+    }
+}
+
+fn read_server_failure(form: &Form<'_>, state: ServerState) -> Result<Fault, SyntaxError> {
+    Ok(Fault::FailServers { servers: first_selection(form)?, state, duration_s: form.number_at(1)? })
+}
+
+fn read_server_fault(form: &Form<'_>) -> Result<Fault, SyntaxError> {
+    let servers = first_selection(form)?;
+    match form.name {
+        "slow-servers" => {
+            Ok(Fault::SlowServers { servers, factor: form.number_at(1)?, duration_s: form.number_at(2)? })
+        }
+        "replace" => Ok(Fault::ReplaceServers { servers, drain_s: form.number_at(1)? }),
+        _ => Ok(Fault::TakeOutOfService { servers, duration_s: form.number_at(1)? }),
+    }
+}
+
+fn read_proxy_fault(form: &Form<'_>) -> Result<Fault, SyntaxError> {
+    let proxies = first_selection(form)?;
+    match form.name {
+        "upgrade" => Ok(Fault::Upgrade { proxies }),
+        "reload" => Ok(Fault::Reload { proxies }),
+        "restart" => Ok(Fault::Restart { proxies, downtime_s: form.number_at(1)? }),
+        "kill" => Ok(Fault::Kill { proxies, downtime_s: form.number_at(1)? }),
+        "crash-loop" => {
+            Ok(Fault::CrashLoop { proxies, interval_s: form.number_at(1)?, duration_s: form.number_at(2)? })
+        }
+        _ => Ok(Fault::Pause { proxies, duration_s: form.number_at(1)? }),
+    }
+}
+
+/// Reads `(link PROXIES (servers WHICH) FAULT SECONDS)` or `(link PROXIES list FAULT SECONDS)`.
+fn read_link_fault(form: &Form<'_>) -> Result<Fault, SyntaxError> {
+    let [proxies, target, fault, duration] = form.items[..] else {
+        return Err(unexpected(form.datum, "(link PROXIES END FAULT SECONDS)"));
+    };
+    let target = read_link_target(target)?;
+    let fault = read_link_fault_kind(fault)?;
+    let proxies = read_selection(proxies)?;
+    Ok(Fault::Link { proxies, target, fault, duration_s: number(duration)? })
+}
+
+fn read_link_target(datum: Ref<'_>) -> Result<LinkTarget, SyntaxError> {
+    if datum.value().as_symbol() == Some("list") {
+        return Ok(LinkTarget::Discovery);
+    }
+    let expected = "list or (servers WHICH)";
+    let form = split_form(datum, expected)?;
+    match (form.name, &form.items[..]) {
+        ("servers", [servers]) => Ok(LinkTarget::Servers(read_selection(*servers)?)),
+        _ => Err(unexpected(datum, expected)),
+    }
+}
+
+fn read_link_fault_kind(datum: Ref<'_>) -> Result<LinkFault, SyntaxError> {
+    let expected = "cut, silent, deaf, reset or (slow MS)";
+    match datum.value().as_symbol() {
+        Some("cut") => return Ok(LinkFault::Cut),
+        Some("silent") => return Ok(LinkFault::Blackhole),
+        Some("deaf") => return Ok(LinkFault::DropResponses),
+        Some("reset") => return Ok(LinkFault::Reset),
+        _ => {}
+    }
+    let form = split_form(datum, expected)?;
+    match form.name {
+        "slow" => Ok(LinkFault::Delay(form.single_ms()?)),
+        _ => Err(unexpected(datum, expected)),
+    }
+}
--- /dev/null
+++ b/testkit/src/fleet/simulation/attempts.rs
@@ -0,0 +1,252 @@
+//! Attempts and health checks of a process: connections, sending, and how they end.
+
+use std::time::Duration;
+
+use pipittack_core::api::{
+    AttemptEnded, AttemptId, AttemptNumber, Consistency, Event, Outcome, PeerMessage, RequestId, ServerId,
+    ServerStatus, SessionTokens,
+};
+use rand::Rng;
+
+use super::super::fleet_model::{duration, START_S};
+use super::super::link_faults::{LinkEnd, LinkState};
+use super::super::rule_checker::FinalAnswer;
+use super::super::server_model::ServerState;
+use super::event_queue::{AttemptResult, SimulationEvent};
+use super::process::{IdleConnection, InFlightAttempt};
+use super::Simulation;
+
+impl Simulation {
+    pub(super) fn link_state(&self, process: usize, end: LinkEnd) -> LinkState {
+        self.fleet.link_state(self.processes[process].proxy, end, self.now)
+    }
+
+    /// One-way delay in s between a process and a server.
+    pub(super) fn one_way_delay(&self, process: usize, server: usize) -> f64 {
+        self.fleet.one_way_delay(self.processes[process].proxy, server, self.now)
+    }
+
+    /// Closes connections to a server, given by the incarnation that accepted each.
+    pub(super) fn close_connections(&mut self, server: usize, incarnations: impl IntoIterator<Item = u32>) {
+        let model = &mut self.fleet.site.servers[server].model;
+        let current = model.incarnation;
+        let closed = incarnations.into_iter().filter(|incarnation| *incarnation == current).count();
+        model.connections = model.connections.saturating_sub(closed);
+    }
+
+    /// Takes an idle connection to a server that is still open; false if there is none.
+    fn take_idle_connection(&mut self, process: usize, server: usize) -> bool {
+        let Some(idle) = self.processes[process].idle.get_mut(&server) else { return false };
+        let incarnation = self.fleet.site.servers[server].model.incarnation;
+        let oldest = self.now - self.fleet.plan.idle_timeout_s;
+        let is_stale = |c: &mut IdleConnection| c.incarnation != incarnation || c.idle_since < oldest;
+        let stale: Vec<_> = idle.extract_if(.., is_stale).collect();
+        let found = idle.pop().is_some();
+        self.close_connections(server, stale.iter().map(|connection| connection.incarnation));
+        found
+    }
+
+    /// Sends an attempt of a request to a server.
+    pub(super) fn send_attempt(
+        &mut self,
+        process: usize,
+        request: RequestId,
+        server: usize,
+        timeout: Duration,
+    ) {
+        let now = self.now;
+        let Some(open) = self.processes[process].open.get_mut(&request) else { return };
+        let id = AttemptId { request, number: AttemptNumber(open.attempts) };
+        open.attempts += 1;
+        let class = open.client.class;
+        let session = open.client.session;
+        let work_s = open.client.work_s;
+        let times_out_at = (now + timeout.as_secs_f64()).min(open.deadline);
+        let consistency = self.fleet.plan.settings.classes[class.0].consistency;
+        self.fleet.report.attempts += 1;
+        self.fleet.checker.attempt_sent(request.0, server, now);
+        if consistency != Consistency::Write && self.fleet.site.is_primary(server) {
+            self.fleet.report.reads_at_primaries += 1;
+        }
+        let reuses_connection = self.take_idle_connection(process, server);
+        let known = &self.processes[process].known;
+        let attempt = InFlightAttempt {
+            server,
+            incarnation: self.fleet.site.servers[server].model.incarnation,
+            class,
+            session,
+            sent_at: now,
+            work_s,
+            on_new_connection: !reuses_connection,
+            written: false,
+            fresh_until: match consistency {
+                Consistency::BoundedStaleness(max_age) => {
+                    let position = known.positions.get(&server).copied().flatten();
+                    position.map(|position| position + max_age.as_secs_f64())
+                }
+                _ => None,
+            },
+            may_read_stale: self.fleet.site.servers[server].was_primary
+                && !known.not_primary.contains(&server),
+        };
+        self.processes[process].in_flight.insert(id, attempt);
+        self.schedule(times_out_at, SimulationEvent::AttemptTimeout { process, id });
+        if reuses_connection {
+            let arrives_at = now + self.one_way_delay(process, server);
+            self.schedule(arrives_at, SimulationEvent::StatementReceived { process, id });
+        } else {
+            self.connect(process, id, server);
+        }
+    }
+
+    /// Opens a connection for an attempt.
+    fn connect(&mut self, process: usize, id: AttemptId, server: usize) {
+        let now = self.now;
+        let link = self.link_state(process, LinkEnd::Server(server));
+        let delay = self.one_way_delay(process, server);
+        let timeout = self.fleet.plan.settings.limits.connect_timeout.as_secs_f64();
+        let failed = SimulationEvent::AttemptEnds { process, id, result: Outcome::ConnectFailed.into() };
+        let state = self.fleet.site.servers[server].model.state;
+        if link.cut || state == ServerState::Dead || self.fleet.site.servers[server].removed {
+            return self.schedule(now + 2.0 * delay, failed);
+        }
+        if link.requests_dropped || state == ServerState::Unresponsive {
+            return self.schedule(now + timeout, failed);
+        }
+        if !self.fleet.open_connection(server, now) {
+            let result = Outcome::Rejected.into();
+            return self.schedule(now + 2.0 * delay, SimulationEvent::AttemptEnds { process, id, result });
+        }
+        let handshake_s = 2.0 * delay * self.fleet.plan.handshake_rtts;
+        if link.responses_dropped || handshake_s > timeout {
+            return self.schedule(now + timeout, failed);
+        }
+        self.schedule(now + handshake_s + delay, SimulationEvent::StatementReceived { process, id });
+    }
+
+    /// Ends an attempt whose timeout expires.
+    pub(super) fn attempt_times_out(&mut self, process: usize, id: AttemptId) {
+        let Some(attempt) = self.processes[process].in_flight.get(&id) else { return };
+        let outcome = if attempt.written { Outcome::Timeout } else { Outcome::ConnectFailed };
+        self.attempt_ends(process, id, outcome.into());
+    }
+
+    /// Ends an attempt; a paused process observes it when it resumes.
+    pub(super) fn attempt_ends(&mut self, process: usize, id: AttemptId, result: AttemptResult) {
+        let state = &mut self.processes[process];
+        if !state.alive {
+            return;
+        }
+        if state.paused_until > self.now {
+            let resumes_at = state.paused_until;
+            return self.schedule(resumes_at, SimulationEvent::AttemptEnds { process, id, result });
+        }
+        let Some(attempt) = state.in_flight.remove(&id) else { return };
+        let AttemptResult { outcome, status } = result;
+        self.fleet.report.attempt_ended(outcome);
+        self.fleet.checker.attempt_ended(id.request.0, id.number.0, outcome, attempt.sent_at);
+        self.release_connection(process, &attempt, outcome);
+        if let Some(status) = status {
+            self.learn_status(process, attempt.server, status);
+        }
+        let commit = status.and_then(|status| status.position).map(|position| position.as_secs_f64());
+        let served =
+            outcome == Outcome::Success && self.request_served(process, id.request, &attempt, commit);
+        let ended = AttemptEnded {
+            request: id.request,
+            attempt: id.number,
+            server: ServerId(attempt.server as u32),
+            outcome,
+            round_trip: duration(self.now - attempt.sent_at),
+            request_complete: served || !self.processes[process].open.contains_key(&id.request),
+            status,
+            load_report: None,
+        };
+        self.notify(process, Event::AttemptEnded(ended));
+    }
+
+    /// Returns the connection of an attempt to the idle ones, or closes it.
+    fn release_connection(&mut self, process: usize, attempt: &InFlightAttempt, outcome: Outcome) {
+        let reusable = match outcome {
+            Outcome::Success | Outcome::Misdirected | Outcome::ServerError | Outcome::NotSent => true,
+            Outcome::Rejected => attempt.written,
+            _ => false,
+        };
+        let incarnation = attempt.incarnation;
+        if reusable && self.fleet.site.servers[attempt.server].model.incarnation == incarnation {
+            let connection = IdleConnection { incarnation, idle_since: self.now };
+            self.processes[process].idle.entry(attempt.server).or_default().push(connection);
+        } else if !attempt.on_new_connection || attempt.written {
+            self.close_connections(attempt.server, [incarnation]);
+        }
+    }
+
+    /// Records what a process learns from the status of a server.
+    fn learn_status(&mut self, process: usize, server: usize, status: ServerStatus) {
+        let known = &mut self.processes[process].known;
+        let is_replica = status.primary == Some(false);
+        if is_replica {
+            known.not_primary.insert(server);
+        } else if status.primary == Some(true) {
+            known.not_primary.remove(&server);
+        }
+        let reported = status.position.map(|position| position.as_secs_f64());
+        let last = known.positions.get(&server).copied().flatten();
+        let newest = if last > reported { last } else { reported };
+        known.positions.insert(server, newest.filter(|_| is_replica));
+    }
+
+    /// Handles the successful end of an attempt; false if its request had ended before.
+    fn request_served(
+        &mut self,
+        process: usize,
+        request: RequestId,
+        attempt: &InFlightAttempt,
+        commit: Option<f64>,
+    ) -> bool {
+        let now = self.now;
+        let is_write = self.fleet.plan.settings.classes[attempt.class.0].consistency == Consistency::Write;
+        let commit = commit.filter(|_| is_write);
+        if let Some(commit) = commit {
+            let proxy = self.processes[process].proxy;
+            self.fleet.checker.write_acknowledged(proxy, attempt.session, commit);
+            if self.fleet.plan.settings.session_tokens == SessionTokens::Tracked {
+                let session = attempt.session.to_string();
+                self.send_to_peer(process, &PeerMessage::SessionWrite { session, commit });
+            }
+        }
+        let Some(open) = self.processes[process].open.remove(&request) else { return false };
+        let fleet = &mut self.fleet;
+        fleet.checker.request_answered(request.0, FinalAnswer::Other, now);
+        if let Some(commit) = commit {
+            fleet.workload.write_acknowledged(&open.client, commit, now);
+        }
+        let class = &fleet.plan.settings.classes[attempt.class.0];
+        fleet.report.request_served(&open.client, class, now, open.client.created_at - START_S);
+        let start = &mut fleet.report.starts[self.processes[process].start];
+        start.first_served.get_or_insert(now - START_S - start.at);
+        true
+    }
+
+    /// Sends a health check to a server.
+    pub(super) fn health_check(&mut self, process: usize, server: usize) {
+        self.fleet.report.health_checks += 1;
+        let now = self.now;
+        let delay = self.one_way_delay(process, server);
+        let timeout = self.fleet.plan.settings.limits.connect_timeout.as_secs_f64();
+        let link = self.link_state(process, LinkEnd::Server(server));
+        let failed = SimulationEvent::HealthChecked { process, server, ok: false, load_report: None };
+        let target = &mut self.fleet.site.servers[server];
+        if link.cut || target.model.state == ServerState::Dead || target.removed {
+            return self.schedule(now + 2.0 * delay, failed);
+        }
+        if !link.is_open() || matches!(target.model.state, ServerState::Unresponsive | ServerState::Hung) {
+            return self.schedule(now + timeout, failed);
+        }
+        let done_at = target.model.add_work(now, self.fleet.plan.health_check_work_s);
+        let age_s = self.fleet.plan.load_report_age_s * self.fleet.rng.random::<f64>();
+        let load_report = self.fleet.site.load_report(server, age_s, now);
+        let ok = SimulationEvent::HealthChecked { process, server, ok: true, load_report };
+        self.schedule(done_at + 2.0 * delay, ok);
+    }
+}
--- /dev/null
+++ b/testkit/src/fleet/simulation/clients.rs
@@ -0,0 +1,112 @@
+//! Clients that send requests to proxies, retry them and sometimes go away early.
+
+use pipittack_core::api::{Consistency, Event, GroupId, Request, RequestId, SessionTokens};
+use rand::Rng;
+
+use super::super::fleet_model::{duration, START_S};
+use super::super::rule_checker::AcceptedRequest;
+use super::super::workload::{ClientRequest, TryFailure};
+use super::event_queue::SimulationEvent;
+use super::process::OpenRequest;
+use super::Simulation;
+
+/// Share of the requests whose clients go away before their deadline.
+const CLIENT_GONE_SHARE: f64 = 0.02;
+/// Length of a statement.
+const STATEMENT_BYTES: u64 = 100;
+
+impl Simulation {
+    /// Sends the next new request of a proxy's clients, and schedules the one after it.
+    pub(super) fn next_request(&mut self, proxy: usize) {
+        if self.now > START_S + self.fleet.plan.duration_s {
+            return;
+        }
+        let factor = self.fleet.burst_factor(self.now);
+        let next = self.now + self.fleet.workload.next_interval(proxy, factor);
+        self.schedule(next, SimulationEvent::NextRequest { proxy });
+        let settings = &self.fleet.plan.settings;
+        let client = self.fleet.workload.draw_request(proxy, self.now, settings);
+        let class = &settings.classes[client.class.0];
+        self.fleet.report.request_offered(&client, class, client.created_at - START_S);
+        self.send_request(client);
+    }
+
+    /// Sends a try of a client's request to its proxy.
+    pub(super) fn send_request(&mut self, mut client: ClientRequest) {
+        client.tries += 1;
+        self.fleet.report.tries += 1;
+        let Some(process) = self.accepting_process(client.proxy) else {
+            return self.proxy_unreachable(client);
+        };
+        self.requests += 1;
+        let id = RequestId(self.requests);
+        let start = &mut self.fleet.report.starts[self.processes[process].start];
+        start.first_request.get_or_insert(self.now - START_S - start.at);
+        let token_commit = self.token_commit(&client);
+        let request = self.proxy_request(id, &client, token_commit);
+        self.fleet.checker.request_accepted(AcceptedRequest {
+            id: id.0,
+            proxy: client.proxy,
+            class: client.class,
+            session: client.session,
+            token_commit,
+            accepted_at: self.now,
+            deadline: client.deadline,
+        });
+        if self.fleet.rng.random::<f64>() < CLIENT_GONE_SHARE {
+            let at = self.now + (client.deadline - self.now) * self.fleet.rng.random::<f64>();
+            self.schedule(at, SimulationEvent::ClientGone { process, request: id });
+        }
+        let deadline = client.deadline;
+        self.processes[process].open.insert(id, OpenRequest { client, deadline, attempts: 0 });
+        self.notify(process, Event::Request(request));
+    }
+
+    /// The commit in the session token of a request, if its client sends one.
+    fn token_commit(&self, client: &ClientRequest) -> Option<f64> {
+        let settings = &self.fleet.plan.settings;
+        let clients_send_tokens = settings.session_tokens == SessionTokens::FromClient;
+        let causal = settings.classes[client.class.0].consistency == Consistency::Causal;
+        client.session_commit.filter(|_| clients_send_tokens && causal)
+    }
+
+    /// A client's request as its proxy receives it.
+    fn proxy_request(&self, id: RequestId, client: &ClientRequest, token_commit: Option<f64>) -> Request {
+        let consistency = self.fleet.plan.settings.classes[client.class.0].consistency;
+        let has_session = matches!(consistency, Consistency::Causal | Consistency::Write);
+        Request {
+            id,
+            class: client.class,
+            group: GroupId(client.set as u64),
+            tenant: None,
+            time_left: duration(client.deadline - self.now),
+            is_retry: client.tries > 1,
+            statement_bytes: STATEMENT_BYTES,
+            expected_work: None,
+            session: has_session.then(|| client.session.to_string()),
+            last_write_age: token_commit.map(|commit| duration(self.now - commit)),
+        }
+    }
+
+    /// Ends a try whose proxy accepts no requests.
+    pub(super) fn proxy_unreachable(&mut self, client: ClientRequest) {
+        self.fleet.report.unreachable += 1;
+        self.try_failed(client, TryFailure::Failed);
+    }
+
+    /// Ends the request of a client that goes away.
+    pub(super) fn client_gone(&mut self, process: usize, id: RequestId) {
+        if self.processes[process].open.remove(&id).is_some() {
+            self.fleet.checker.request_abandoned(id.0);
+            self.notify(process, Event::ClientGone(id));
+        }
+    }
+
+    /// Ends a try that was not served, and schedules a retry if the client makes one.
+    pub(super) fn try_failed(&mut self, client: ClientRequest, failure: TryFailure) {
+        let class = &self.fleet.plan.settings.classes[client.class.0];
+        if let Some(at) = self.fleet.workload.retry_at(&client, class, failure, self.now) {
+            self.schedule(at, SimulationEvent::Retry(client));
+        }
+    }
+}
--- /dev/null
+++ b/testkit/src/fleet/simulation/lifecycle.rs
@@ -0,0 +1,177 @@
+//! Starts, hot restarts, shutdowns and kills of proxy processes.
+
+use std::ops::Range;
+
+use pipittack_core::api::{EndpointUpdate, Event, ServerId};
+use pipittack_core::RoutingEngine;
+use rand::Rng;
+
+use super::super::plan::CachedList;
+use super::event_queue::SimulationEvent;
+use super::process::Process;
+use super::Simulation;
+
+/// Time in s from the signal to shut down until a process stops accepting requests.
+const ACCEPT_GRACE_PERIOD_S: f64 = 1.8;
+/// Time in s from the signal to shut down until a process is killed.
+const SHUTDOWN_TIMEOUT_S: f64 = 3.7;
+/// Minimum time in s from the kill of a process that shuts down until the next start.
+const MIN_RESTART_DELAY_S: f64 = 0.1;
+/// Time in s from the start of a successor until it takes over.
+const TAKE_OVER_DELAY_S: Range<f64> = 0.02..0.4;
+/// Time in s for which a process accepts requests beside its successor.
+const OVERLAP_S: f64 = 0.45;
+/// Interval in s at which a process that shuts down checks whether it is idle.
+const EXIT_CHECK_INTERVAL_S: f64 = 0.05;
+/// Time in s from a kill in a crash loop until the next start.
+const CRASH_LOOP_DOWNTIME_S: f64 = 0.1;
+
+impl Simulation {
+    /// Creates a process of a proxy, with a version of the endpoint list if it has one cached.
+    fn spawn(&mut self, proxy: usize, list_version: Option<usize>) -> usize {
+        let seed = self.fleet.rng.random();
+        let router = RoutingEngine::new(self.fleet.proxy_settings(proxy), seed)
+            .expect("the plan's settings are valid");
+        let start = self.fleet.record_start(self.now);
+        self.processes.push(Process::new(proxy, router, start, list_version));
+        let process = self.processes.len() - 1;
+        self.proxies[proxy].push(process);
+        for server in self.out_of_service.clone() {
+            self.notify(process, Event::TakenOutOfService(ServerId(server as u32)));
+        }
+        if let Some(version) = list_version {
+            let endpoints = self.fleet.site.discovery.full_list(version);
+            self.learn_starts(process, &endpoints);
+            self.notify(process, Event::Endpoints(EndpointUpdate::Cached(endpoints)));
+        }
+        self.schedule_step(process);
+        process
+    }
+
+    /// Starts a process of a proxy that accepts requests at once.
+    pub(super) fn start_process(&mut self, proxy: usize) {
+        let process = self.spawn(proxy, self.fleet.cached_versions[proxy]);
+        self.processes[process].accepting = true;
+    }
+
+    /// Starts a hot restart: a successor starts beside the present process, and takes over a little later.
+    pub(super) fn upgrade(&mut self, proxy: usize) {
+        let Some(old) = self.accepting_process(proxy) else { return };
+        let paused = self.processes[old].paused_until > self.now;
+        let alive = self.proxies[proxy].iter().filter(|process| self.processes[**process].alive).count();
+        if paused || alive > 1 {
+            return;
+        }
+        self.step(old);
+        let snapshot = self.processes[old].router.snapshot();
+        let new = self.spawn(proxy, self.processes[old].list_version);
+        self.notify(new, Event::SnapshotReceived(Box::new(snapshot)));
+        self.processes[new].known = self.processes[old].known.clone();
+        let at = self.now + self.fleet.rng.random_range(TAKE_OVER_DELAY_S);
+        self.schedule(at, SimulationEvent::TakeOver { process: new });
+    }
+
+    /// A successor accepts requests from now on, and the old process shuts down.
+    pub(super) fn take_over(&mut self, new: usize) {
+        self.processes[new].accepting = true;
+        let proxy = self.processes[new].proxy;
+        let old_processes: Vec<_> =
+            self.proxies[proxy].iter().copied().filter(|process| *process != new).collect();
+        for old in old_processes {
+            let kill_at = self.now + SHUTDOWN_TIMEOUT_S;
+            self.schedule(self.now + OVERLAP_S, SimulationEvent::StopAccepting { process: old });
+            self.schedule(self.now + OVERLAP_S, SimulationEvent::AwaitExit { process: old, kill_at });
+        }
+    }
+
+    /// Shuts down the processes of a proxy gracefully, and starts a new one later.
+    pub(super) fn restart(&mut self, proxy: usize, downtime_s: f64) {
+        if self.proxies[proxy].is_empty() {
+            return;
+        }
+        for process in self.proxies[proxy].clone() {
+            let stop_at = self.now + ACCEPT_GRACE_PERIOD_S;
+            let kill_at = self.now + SHUTDOWN_TIMEOUT_S;
+            self.schedule(stop_at, SimulationEvent::StopAccepting { process });
+            self.schedule(stop_at, SimulationEvent::AwaitExit { process, kill_at });
+        }
+        let start_at = self.now + downtime_s.max(SHUTDOWN_TIMEOUT_S + MIN_RESTART_DELAY_S);
+        self.schedule(start_at, SimulationEvent::StartProcess { proxy });
+    }
+
+    /// Ends a process that has no open requests or has reached its deadline.
+    pub(super) fn await_exit(&mut self, process: usize, kill_at: f64) {
+        let state = &self.processes[process];
+        if !state.alive {
+            return;
+        }
+        if state.open.is_empty() || self.now >= kill_at {
+            return self.exit(process);
+        }
+        let next_check = self.now + EXIT_CHECK_INTERVAL_S;
+        self.schedule(next_check, SimulationEvent::AwaitExit { process, kill_at });
+    }
+
+    /// Ends a process. Its connections close, and its open requests fail.
+    fn exit(&mut self, process: usize) {
+        let state = &mut self.processes[process];
+        if !std::mem::replace(&mut state.alive, false) {
+            return;
+        }
+        state.accepting = false;
+        state.events.clear();
+        let proxy = state.proxy;
+        let open = std::mem::take(&mut state.open);
+        let in_flight = std::mem::take(&mut state.in_flight);
+        let idle = std::mem::take(&mut state.idle);
+        let cached_version = &mut self.fleet.cached_versions[proxy];
+        *cached_version = match self.fleet.plan.cached_list {
+            CachedList::Absent => None,
+            _ => state.list_version.or(*cached_version),
+        };
+        for (server, connections) in idle {
+            self.close_connections(server, connections.iter().map(|connection| connection.incarnation));
+        }
+        for attempt in in_flight.into_values() {
+            self.close_connections(attempt.server, [attempt.incarnation]);
+        }
+        for (id, open) in open {
+            self.fleet.checker.request_abandoned(id.0);
+            self.proxy_unreachable(open.client);
+        }
+        self.proxies[proxy].retain(|other| *other != process);
+    }
+
+    /// Kills the processes of a proxy, and starts a new one later.
+    pub(super) fn kill(&mut self, proxy: usize, downtime_s: f64) {
+        if self.proxies[proxy].is_empty() {
+            return;
+        }
+        for process in self.proxies[proxy].clone() {
+            self.exit(process);
+        }
+        self.schedule(self.now + downtime_s, SimulationEvent::StartProcess { proxy });
+    }
+
+    /// Kills a proxy now and again after each interval, until a time.
+    pub(super) fn crash_loop(&mut self, proxy: usize, interval_s: f64, until: f64) {
+        self.kill(proxy, CRASH_LOOP_DOWNTIME_S);
+        if self.now < until {
+            let event = SimulationEvent::CrashLoop { proxy, interval_s, until };
+            self.schedule(self.now + interval_s, event);
+        }
+    }
+
+    /// A process of a proxy that accepts requests; a random one if there are two.
+    pub(super) fn accepting_process(&mut self, proxy: usize) -> Option<usize> {
+        let accepting: Vec<_> = self.proxies[proxy]
+            .iter()
+            .copied()
+            .filter(|process| self.processes[*process].accepting)
+            .collect();
+        if accepting.is_empty() {
+            return None;
+        }
+        Some(accepting[self.fleet.rng.random_range(0..accepting.len())])
+    }
+}
--- /dev/null
+++ b/testkit/src/fleet/simulation/servers.rs
@@ -0,0 +1,163 @@
+//! Execution of attempts at the modelled servers, and their responses.
+
+use pipittack_core::api::{AttemptId, Consistency, Outcome, ServerStatus};
+
+use super::super::link_faults::LinkEnd;
+use super::super::rule_checker::ReplicaRead;
+use super::super::server_model::ServerState;
+use super::super::site::{Completion, IncomingRequest, RequestAdmission};
+use super::event_queue::{AttemptResult, Execution, SimulationEvent};
+use super::Simulation;
+
+/// Tolerance in s when the start times of a server are compared.
+const START_TOLERANCE_S: f64 = 1e-6;
+
+impl Simulation {
+    /// Handles the arrival of an attempt's statement at its server.
+    pub(super) fn statement_received(&mut self, process: usize, id: AttemptId) {
+        let now = self.now;
+        let Some(attempt) = self.processes[process].in_flight.get(&id) else { return };
+        let server = attempt.server;
+        let delay = self.one_way_delay(process, server);
+        // The connection took so long that the data may be too old: the attempt ends without being sent.
+        if attempt.fresh_until.is_some_and(|until| now - delay > until) {
+            return self.attempt_ends(process, id, Outcome::NotSent.into());
+        }
+        if self.link_state(process, LinkEnd::Server(server)).requests_dropped {
+            return;
+        }
+        let model = &self.fleet.site.servers[server].model;
+        if model.incarnation != attempt.incarnation || model.state == ServerState::Dead {
+            let outcome = if attempt.on_new_connection { Outcome::ConnectFailed } else { Outcome::Reset };
+            let result = outcome.into();
+            return self.schedule(now + delay, SimulationEvent::AttemptEnds { process, id, result });
+        }
+        let execution = Execution {
+            process,
+            id,
+            server,
+            incarnation: attempt.incarnation,
+            class: attempt.class,
+            sent_at: attempt.sent_at,
+            work_s: attempt.work_s,
+            may_read_stale: attempt.may_read_stale,
+        };
+        if let Some(attempt) = self.processes[process].in_flight.get_mut(&id) {
+            attempt.written = true;
+        }
+        self.fleet.checker.statement_written(id.request.0, server, now - delay);
+        self.admit(execution);
+    }
+
+    /// Has a server admit an attempt.
+    fn admit(&mut self, execution: Execution) {
+        let Execution { process, server, id, .. } = execution;
+        let request = IncomingRequest {
+            class: execution.class,
+            work_s: execution.work_s,
+            sender_informed: self.is_informed_of_start(process, server),
+        };
+        match self.fleet.site.admit(server, request, self.now) {
+            RequestAdmission::NoResponse => {}
+            RequestAdmission::NotPrimary => self.respond(process, server, id, Outcome::Misdirected, None),
+            RequestAdmission::Rejected => self.respond(process, server, id, Outcome::Rejected, None),
+            RequestAdmission::Crashed { informed_share } => {
+                self.fleet.checker.server_crashed(server, informed_share, self.now);
+                let mut effects = Vec::new();
+                self.fleet.site.crash(server, self.now, &mut effects);
+                self.handle_effects(effects);
+            }
+            RequestAdmission::Executing { starts_at, ends_at } => {
+                self.schedule(starts_at, SimulationEvent::ExecutionStarts(execution));
+                self.schedule(ends_at, SimulationEvent::ExecutionEnds(execution));
+            }
+        }
+    }
+
+    /// Whether a process has been informed of the last start of a server.
+    fn is_informed_of_start(&self, process: usize, server: usize) -> bool {
+        let Some(started_at) = self.fleet.site.servers[server].model.started_at else { return true };
+        let known = self.processes[process].known.started_at.get(&server).copied().unwrap_or(0.0);
+        known + START_TOLERANCE_S > started_at
+    }
+
+    /// Sends a server's response, unless the link drops it.
+    fn respond(
+        &mut self,
+        process: usize,
+        server: usize,
+        id: AttemptId,
+        outcome: Outcome,
+        status: Option<ServerStatus>,
+    ) {
+        let arrives_at = self.now + self.one_way_delay(process, server);
+        let status = status.unwrap_or_else(|| self.fleet.site.status(server, self.now));
+        if !self.link_state(process, LinkEnd::Server(server)).responses_dropped {
+            let result = AttemptResult { outcome, status: Some(status) };
+            self.schedule(arrives_at, SimulationEvent::AttemptEnds { process, id, result });
+        }
+    }
+
+    /// Whether a server still works on an execution.
+    fn is_executing(&self, execution: &Execution) -> bool {
+        let model = &self.fleet.site.servers[execution.server].model;
+        model.incarnation == execution.incarnation && model.state == ServerState::Up
+    }
+
+    /// A server starts an execution, and reads its data.
+    pub(super) fn execution_starts(&mut self, execution: Execution) {
+        if !self.is_executing(&execution) {
+            return;
+        }
+        let Execution { process, server, id, class, work_s, .. } = execution;
+        let position = self.fleet.site.start_execution(server, class, work_s, self.now);
+        let Some(position) = position else { return };
+        if self.processes[process].in_flight.contains_key(&id) {
+            let read = ReplicaRead {
+                request: id.request.0,
+                sent_at: execution.sent_at,
+                position,
+                may_read_stale: execution.may_read_stale,
+            };
+            self.fleet.checker.read_executed(read, self.now);
+        }
+    }
+
+    /// A server ends an execution, and responds.
+    pub(super) fn execution_ends(&mut self, execution: Execution) {
+        if !self.is_executing(&execution) {
+            return;
+        }
+        let Execution { process, server, id, class, .. } = execution;
+        let Completion { outcome, status } = self.fleet.site.finish_execution(server, class, self.now);
+        let is_write = self.fleet.plan.settings.classes[class.0].consistency == Consistency::Write;
+        if is_write && outcome == Outcome::Success {
+            self.fleet.checker.write_executed(id.request.0, class, self.now);
+        }
+        self.respond(process, server, id, outcome, Some(status));
+    }
+
+    /// The process of a server has exited: its connections are reset, unless their links drop the resets.
+    pub(super) fn server_exited(&mut self, server: usize, incarnation: u32) {
+        for process in 0..self.processes.len() {
+            let in_flight = self.processes[process].in_flight.iter();
+            let affected: Vec<_> = in_flight
+                .filter(|(_, attempt)| attempt.server == server && attempt.incarnation == incarnation)
+                .map(|(id, attempt)| (*id, attempt.written))
+                .collect();
+            if affected.is_empty() || self.link_state(process, LinkEnd::Server(server)).responses_dropped {
+                continue;
+            }
+            let at = self.now + self.one_way_delay(process, server);
+            for (id, written) in affected {
+                self.schedule_reset(process, id, written, at);
+            }
+        }
+    }
+
+    /// Schedules the end of an attempt whose connection is reset.
+    pub(super) fn schedule_reset(&mut self, process: usize, id: AttemptId, written: bool, at: f64) {
+        let outcome = if written { Outcome::Reset } else { Outcome::ConnectFailed };
+        self.schedule(at, SimulationEvent::AttemptEnds { process, id, result: outcome.into() });
+    }
+}
--- a/testkit/src/fleet/site.rs
+++ b/testkit/src/fleet/site.rs
@@ -1,142 +1,187 @@
-//! The data servers of a site, the copies that they keep, and what the list service is told of them.
+//! The data servers of a trial, their replica sets, and the discovery service that lists them.
 //!
-//! Owns every server's machine, who is primary of each set, and the list. It is moved by a time and a call, so that gateways
-//! which are stepped and processes on sockets meet the same servers; what follows later it gives back as
-//! [`Effect`]s. It must never know who asks, but for whether they had been told of a cold start.
+//! Owns the model of each server, the replica sets and the discovery model. Its methods take the present time
+//! and have no clock and no I/O, so the stepped simulation and the trial with processes share it.
+//! Consequences that come later are returned as [`Effect`]s.
 
-use std::time::Duration;
+mod operations;
 
-use pipittack_core::api::*;
+use pipittack_core::api::{
+    ClassId, Consistency, Endpoint, EndpointState, GroupId, ListedRole, LoadReport, LoadReports,
+    MachineKindId, Outcome, ServerId, ServerStatus, ZoneId,
+};
 
-use super::copies::Copies;
-use super::directory::Directory;
-use super::machine::{Arrival, Machine, State};
-use super::plan::{Plan, Remembered};
+use super::discovery_model::{DiscoveryModel, Publication};
+use super::fleet_model::duration;
+use super::plan::{CachedList, Plan};
+use super::replication::ReplicaSet;
+use super::server_model::{Arrival, ServerModel, ServerState};
 
 /// A server.
 #[derive(Debug)]
 pub struct Server {
-    /// Its machine.
-    pub machine: Machine,
-    /// Its set, and its place there.
+    /// Its model.
+    pub model: ServerModel,
+    /// Its replica set.
     pub set: usize,
-    /// See `set`.
-    pub place: usize,
-    /// Where it stands.
+    /// Its index among the members of the set.
+    pub member: usize,
+    /// Its zone.
     pub zone: usize,
-    /// It takes nothing new.
-    pub drains: bool,
-    /// It is not coming back.
-    pub gone: bool,
-    /// It has been the primary of its set.
+    /// It drains and accepts no new requests.
+    pub draining: bool,
+    /// It was removed for good.
+    pub removed: bool,
+    /// It is or was the primary of its set.
     pub was_primary: bool,
 }
 
-/// What follows from a call, for the caller to see to.
+/// A consequence of a call that the caller has to handle.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Effect {
-    /// The list service hears of this version at this time, and tells it then.
-    Listed(usize, f64),
-    /// A server's process ended in this life: what waited for it, and its connections, end.
-    Died(usize, u32),
-    /// A set chooses a primary at this time.
-    Elects(usize, f64),
+    /// The discovery service publishes a new version of the list.
+    Published(Publication),
+    /// The process of a server exited. The requests and connections of this incarnation end.
+    ServerExited {
+        /// The server.
+        server: usize,
+        /// The incarnation that ended.
+        incarnation: u32,
+    },
+    /// A replica set elects a primary at a time.
+    ElectionDue {
+        /// The set.
+        set: usize,
+        /// The time.
+        at: f64,
+    },
 }
 
-/// What becomes of a request that reaches a server.
+/// What happens to a request that reaches a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Taken {
-    /// Turned away untouched: not the primary.
-    Miss,
-    /// Turned away unseen.
-    Full,
-    /// It pushed its server over, a part of that by proxies that knew of its start.
-    Fell(f64),
-    /// Worked on from the one time to the other.
-    Runs(f64, f64),
-    /// Nothing is said.
-    Nothing,
+pub enum RequestAdmission {
+    /// Rejected, because a write needs the primary.
+    NotPrimary,
+    /// Rejected by the queue limit or by a drain.
+    Rejected,
+    /// The request overloaded the server, which crashes.
+    Crashed {
+        /// The share of the load from proxies that were informed of the server's start.
+        informed_share: f64,
+    },
+    /// It is executed between these times.
+    Executing {
+        /// When the execution starts.
+        starts_at: f64,
+        /// When the execution ends.
+        ends_at: f64,
+    },
+    /// The server does not answer.
+    NoResponse,
 }
 
-/// How a request that was worked on ends.
+/// A request that reaches a server.
+#[derive(Debug, Clone, Copy)]
+pub struct IncomingRequest {
+    /// Its class.
+    pub class: ClassId,
+    /// Its work in s.
+    pub work_s: f64,
+    /// Its sender was informed of the last start of the server.
+    pub sender_informed: bool,
+}
+
+/// The end of an execution.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Done {
-    /// Served, or an error where its server had been deposed.
+pub struct Completion {
+    /// Success, or an error if the server is no longer primary.
     pub outcome: Outcome,
-    /// What the answer says of the server; of a write that went through, its commit.
-    pub note: ServerStatus,
+    /// The status in the response. The position of a successful write is its commit.
+    pub status: ServerStatus,
 }
 
-/// The site.
+/// The servers, replica sets and discovery service of a trial.
 #[derive(Debug)]
 pub struct Site {
-    /// The servers, in the order of their ids.
+    /// The servers by their ids.
     pub servers: Vec<Server>,
-    /// The list service.
-    pub list: Directory,
-    copies: Vec<Copies>,
+    /// The discovery service.
+    pub discovery: DiscoveryModel,
+    /// Servers that crashed on overload while they warmed up.
+    pub overload_crashes: usize,
+    replica_sets: Vec<ReplicaSet>,
     plan: Plan,
-    /// The most that a cold server was sent, as a part of what pushes it over.
-    pub cold_most: f64,
-    /// Cold servers that fell over.
-    pub fell: usize,
+    /// The largest overload ratio of server processes that have exited.
+    past_overload_ratio: f64,
 }
 
-fn time(seconds: f64) -> Duration {
-    Duration::from_secs_f64(seconds.max(0.0))
-}
+/// Time in s after which a failed election is repeated.
+const ELECTION_RETRY_INTERVAL_S: f64 = 0.5;
 
 impl Site {
-    /// The site of a plan, at its start.
+    /// The site of a plan at the start of the trial.
     pub fn new(plan: &Plan, start: f64) -> Self {
+        let replica_set = || ReplicaSet::new(plan.members, plan.replication, start);
         let mut site = Self {
             servers: Vec::new(),
-            list: Directory::new(plan.service, Vec::new()),
-            copies: (0..plan.sets).map(|_| Copies::new(plan.members, plan.copies, start)).collect(),
+            discovery: DiscoveryModel::new(plan.discovery, Vec::new()),
+            overload_crashes: 0,
+            replica_sets: (0..plan.sets).map(|_| replica_set()).collect(),
             plan: plan.clone(),
-            cold_most: 0.0,
-            fell: 0,
+            past_overload_ratio: 0.0,
         };
         for set in 0..plan.sets {
-            for place in 0..plan.members {
-                let mut machine = Machine::new(plan.machine);
-                if plan.cold {
-                    machine.start(start);
+            for member in 0..plan.members {
+                let mut model = ServerModel::new(plan.server);
+                if plan.cold_start {
+                    model.start(start);
                 }
-                site.add(machine, set, place, (set + place) % plan.zones);
+                site.add_server(model, set, member, (set + member) % plan.zones);
             }
         }
-        let present = site.servers.len();
-        let entries: Vec<_> = (0..present).map(|server| site.entry(server)).collect();
-        match plan.remembered {
-            Remembered::Nothing | Remembered::Fresh => site.list = Directory::new(plan.service, entries),
-            Remembered::Old(share) => {
-                // Each so manyth of what was there has gone since, and one that is there now has come.
-                let every = (1.0 / share.clamp(0.01, 1.0)).round() as usize;
-                let (mut old, mut changes) = (Vec::new(), Vec::new());
-                for (server, entry) in entries.into_iter().enumerate() {
-                    if server % every > 0 {
-                        old.push(entry);
-                        continue;
-                    }
-                    let (set, zone) = (site.servers[server].set, site.servers[server].zone);
-                    let mut machine = Machine::new(plan.machine);
-                    machine.die();
-                    let past = site.add(machine, set, usize::MAX, zone);
-                    old.push(site.entry(past));
-                    site.servers[past].gone = true;
-                    changes.extend([site.entry(past), entry]);
-                }
-                site.list = Directory::new(plan.service, old);
-                site.list.had_changed(changes);
+        match plan.cached_list {
+            CachedList::Absent | CachedList::Current => {
+                site.discovery = DiscoveryModel::new(plan.discovery, site.endpoints());
             }
+            CachedList::Outdated { replaced_share } => site.publish_after_outdated_list(replaced_share),
         }
         site
     }
 
-    fn add(&mut self, machine: Machine, set: usize, place: usize, zone: usize) -> usize {
-        let (drains, gone, was_primary) = (false, false, place == 0);
-        self.servers.push(Server { machine, set, place, zone, drains, gone, was_primary });
+    /// Publishes an outdated list first, in which a share of the servers is missing and others are listed
+    /// instead.
+    fn publish_after_outdated_list(&mut self, replaced_share: f64) {
+        let replaced_every = (1.0 / replaced_share.clamp(0.01, 1.0)).round() as usize;
+        let mut outdated = Vec::new();
+        let mut changes = Vec::new();
+        for (server, endpoint) in self.endpoints().into_iter().enumerate() {
+            if server % replaced_every > 0 {
+                outdated.push(endpoint);
+                continue;
+            }
+            let mut model = ServerModel::new(self.plan.server);
+            model.exit();
+            let former =
+                self.add_server(model, self.servers[server].set, usize::MAX, self.servers[server].zone);
+            outdated.push(self.endpoint(former));
+            self.servers[former].removed = true;
+            changes.push(self.endpoint(former));
+            changes.push(endpoint);
+        }
+        self.discovery = DiscoveryModel::new(self.plan.discovery, outdated);
+        self.discovery.record_past_changes(changes);
+    }
+
+    fn add_server(&mut self, model: ServerModel, set: usize, member: usize, zone: usize) -> usize {
+        self.servers.push(Server {
+            model,
+            set,
+            member,
+            zone,
+            draining: false,
+            removed: false,
+            was_primary: member == 0,
+        });
         self.servers.len() - 1
     }
 
@@ -145,247 +190,142 @@
         self.servers.iter().map(|server| server.zone).collect()
     }
 
-    /// The version of the list that a process starts with.
-    pub fn remembered(&self, now: f64) -> Option<usize> {
-        match self.plan.remembered {
-            Remembered::Nothing => None,
-            Remembered::Fresh => Some(self.list.version(now)),
-            Remembered::Old(_) => Some(0),
+    /// The version of the endpoint list that a process has cached at its first start.
+    pub fn initial_list_version(&self, now: f64) -> Option<usize> {
+        match self.plan.cached_list {
+            CachedList::Absent => None,
+            CachedList::Current => Some(self.discovery.version(now)),
+            CachedList::Outdated { .. } => Some(0),
         }
     }
 
     /// Whether a server is the primary of its set.
     pub fn is_primary(&self, server: usize) -> bool {
-        let s = &self.servers[server];
-        self.copies[s.set].primary() == Some(s.place)
+        let server = &self.servers[server];
+        self.replica_sets[server.set].primary() == Some(server.member)
+    }
+
+    fn is_write(&self, class: ClassId) -> bool {
+        self.plan.settings.classes[class.0].consistency == Consistency::Write
+    }
+
+    fn reported_position(&mut self, server: usize, now: f64) -> f64 {
+        let server = &self.servers[server];
+        self.replica_sets[server.set].reported_position(server.member, now)
     }
 
-    /// What a server says of itself.
-    pub fn note(&mut self, server: usize, now: f64) -> ServerStatus {
-        let (set, place) = (self.servers[server].set, self.servers[server].place);
-        let primary = self.copies[set].primary() == Some(place);
-        let position =
-            self.plan.settings.responses_carry_position.then(|| time(self.copies[set].told(place, now)));
-        ServerStatus { position, primary: Some(primary) }
+    /// The status that a server sends with its responses.
+    pub fn status(&mut self, server: usize, now: f64) -> ServerStatus {
+        let primary = Some(self.is_primary(server));
+        let position = if self.plan.settings.responses_carry_position {
+            Some(duration(self.reported_position(server, now)))
+        } else {
+            None
+        };
+        ServerStatus { position, primary }
     }
 
-    /// What a probe brings back that was seen so many s ago, where servers report on themselves.
-    pub fn report(&mut self, server: usize, age: f64, now: f64) -> Option<LoadReport> {
+    /// The load report in a health check's response, collected some time before; none if servers send no
+    /// reports.
+    pub fn load_report(&mut self, server: usize, age_s: f64, now: f64) -> Option<LoadReport> {
         if self.plan.settings.load_reports == LoadReports::Never {
             return None;
         }
-        let (set, place) = (self.servers[server].set, self.servers[server].place);
-        let primary = self.copies[set].primary() == Some(place);
-        // What a replica had some time ago is no more than what it has now, less that time.
-        let position = self.copies[set].told(place, now) - age;
-        Some(LoadReport { position: Some(time(position)), primary: Some(primary), ..LoadReport::default() })
+        let primary = Some(self.is_primary(server));
+        // The position at that time was at most the present one less the age.
+        let position = Some(duration(self.reported_position(server, now) - age_s));
+        Some(LoadReport { position, primary, ..LoadReport::default() })
     }
 
-    /// A request reaches a server, from one who was told of its last start or was not.
-    pub fn take(&mut self, server: usize, class: ClassId, work_s: f64, told: bool, now: f64) -> Taken {
-        let write = self.plan.settings.classes[class.0].consistency == Consistency::Write;
+    /// Handles the arrival of a request at a server.
+    pub fn admit(&mut self, server: usize, request: IncomingRequest, now: f64) -> RequestAdmission {
+        let needs_primary = self.is_write(request.class);
         let primary = self.is_primary(server);
-        let s = &mut self.servers[server];
-        if s.machine.state != State::Up {
-            return Taken::Nothing;
+        let server = &mut self.servers[server];
+        if server.model.state != ServerState::Up {
+            return RequestAdmission::NoResponse;
         }
-        if s.drains {
-            return Taken::Full;
+        if server.draining {
+            return RequestAdmission::Rejected;
         }
-        if write && !primary {
-            return Taken::Miss;
+        if needs_primary && !primary {
+            return RequestAdmission::NotPrimary;
         }
-        match s.machine.arrive(now, work_s, told) {
-            Arrival::Full => Taken::Full,
-            Arrival::Runs(begins, ends) => Taken::Runs(begins, ends),
-            Arrival::Fell(told) => {
-                self.fell += 1;
-                Taken::Fell(told)
+        match server.model.arrive(now, request.work_s, request.sender_informed) {
+            Arrival::Rejected => RequestAdmission::Rejected,
+            Arrival::Executing { starts_at, ends_at } => RequestAdmission::Executing { starts_at, ends_at },
+            Arrival::Crashed { informed_share } => {
+                self.overload_crashes += 1;
+                RequestAdmission::Crashed { informed_share }
             }
         }
     }
 
-    /// A server begins to work on a request: gives how far it has applied the log, where it is a replica.
-    pub fn begin(&mut self, server: usize, class: ClassId, work_s: f64, now: f64) -> Option<f64> {
+    /// Starts the execution of a request. Returns the position of the server if it is a replica.
+    pub fn start_execution(&mut self, server: usize, class: ClassId, work_s: f64, now: f64) -> Option<f64> {
         if self.is_primary(server) {
             return None;
         }
-        let s = &self.servers[server];
-        let (set, place) = (s.set, s.place);
-        let position = self.copies[set].position(place, now);
-        if self.plan.load.kinds[class.0].blocks {
-            let took = work_s * s.machine.slow / (self.plan.machine.speed * s.machine.share(now));
-            self.copies[set].block(place, now, now + took);
+        let server = &self.servers[server];
+        let replica_set = &mut self.replica_sets[server.set];
+        let position = replica_set.position(server.member, now);
+        if self.plan.workload.class_loads[class.0].blocks_replication {
+            let speed = self.plan.server.speed * server.model.capacity_share(now);
+            let time_s = work_s * server.model.slowdown / speed;
+            replica_set.block(server.member, now, now + time_s);
         }
         Some(position)
     }
 
-    /// A server has done it.
-    pub fn finish(&mut self, server: usize, class: ClassId, now: f64) -> Done {
-        let write = self.plan.settings.classes[class.0].consistency == Consistency::Write;
-        let mut note = self.note(server, now);
-        if !write {
-            return Done { outcome: Outcome::Success, note };
+    /// Ends the execution of a request.
+    pub fn finish_execution(&mut self, server: usize, class: ClassId, now: f64) -> Completion {
+        let mut status = self.status(server, now);
+        if !self.is_write(class) {
+            return Completion { outcome: Outcome::Success, status };
         }
         if !self.is_primary(server) {
-            return Done { outcome: Outcome::ServerError, note };
+            return Completion { outcome: Outcome::ServerError, status };
         }
-        self.copies[self.servers[server].set].commit(now);
-        note.position = Some(time((now * 1e3).ceil() / 1e3));
-        Done { outcome: Outcome::Success, note }
+        self.replica_sets[self.servers[server].set].commit(now);
+        // Commits are rounded up to milliseconds, so that a reported position never claims one that is
+        // missing.
+        status.position = Some(duration((now * 1e3).ceil() / 1e3));
+        Completion { outcome: Outcome::Success, status }
     }
 
-    /// A server's entry as it stands.
-    pub fn entry(&self, server: usize) -> Endpoint {
-        let s = &self.servers[server];
-        let head = match self.plan.settings.listed_role {
-            ListedRole::Static => s.place == 0,
-            ListedRole::Delayed => self.is_primary(server),
+    /// The endpoint of a server in its present state.
+    pub fn endpoint(&self, server: usize) -> Endpoint {
+        let index = server;
+        let server = &self.servers[index];
+        let listed_primary = match self.plan.settings.listed_role {
+            ListedRole::Static => server.member == 0,
+            ListedRole::Delayed => self.is_primary(index),
             ListedRole::Absent => false,
         };
-        let health = match (s.gone, s.drains) {
+        let state = match (server.removed, server.draining) {
             (true, _) => EndpointState::Removed,
             (_, true) => EndpointState::Draining,
             _ => EndpointState::Healthy,
         };
         Endpoint {
-            server: ServerId(server as u32),
-            zone: ZoneId(s.zone),
+            server: ServerId(index as u32),
+            zone: ZoneId(server.zone),
             machine_kind: MachineKindId(0),
-            group: GroupId(s.set as u64),
-            listed_primary: head,
-            state: health,
+            group: GroupId(server.set as u64),
+            listed_primary,
+            state,
             relative_capacity: 1.0,
-            started_at: s.machine.started.map(time),
-        }
-    }
-
-    fn changed(&mut self, server: usize, now: f64, effects: &mut Vec<Effect>) {
-        let entry = self.entry(server);
-        let (version, heard) = self.list.changed(now, entry);
-        effects.push(Effect::Listed(version, heard));
-    }
-
-    /// A server stops to work, in one way or another.
-    pub fn strike(&mut self, server: usize, state: State, now: f64, effects: &mut Vec<Effect>) -> bool {
-        if self.servers[server].machine.state != State::Up || self.servers[server].gone {
-            return false;
+            started_at: server.model.started_at.map(duration),
         }
-        match state {
-            State::Dead => self.dies(server, now, effects),
-            other => {
-                self.servers[server].machine.state = other;
-                self.loses(server, now, effects);
-            }
-        }
-        true
-    }
-
-    /// Its process starts anew, cold.
-    pub fn revive(&mut self, server: usize, now: f64, effects: &mut Vec<Effect>) {
-        if self.servers[server].gone {
-            return;
-        }
-        let life = self.servers[server].machine.life;
-        self.servers[server].machine.start(now);
-        effects.push(Effect::Died(server, life));
-        self.changed(server, now, effects);
     }
 
-    /// The operators restart a server that they have out; the list does not tell.
-    pub fn restart(&mut self, server: usize, now: f64, effects: &mut Vec<Effect>) {
-        let life = self.servers[server].machine.life;
-        self.servers[server].machine.start(now);
-        effects.push(Effect::Died(server, life));
-        self.loses(server, now, effects);
-    }
-
-    /// A server takes nothing new, and hands over if it is the primary.
-    pub fn drain(&mut self, server: usize, now: f64, effects: &mut Vec<Effect>) -> bool {
-        if self.servers[server].drains || self.servers[server].gone {
-            return false;
-        }
-        self.servers[server].drains = true;
-        self.changed(server, now, effects);
-        if self.is_primary(server) {
-            let set = self.servers[server].set;
-            self.copies[set].lose_primary(now);
-            effects.push(Effect::Elects(set, now + self.plan.copies.switch_s));
-        }
-        true
-    }
-
-    /// A server that drained goes for good, and a new one joins its set, cold and behind.
-    pub fn replace(&mut self, server: usize, now: f64, effects: &mut Vec<Effect>) -> usize {
-        self.servers[server].gone = true;
-        self.dies(server, now, effects);
-        self.changed(server, now, effects);
-        let (set, zone) = (self.servers[server].set, self.servers[server].zone);
-        let place = self.copies[set].members();
-        let mut machine = Machine::new(self.plan.machine);
-        machine.start(now);
-        self.copies[set].renew(place, now, self.plan.seed_s);
-        let new = self.add(machine, set, place, zone);
-        self.changed(new, now, effects);
-        new
-    }
-
-    /// A server is so many times slower than usual.
-    pub fn slow(&mut self, server: usize, times: f64) {
-        self.servers[server].machine.slow = times;
-    }
-
-    /// Replicas of a set apply so many times slower than usual.
-    pub fn lag(&mut self, set: usize, times: f64) {
-        let set = set % self.copies.len();
-        self.copies[set].slow = times;
-    }
-
-    /// A cold server was pushed over by the last request.
-    pub fn falls(&mut self, server: usize, now: f64, effects: &mut Vec<Effect>) {
-        self.dies(server, now, effects);
-    }
-
-    fn dies(&mut self, server: usize, now: f64, effects: &mut Vec<Effect>) {
-        let machine = &mut self.servers[server].machine;
-        self.cold_most = self.cold_most.max(machine.pushed);
-        let life = machine.life;
-        machine.die();
-        effects.push(Effect::Died(server, life));
-        self.loses(server, now, effects);
-    }
-
-    /// If it was the primary of its set, another one takes over after a while.
-    fn loses(&mut self, server: usize, now: f64, effects: &mut Vec<Effect>) {
-        if self.is_primary(server) {
-            let set = self.servers[server].set;
-            self.copies[set].lose_primary(now);
-            let takes = self.plan.copies.detect_s + self.plan.copies.elect_s;
-            effects.push(Effect::Elects(set, now + takes));
-        }
-    }
-
-    /// A set without a primary chooses one, or tries again soon.
-    pub fn elect(&mut self, set: usize, now: f64, effects: &mut Vec<Effect>) {
-        if self.copies[set].primary().is_some() {
-            return;
-        }
-        let able = |s: &Server| s.machine.state == State::Up && !s.gone && !s.drains;
-        let places: Vec<usize> =
-            self.servers.iter().filter(|s| s.set == set && able(s)).map(|s| s.place).collect();
-        let Some(place) = self.copies[set].elect(now, |place| places.contains(&place)) else {
-            return effects.push(Effect::Elects(set, now + 0.5));
-        };
-        let chosen = self.servers.iter().position(|s| s.set == set && s.place == place);
-        let chosen = chosen.expect("it was found among them");
-        self.servers[chosen].was_primary = true;
-        if self.plan.settings.listed_role == ListedRole::Delayed {
-            self.changed(chosen, now, effects);
-        }
+    fn endpoints(&self) -> Vec<Endpoint> {
+        (0..self.servers.len()).map(|server| self.endpoint(server)).collect()
     }
 
-    /// The most that any cold server was sent, as a part of what pushes it over.
-    pub fn pushed_most(&self) -> f64 {
-        self.servers.iter().map(|s| s.machine.pushed).fold(self.cold_most, f64::max)
+    /// The largest overload ratio of any server that warmed up; a server crashes above 1.
+    pub fn max_overload_ratio(&self) -> f64 {
+        let ratios = self.servers.iter().map(|server| server.model.max_overload_ratio);
+        ratios.fold(self.past_overload_ratio, f64::max)
     }
 }
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -3,17 +3,17 @@
 
 use std::path::Path;
 
-use pipittack_testkit::fleet::live::{play, Place};
+use pipittack_testkit::fleet::process_trial::{run, TrialPaths};
 use pipittack_testkit::fleet::scenario;
 
 #[test]
 fn no_read_misses_what_its_session_wrote_through_upgrades_and_restarts() {
     let plan = scenario::read(include_str!("../testkit/scenarios/sessions.scm")).expect("a sound script");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("sessions-{}", std::process::id()));
-    let place = Place { program: env!("CARGO_BIN_EXE_pipittack").into(), folder };
+    let paths = TrialPaths { program: env!("CARGO_BIN_EXE_pipittack").into(), folder };
     let proxies = plan.proxies;
-    let report = play(plan, &place).expect("the trial can be played");
-    assert_eq!(report.broken, Vec::<String>::new(), "the logs are in {}", place.folder.display());
+    let report = run(plan, &paths).expect("the trial can be played");
+    assert_eq!(report.violations, Vec::<String>::new(), "the logs are in {}", paths.folder.display());
     assert_eq!(report.starts.len(), 5 * proxies, "each was replaced twice, and restarted twice");
     assert!(report.served > 0.4 * report.offered, "{} of {}", report.served, report.offered);
 }
