--- a/testkit/src/fleet/fleet_model.rs
+++ b/testkit/src/fleet/fleet_model.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use pipittack_core::api::{Settings, ZoneId};
+use pipittack_core::api::{ClassId, Consistency, SessionTokens, Settings, ZoneId};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -15,11 +15,20 @@
 use super::report::{ProcessStart, Report};
 use super::rule_checker::RuleChecker;
 use super::site::Site;
-use super::workload::Workload;
+use super::workload::{ClientRequest, TryFailure, Workload};
 
 /// Time at which a trial begins. It leaves room for times before the start, which must not be negative.
 pub const START_S: f64 = 1000.0;
 
+/// Time in s from the start of a proxy until its clients send requests.
+pub const FIRST_REQUEST_DELAY_S: f64 = 0.05;
+/// Time in s from the signal to shut down until a process is killed.
+pub const SHUTDOWN_TIMEOUT_S: f64 = 3.7;
+/// Time in s from a kill in a crash loop until the next start.
+pub const CRASH_LOOP_DOWNTIME_S: f64 = 0.1;
+/// Tolerance in s when the start times of a server are compared.
+const START_TOLERANCE_S: f64 = 1e-6;
+
 /// Converts seconds to a duration; negative values become zero.
 pub fn duration(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.max(0.0))
@@ -150,6 +159,46 @@
         model.connect(now)
     }
 
+    /// Whether the requests of a class are writes.
+    pub fn is_write(&self, class: ClassId) -> bool {
+        self.plan.settings.classes[class.0].consistency == Consistency::Write
+    }
+
+    /// Whether a proxy that knows this start time of a server has been informed of its last start.
+    pub fn is_informed_of_start(&self, server: usize, known_start: Option<f64>) -> bool {
+        let Some(started_at) = self.site.servers[server].model.started_at else { return true };
+        known_start.unwrap_or(0.0) + START_TOLERANCE_S > started_at
+    }
+
+    /// Draws a new request of a proxy's clients.
+    pub fn create_request(&mut self, proxy: usize, now: f64) -> ClientRequest {
+        let settings = &self.plan.settings;
+        let client = self.workload.draw_request(proxy, now, settings);
+        let class = &settings.classes[client.class.0];
+        self.report.request_offered(&client, class, client.created_at - START_S);
+        client
+    }
+
+    /// The commit in the session token of a request, if its client sends one.
+    pub fn token_commit(&self, client: &ClientRequest) -> Option<f64> {
+        let settings = &self.plan.settings;
+        let clients_send_tokens = settings.session_tokens == SessionTokens::FromClient;
+        let causal = settings.classes[client.class.0].consistency == Consistency::Causal;
+        client.session_commit.filter(|_| clients_send_tokens && causal)
+    }
+
+    /// When a client tries a request again, if it does.
+    pub fn retry_at(&self, client: &ClientRequest, failure: TryFailure, now: f64) -> Option<f64> {
+        let class = &self.plan.settings.classes[client.class.0];
+        self.workload.retry_at(client, class, failure, now)
+    }
+
+    /// Records that a request was served.
+    pub fn request_served(&mut self, client: &ClientRequest, now: f64) {
+        let class = &self.plan.settings.classes[client.class.0];
+        self.report.request_served(client, class, now, client.created_at - START_S);
+    }
+
     /// Records the start of a process, and returns its index in the report.
     pub fn record_start(&mut self, now: f64) -> usize {
         self.report.starts.push(ProcessStart { at: now - START_S, ..ProcessStart::default() });
--- a/testkit/src/fleet/process_trial/clients.rs
+++ b/testkit/src/fleet/process_trial/clients.rs
@@ -5,7 +5,6 @@
 
 use std::time::Duration;
 
-use pipittack_core::api::{Consistency, SessionTokens};
 use tokio::task::spawn_local;
 
 use super::super::fleet_model::START_S;
@@ -64,14 +63,7 @@
             return;
         }
         clock.sleep_until(clock.now() + interval).await;
-        let request = shared.with(|trial| {
-            let fleet = &mut trial.fleet;
-            let settings = &fleet.plan.settings;
-            let request = fleet.workload.draw_request(proxy, clock.now(), settings);
-            let class = &settings.classes[request.class.0];
-            fleet.report.request_offered(&request, class, request.created_at - START_S);
-            request
-        });
+        let request = shared.with(|trial| trial.fleet.create_request(proxy, clock.now()));
         spawn_local(run_request(shared.clone(), request));
     }
 }
@@ -82,10 +74,7 @@
     loop {
         request.tries += 1;
         let Err(failure) = run_try(&shared, &request).await else { return };
-        let retry_at = shared.with(|trial| {
-            let class = &trial.fleet.plan.settings.classes[request.class.0];
-            trial.fleet.workload.retry_at(&request, class, failure, clock.now())
-        });
+        let retry_at = shared.with(|trial| trial.fleet.retry_at(&request, failure, clock.now()));
         let Some(retry_at) = retry_at else { return };
         clock.sleep_until(retry_at).await;
     }
@@ -141,11 +130,7 @@
     trial.fleet.report.tries += 1;
     trial.requests += 1;
     let id = trial.requests;
-    let settings = &trial.fleet.plan.settings;
-    let consistency = settings.classes[request.class.0].consistency;
-    let sends_token =
-        settings.session_tokens == SessionTokens::FromClient && consistency == Consistency::Causal;
-    let token_commit = request.session_commit.filter(|_| sends_token);
+    let token_commit = trial.fleet.token_commit(request);
     let after = token_commit
         .map_or(String::new(), |commit| format!(",after={:.0}", trial.clock.to_unix_ms(commit).ceil()));
     let time_left_ms = ((request.deadline - trial.clock.now()) * 1e3).max(1.0);
@@ -154,7 +139,7 @@
     let set = request.set;
     let session = request.session;
     let comment = format!("/* id={id:x},c={class},d={time_left_ms:.0},cluster={set}{after}{retry} */");
-    let text = if consistency == Consistency::Write {
+    let text = if trial.fleet.is_write(request.class) {
         format!(r"INSERT INTO objects (oid, body) VALUES ('{session:x}', '\x00') RETURNING body {comment}")
     } else {
         format!("SELECT body FROM objects WHERE oid = '{session:x}' {comment}")
@@ -201,8 +186,7 @@
         let description = format!("request {id}: served with the response of another request");
         fleet.checker.report_violation(now, Rule::AnswerInTime, description);
     }
-    let class = &fleet.plan.settings.classes[request.class.0];
-    fleet.report.request_served(request, class, now, request.created_at - START_S);
+    fleet.request_served(request, now);
     if let Some(start) = trial.start_report(request.proxy) {
         start.first_served.get_or_insert(now - START_S - start.at);
     }
--- a/testkit/src/fleet/process_trial/faults.rs
+++ b/testkit/src/fleet/process_trial/faults.rs
@@ -2,15 +2,13 @@
 
 use tokio::task::spawn_local;
 
+use super::super::fleet_model::CRASH_LOOP_DOWNTIME_S;
 use super::super::link_faults::{LinkEnd, LinkFault};
 use super::super::plan::{Fault, LinkTarget, Selection};
 use super::admin::{self, ServiceState};
 use super::state::{LinkReset, SharedTrial};
 use super::{lifecycle, server_connections};
 
-/// Time in s from a kill in a crash loop until the next start.
-const CRASH_LOOP_DOWNTIME_S: f64 = 0.1;
-
 fn select_servers(shared: &SharedTrial, servers: Selection) -> Vec<usize> {
     shared.with(|trial| servers.resolve(&trial.fleet.site.zones(), &mut trial.fleet.rng))
 }
--- a/testkit/src/fleet/process_trial/lifecycle.rs
+++ b/testkit/src/fleet/process_trial/lifecycle.rs
@@ -6,6 +6,7 @@
 use serde_json::json;
 use tokio::task::spawn_local;
 
+use super::super::fleet_model::SHUTDOWN_TIMEOUT_S;
 use super::state::{SharedTrial, TrialState};
 use super::{admin, clients, discovery_service, proxy_config};
 
@@ -13,8 +14,6 @@
 const READY_TIMEOUT_S: f64 = 6.0;
 /// Interval of the checks whether a process is ready or has exited.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time in s from the signal to shut down until a process is killed.
-const SHUTDOWN_TIMEOUT_S: f64 = 3.7;
 /// Time in s from that signal until the load balancer sends the proxy no more requests.
 const BALANCER_DELAY_S: f64 = 0.4;
 /// Maximum number of descriptors of a process.
--- a/testkit/src/fleet/process_trial/mod.rs
+++ b/testkit/src/fleet/process_trial/mod.rs
@@ -25,7 +25,7 @@
 use rand::Rng;
 use tokio::task::{spawn_local, LocalSet};
 
-use super::fleet_model::START_S;
+use super::fleet_model::{FIRST_REQUEST_DELAY_S, START_S};
 use super::plan::Plan;
 use super::report::Report;
 use process_table::ProcessTable;
@@ -33,8 +33,6 @@
 
 /// Time in s after the last request in which all are answered.
 const SETTLE_S: f64 = 9.0;
-/// Time in s from the start of a proxy until its clients send requests.
-const FIRST_REQUEST_DELAY_S: f64 = 0.05;
 
 /// The program, and where a trial may write.
 #[derive(Debug, Clone)]
--- a/testkit/src/fleet/process_trial/server_execution.rs
+++ b/testkit/src/fleet/process_trial/server_execution.rs
@@ -1,6 +1,6 @@
 //! Execution of statements at the modelled servers, and their responses on the wire.
 
-use pipittack_core::api::{ClassId, Consistency, Outcome, ServerStatus};
+use pipittack_core::api::{ClassId, Outcome, ServerStatus};
 use rand::Rng;
 use tokio::task::spawn_local;
 
@@ -13,8 +13,6 @@
 
 /// Time in s in which a proxy is expected to process a response.
 const RESPONSE_PROCESSING_S: f64 = 0.1;
-/// Tolerance in s when the start times of a server are compared.
-const START_TOLERANCE_S: f64 = 1e-6;
 /// The statement of a health check.
 const HEALTH_CHECK: &str = "SELECT 1";
 /// The statement of a health check with a load report.
@@ -142,26 +140,19 @@
     trial.fleet.site.servers[server].was_primary && !informed
 }
 
-/// Whether a proxy has been informed of the last start of a server.
-fn is_informed_of_start(trial: &TrialState, proxy: usize, server: usize) -> bool {
-    let Some(started_at) = trial.fleet.site.servers[server].model.started_at else { return true };
-    let known = trial.known_starts.get(&(proxy, server)).copied().unwrap_or(0.0);
-    known + START_TOLERANCE_S > started_at
-}
-
 impl Attempt {
     /// Has the server admit the attempt.
     fn admit(&self, proxy: usize) -> RequestAdmission {
         self.shared.with(|trial| {
+            let known_start = trial.known_starts.get(&(proxy, self.server)).copied();
             let request = IncomingRequest {
                 class: self.class,
                 work_s: self.work_s,
-                sender_informed: is_informed_of_start(trial, proxy, self.server),
+                sender_informed: trial.fleet.is_informed_of_start(self.server, known_start),
             };
             let fleet = &mut trial.fleet;
             fleet.report.attempts += 1;
-            let is_write = fleet.plan.settings.classes[self.class.0].consistency == Consistency::Write;
-            if !is_write && fleet.site.is_primary(self.server) {
+            if !fleet.is_write(self.class) && fleet.site.is_primary(self.server) {
                 fleet.report.reads_at_primaries += 1;
             }
             fleet.checker.attempt_sent(self.request, self.server, self.sent_at);
@@ -255,8 +246,7 @@
             let now = trial.clock.now();
             let fleet = &mut trial.fleet;
             let completion = fleet.site.finish_execution(self.server, self.class, now);
-            let is_write = fleet.plan.settings.classes[self.class.0].consistency == Consistency::Write;
-            if is_write && completion.outcome == Outcome::Success {
+            if fleet.is_write(self.class) && completion.outcome == Outcome::Success {
                 fleet.checker.write_executed(self.request, self.class, now);
                 if let Some(commit) = completion.status.position {
                     trial.commits.insert(self.request, commit.as_secs_f64());
--- a/testkit/src/fleet/rule_checker/tests.rs
+++ b/testkit/src/fleet/rule_checker/tests.rs
@@ -93,13 +93,39 @@
     checker.attempt_sent(1, 4, 1.1);
 }
 
+/// Sends an attempt that ends with an outcome, and a retry, and answers the request.
+fn retry_after(outcome: Outcome) -> impl FnOnce(&mut RuleChecker) {
+    move |c: &mut RuleChecker| {
+        send(c);
+        c.attempt_ended(1, 0, outcome, 1.1);
+        c.attempt_sent(1, 5, 1.2);
+        answer(c);
+    }
+}
+
 #[test]
-fn each_violation_is_found_and_nothing_else() {
+fn a_request_needs_one_final_answer_in_time() {
     assert_eq!(violations(READ, answer), []);
     assert_eq!(violations(READ, |_| ()), [Rule::AnswerInTime]);
     assert_eq!(violations(READ, |c| c.request_answered(1, FinalAnswer::Other, 3.2)), [Rule::AnswerInTime]);
-    assert_eq!(violations(READ, |c| (answer(c), answer(c)).0), [Rule::AnswerInTime]);
-    assert_eq!(violations(READ, |c| (answer(c), send(c)).0), [Rule::AnswerInTime]);
+    assert_eq!(
+        violations(READ, |c| {
+            answer(c);
+            answer(c)
+        }),
+        [Rule::AnswerInTime]
+    );
+    assert_eq!(
+        violations(READ, |c| {
+            answer(c);
+            send(c)
+        }),
+        [Rule::AnswerInTime]
+    );
+}
+
+#[test]
+fn a_stale_read_is_a_violation_unless_the_proxy_could_not_know() {
     let read = |position, may_read_stale| {
         move |c: &mut RuleChecker| {
             send(c);
@@ -110,6 +136,10 @@
     assert_eq!(violations(READ, read(0.9, false)), []);
     assert_eq!(violations(READ, read(0.89, false)), [Rule::NoStaleRead]);
     assert_eq!(violations(READ, read(0.89, true)), []);
+}
+
+#[test]
+fn a_draining_server_receives_no_statements_after_the_grace_period() {
     let written_to_draining = |at: f64| {
         move |c: &mut RuleChecker| {
             c.endpoint_listed(0, 4, EndpointState::Draining, 0.5);
@@ -119,24 +149,30 @@
     };
     assert_eq!(violations(READ, written_to_draining(1.5)), []);
     assert_eq!(violations(READ, written_to_draining(1.6)), [Rule::NoRequestsToDraining]);
-    let retry_after = |outcome| {
-        move |c: &mut RuleChecker| {
-            send(c);
-            c.attempt_ended(1, 0, outcome, 1.1);
-            c.attempt_sent(1, 5, 1.2);
-            answer(c);
-        }
-    };
+}
+
+#[test]
+fn a_write_that_may_have_been_executed_is_not_repeated() {
     assert_eq!(violations(WRITE, retry_after(Outcome::Rejected)), []);
     assert_eq!(violations(WRITE, retry_after(Outcome::Reset)), [Rule::NoDuplicateExecution]);
     assert_eq!(violations(READ, retry_after(Outcome::Reset)), []);
     let rejected = |c: &mut RuleChecker| c.request_answered(1, FinalAnswer::Rejected, 2.0);
-    assert_eq!(violations(WRITE, |c| (send(c), rejected(c)).0), [Rule::NoDuplicateExecution]);
+    assert_eq!(
+        violations(WRITE, |c| {
+            send(c);
+            rejected(c)
+        }),
+        [Rule::NoDuplicateExecution]
+    );
     let executed_twice = |c: &mut RuleChecker| {
         (0..2).for_each(|_| c.write_executed(1, WRITE, 2.0));
         answer(c);
     };
     assert_eq!(violations(WRITE, executed_twice), [Rule::NoDuplicateExecution]);
+}
+
+#[test]
+fn the_number_of_attempts_is_limited() {
     let two_attempts = |c: &mut RuleChecker| {
         retry_after(Outcome::Rejected)(c);
         c.attempt_ended(1, 1, Outcome::Rejected, 1.2);
--- a/testkit/src/fleet/simulation/attempts.rs
+++ b/testkit/src/fleet/simulation/attempts.rs
@@ -205,8 +205,7 @@
         commit: Option<f64>,
     ) -> bool {
         let now = self.now;
-        let is_write = self.fleet.plan.settings.classes[attempt.class.0].consistency == Consistency::Write;
-        let commit = commit.filter(|_| is_write);
+        let commit = commit.filter(|_| self.fleet.is_write(attempt.class));
         if let Some(commit) = commit {
             let proxy = self.processes[process].proxy;
             self.fleet.checker.write_acknowledged(proxy, attempt.session, commit);
@@ -221,8 +220,7 @@
         if let Some(commit) = commit {
             fleet.workload.write_acknowledged(&open.client, commit, now);
         }
-        let class = &fleet.plan.settings.classes[attempt.class.0];
-        fleet.report.request_served(&open.client, class, now, open.client.created_at - START_S);
+        fleet.request_served(&open.client, now);
         let start = &mut fleet.report.starts[self.processes[process].start];
         start.first_served.get_or_insert(now - START_S - start.at);
         true
--- a/testkit/src/fleet/simulation/clients.rs
+++ b/testkit/src/fleet/simulation/clients.rs
@@ -1,6 +1,6 @@
 //! Clients that send requests to proxies, retry them and sometimes go away early.
 
-use pipittack_core::api::{Consistency, Event, GroupId, Request, RequestId, SessionTokens};
+use pipittack_core::api::{Consistency, Event, GroupId, Request, RequestId};
 use rand::Rng;
 
 use super::super::fleet_model::{duration, START_S};
@@ -24,10 +24,7 @@
         let factor = self.fleet.burst_factor(self.now);
         let next = self.now + self.fleet.workload.next_interval(proxy, factor);
         self.schedule(next, SimulationEvent::NextRequest { proxy });
-        let settings = &self.fleet.plan.settings;
-        let client = self.fleet.workload.draw_request(proxy, self.now, settings);
-        let class = &settings.classes[client.class.0];
-        self.fleet.report.request_offered(&client, class, client.created_at - START_S);
+        let client = self.fleet.create_request(proxy, self.now);
         self.send_request(client);
     }
 
@@ -42,7 +39,7 @@
         let id = RequestId(self.requests);
         let start = &mut self.fleet.report.starts[self.processes[process].start];
         start.first_request.get_or_insert(self.now - START_S - start.at);
-        let token_commit = self.token_commit(&client);
+        let token_commit = self.fleet.token_commit(&client);
         let request = self.proxy_request(id, &client, token_commit);
         self.fleet.checker.request_accepted(AcceptedRequest {
             id: id.0,
@@ -62,14 +59,6 @@
         self.notify(process, Event::Request(request));
     }
 
-    /// The commit in the session token of a request, if its client sends one.
-    fn token_commit(&self, client: &ClientRequest) -> Option<f64> {
-        let settings = &self.fleet.plan.settings;
-        let clients_send_tokens = settings.session_tokens == SessionTokens::FromClient;
-        let causal = settings.classes[client.class.0].consistency == Consistency::Causal;
-        client.session_commit.filter(|_| clients_send_tokens && causal)
-    }
-
     /// A client's request as its proxy receives it.
     fn proxy_request(&self, id: RequestId, client: &ClientRequest, token_commit: Option<f64>) -> Request {
         let consistency = self.fleet.plan.settings.classes[client.class.0].consistency;
@@ -104,8 +93,7 @@
 
     /// Ends a try that was not served, and schedules a retry if the client makes one.
     pub(super) fn try_failed(&mut self, client: ClientRequest, failure: TryFailure) {
-        let class = &self.fleet.plan.settings.classes[client.class.0];
-        if let Some(at) = self.fleet.workload.retry_at(&client, class, failure, self.now) {
+        if let Some(at) = self.fleet.retry_at(&client, failure, self.now) {
             self.schedule(at, SimulationEvent::Retry(client));
         }
     }
--- a/testkit/src/fleet/simulation/lifecycle.rs
+++ b/testkit/src/fleet/simulation/lifecycle.rs
@@ -6,6 +6,7 @@
 use pipittack_core::RoutingEngine;
 use rand::Rng;
 
+use super::super::fleet_model::{CRASH_LOOP_DOWNTIME_S, SHUTDOWN_TIMEOUT_S};
 use super::super::plan::CachedList;
 use super::event_queue::SimulationEvent;
 use super::process::Process;
@@ -13,8 +14,6 @@
 
 /// Time in s from the signal to shut down until a process stops accepting requests.
 const ACCEPT_GRACE_PERIOD_S: f64 = 1.8;
-/// Time in s from the signal to shut down until a process is killed.
-const SHUTDOWN_TIMEOUT_S: f64 = 3.7;
 /// Minimum time in s from the kill of a process that shuts down until the next start.
 const MIN_RESTART_DELAY_S: f64 = 0.1;
 /// Time in s from the start of a successor until it takes over.
@@ -23,8 +22,6 @@
 const OVERLAP_S: f64 = 0.45;
 /// Interval in s at which a process that shuts down checks whether it is idle.
 const EXIT_CHECK_INTERVAL_S: f64 = 0.05;
-/// Time in s from a kill in a crash loop until the next start.
-const CRASH_LOOP_DOWNTIME_S: f64 = 0.1;
 
 impl Simulation {
     /// Creates a process of a proxy, with a version of the endpoint list if it has one cached.
--- a/testkit/src/fleet/simulation/mod.rs
+++ b/testkit/src/fleet/simulation/mod.rs
@@ -17,7 +17,7 @@
 
 use rand::Rng;
 
-use super::fleet_model::{FleetModel, START_S};
+use super::fleet_model::{FleetModel, FIRST_REQUEST_DELAY_S, START_S};
 use super::plan::Plan;
 use super::report::Report;
 use super::site::Effect;
@@ -25,8 +25,6 @@
 use pipittack_core::api::{Event, ServerId};
 use process::Process;
 
-/// Time in s from the start of a proxy until its clients send requests.
-const FIRST_REQUEST_DELAY_S: f64 = 0.05;
 /// Time in s after the last request in which the simulation ends.
 const SETTLE_S: f64 = 10.0;
 /// Interval in s at which old accounts are removed, and their minimum age.
--- a/testkit/src/fleet/simulation/servers.rs
+++ b/testkit/src/fleet/simulation/servers.rs
@@ -1,6 +1,6 @@
 //! Execution of attempts at the modelled servers, and their responses.
 
-use pipittack_core::api::{AttemptId, Consistency, Outcome, ServerStatus};
+use pipittack_core::api::{AttemptId, Outcome, ServerStatus};
 
 use super::super::link_faults::LinkEnd;
 use super::super::rule_checker::ReplicaRead;
@@ -9,9 +9,6 @@
 use super::event_queue::{AttemptResult, Execution, SimulationEvent};
 use super::Simulation;
 
-/// Tolerance in s when the start times of a server are compared.
-const START_TOLERANCE_S: f64 = 1e-6;
-
 impl Simulation {
     /// Handles the arrival of an attempt's statement at its server.
     pub(super) fn statement_received(&mut self, process: usize, id: AttemptId) {
@@ -52,10 +49,11 @@
     /// Has a server admit an attempt.
     fn admit(&mut self, execution: Execution) {
         let Execution { process, server, id, .. } = execution;
+        let known_start = self.processes[process].known.started_at.get(&server).copied();
         let request = IncomingRequest {
             class: execution.class,
             work_s: execution.work_s,
-            sender_informed: self.is_informed_of_start(process, server),
+            sender_informed: self.fleet.is_informed_of_start(server, known_start),
         };
         match self.fleet.site.admit(server, request, self.now) {
             RequestAdmission::NoResponse => {}
@@ -74,13 +72,6 @@
         }
     }
 
-    /// Whether a process has been informed of the last start of a server.
-    fn is_informed_of_start(&self, process: usize, server: usize) -> bool {
-        let Some(started_at) = self.fleet.site.servers[server].model.started_at else { return true };
-        let known = self.processes[process].known.started_at.get(&server).copied().unwrap_or(0.0);
-        known + START_TOLERANCE_S > started_at
-    }
-
     /// Sends a server's response, unless the link drops it.
     fn respond(
         &mut self,
@@ -130,8 +121,7 @@
         }
         let Execution { process, server, id, class, .. } = execution;
         let Completion { outcome, status } = self.fleet.site.finish_execution(server, class, self.now);
-        let is_write = self.fleet.plan.settings.classes[class.0].consistency == Consistency::Write;
-        if is_write && outcome == Outcome::Success {
+        if self.fleet.is_write(class) && outcome == Outcome::Success {
             self.fleet.checker.write_executed(id.request.0, class, self.now);
         }
         self.respond(process, server, id, outcome, Some(status));
