--- /dev/null
+++ b/tests/configuration.rs
@@ -0,0 +1,145 @@
+//! The configuration: errors at the start, reloads, and signals during the start.
+
+mod support;
+
+use std::io::Write;
+
+use pipittack_testkit::scripted_discovery::{full_list, ScriptedDiscovery};
+use pipittack_testkit::scripted_server::{ScriptedServer, ServerRole};
+use rstest::rstest;
+use support::*;
+
+#[rstest]
+#[case::not_json("{", "not a configuration")]
+#[case::no_settings(
+    r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1"}"#,
+    "missing field `settings`"
+)]
+#[case::bad_address(&EXAMPLE_CONFIG.replace("127.0.0.1:5433", "here"), "socket address")]
+#[case::bad_seed(&EXAMPLE_CONFIG.replace("8c1f30d27a5be964", "seed"), "seed")]
+#[case::bad_figure(&EXAMPLE_CONFIG.replace("0.27", "7"), "initial capacity share")]
+#[case::no_sockets(&EXAMPLE_CONFIG.replace("1024", "8"), "limits.sockets")]
+fn an_invalid_configuration_is_reported_on_one_line(#[case] config: &str, #[case] expected: &str) {
+    let output = serve_command(config).0.output().expect("the program runs");
+    let message = String::from_utf8_lossy(&output.stderr);
+    assert!(
+        !output.status.success() && message.lines().count() == 1 && message.contains(expected),
+        "{message}"
+    );
+}
+
+/// SIGHUP follows a new discovery address and keeps all else. An invalid file changes nothing.
+#[test]
+fn a_reload_changes_discovery_and_keeps_connections() {
+    let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
+    let endpoints = [server.endpoint("a", "read-write", "Ready")];
+    let proxy = start_proxy(&endpoints);
+    let mut client = Client::connect(&proxy);
+    assert_eq!(message_kinds(&client.request(&write_statement(3000))), "TDCZ");
+    let old = std::fs::read_to_string(&proxy.config).expect("it was written");
+    std::fs::write(&proxy.config, "{").expect("a writable folder");
+    proxy.signal("HUP");
+    assert!(proxy.wait_for_log("configuration").contains("WARN"));
+    assert_eq!(message_kinds(&client.request(&write_statement(3000))), "TDCZ");
+    let next = ScriptedDiscovery::start(full_list(5, &endpoints));
+    let new = old.replace(&proxy.discovery.address.to_string(), &next.address.to_string());
+    std::fs::write(&proxy.config, new).expect("a writable folder");
+    proxy.signal("HUP");
+    let request_line = next.request_lines.recv_timeout(TEST_TIMEOUT).expect("a request");
+    assert_eq!(request_line, "GET /v1/endpoints?watch=1&from=1 HTTP/1.1");
+    assert_eq!(message_kinds(&client.request(&write_statement(3000))), "TDCZ");
+}
+
+/// A class that a reload drops is rejected, and a new one is served under its own rules.
+#[test]
+fn a_reload_takes_the_complete_file_or_nothing() {
+    let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
+    let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
+    let mut client = Client::connect(&proxy);
+    let old = std::fs::read_to_string(&proxy.config).expect("it was written");
+    let mut reload = |text: String, log_text: &str| {
+        std::fs::write(&proxy.config, text).expect("a writable folder");
+        proxy.signal("HUP");
+        proxy.wait_for_log(log_text);
+        client.request(&write_statement(3000).replace("usage-write", "usage"))
+    };
+    let new = old.replace("usage-write", "usage");
+    for (valid, broken) in [
+        (r#""DeadlineMs": 3000"#, r#""DeadlineMs": -5"#),
+        (r#""DeadlineMs": 3000"#, r#""DeadlineMs": "soon""#),
+        (r#""DeadlineMs": 3000,"#, ""),
+        (r#""AttemptsCap": 6"#, r#""AttemptsCap": 0"#),
+        (r#""AttemptsCap": 6,"#, ""),
+        (r#""AttemptsCap": 6"#, r#""AttemptsCap": null"#),
+        (r#""WarmUpMs": 18000"#, r#""Warm": 18000"#),
+        (r#""limits""#, r#""limit""#),
+        (&new, ""),
+        (&new[new.len() / 2..], ""),
+    ] {
+        let response = reload(new.replace(valid, broken), "kept as it was");
+        assert_eq!(error_field(&response, b'C').as_deref(), Some("42601"), "{valid}");
+    }
+    assert_eq!(message_kinds(&reload(new, "read again")), "TDCZ");
+    wait_until("the old name is rejected", || {
+        error_field(&client.request(&write_statement(3000)), b'C').as_deref() == Some("42601")
+    });
+}
+
+/// Requests on their way may still name a class that was dropped, unless its name belongs to another class now.
+#[test]
+fn a_class_dropped_two_reloads_ago_is_served_by_its_own_rules() {
+    let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
+    let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
+    let mut client = Client::connect(&proxy);
+    let first = std::fs::read_to_string(&proxy.config).expect("it was written");
+    let second = first.replace("usage-write", "w2");
+    let third = second.replace("own-changes", "r3").replace(r#""w2""#, r#""own-changes""#);
+    for text in [&second, &third] {
+        std::fs::write(&proxy.config, text).expect("a writable folder");
+        proxy.signal("HUP");
+        proxy.wait_for_log("configuration read again");
+    }
+    for class in ["usage-write", "w2", "own-changes"] {
+        assert_eq!(
+            message_kinds(&client.request(&write_statement(3000).replace("usage-write", class))),
+            "TDCZ",
+            "{class}"
+        );
+    }
+    let response = client.request(&read_statement(1000));
+    assert_eq!(
+        error_field(&response, b'C').as_deref(),
+        Some("42601"),
+        "its name belongs to a class that writes"
+    );
+}
+
+/// A signal during the read of the configuration takes effect once the process can handle it.
+#[rstest]
+#[case::reload("HUP")]
+#[case::graceful_shutdown("TERM")]
+fn a_signal_during_startup_is_handled(#[case] name: &str) {
+    let config =
+        EXAMPLE_CONFIG.replace("127.0.0.1:5433", "127.0.0.1:0").replace("127.0.0.1:9800", "127.0.0.1:0");
+    let (mut command, path) = serve_command(&config);
+    let real = format!("{path}.real");
+    std::fs::rename(&path, &real).expect("a writable folder");
+    let mkfifo = std::process::Command::new("mkfifo").arg(&path).status().expect("it runs");
+    assert!(mkfifo.success());
+    let mut child = command.spawn().expect("the program starts");
+    // Opens once the process reads it.
+    let mut fifo = std::fs::OpenOptions::new().write(true).open(&path).expect("a pipe");
+    send_signal(&child, name);
+    std::fs::rename(&real, &path).expect("a writable folder");
+    let _ = fifo.write_all(config.as_bytes());
+    drop(fifo);
+    let mut log = std::io::BufReader::new(child.stderr.take().expect("piped"));
+    let lines = std::io::BufRead::lines(&mut log).map_while(Result::ok);
+    let expected = if name == "HUP" { "configuration read again" } else { "told to end" };
+    assert!(lines.into_iter().any(|line| line.contains(expected)), "it handles the signal");
+    if name == "TERM" {
+        assert!(child.wait().expect("it exits").success());
+    }
+    let _ = child.kill();
+    let _ = child.wait();
+}
--- a/tests/handover_format.rs
+++ b/tests/handover_format.rs
@@ -15,7 +15,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-use support::{folder, launch, until, Proxy, PATIENCE};
+use support::{create_folder, start_proxy_with_config, wait_until, Proxy, EXAMPLE_CONFIG, TEST_TIMEOUT};
 
 mod support;
 
@@ -168,7 +168,7 @@
 
 /// A file in an empty folder of its own, with this content.
 fn stored(test: &str, content: &str) -> PathBuf {
-    let folder = folder(test);
+    let folder = create_folder(test);
     let file = folder.join("pipittack-n0-127.0.0.1:0.json");
     fs::write(&file, content).expect("a writable folder");
     file
@@ -245,7 +245,7 @@
 }
 
 fn start(folder: &Path) -> Proxy {
-    launch(include_str!("../examples/config.json"), &[], Some(folder))
+    start_proxy_with_config(EXAMPLE_CONFIG, &[], Some(folder))
 }
 
 fn is_socket(path: &Path) -> bool {
@@ -263,16 +263,16 @@
 }
 
 fn with_timeout(stream: UnixStream) -> UnixStream {
-    stream.set_read_timeout(Some(PATIENCE)).expect("a socket");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
     stream
 }
 
 #[test]
 fn successor_is_served_at_the_recorded_socket() {
-    let folder = folder("successor");
+    let folder = create_folder("successor");
     let _proxy = start(&folder);
     let socket = folder.join("pipittack-n0-127.0.0.1:0.2.sock");
-    until("the socket is there", || is_socket(&socket));
+    wait_until("the socket is there", || is_socket(&socket));
     assert_eq!(names_in(&folder), ["pipittack-n0-127.0.0.1:0.2.sock"]);
     let mut successor = with_timeout(UnixStream::connect(&socket).expect("it listens"));
     successor.write_all(HELLO).expect("it reads");
@@ -290,7 +290,7 @@
 fn accept(listener: &UnixListener) -> UnixStream {
     listener.set_nonblocking(true).expect("a socket");
     let mut accepted = None;
-    until("a successor connects", || {
+    wait_until("a successor connects", || {
         accepted = listener.accept().ok();
         accepted.is_some()
     });
@@ -303,7 +303,7 @@
 #[case::present("2.sock", HELLO)]
 #[case::legacy("sock", b"")]
 fn predecessor_is_contacted_at_the_recorded_socket(#[case] ending: &str, #[case] hello: &[u8]) {
-    let folder = folder(&format!("hello-{ending}"));
+    let folder = create_folder(&format!("hello-{ending}"));
     let socket = folder.join(format!("pipittack-n0-127.0.0.1:0.{ending}"));
     let _ = fs::remove_file(&socket); // left by an earlier run with this process id
     let predecessor = UnixListener::bind(&socket).expect("a free path");
--- /dev/null
+++ b/tests/operations.rs
@@ -0,0 +1,231 @@
+//! Operations: the admin API, graceful shutdown and hot restart.
+
+mod support;
+
+use std::io::Write;
+use std::net::TcpStream;
+
+use pipittack_testkit::scripted_discovery::list_change;
+use pipittack_testkit::scripted_server::{Reply, ScriptedServer, ServerRole};
+use pipittack_testkit::wire::{message, query, read_message, row, startup, startup_response};
+use rstest::rstest;
+use support::*;
+
+/// Neither discovery, a reload nor a restart puts the server back online.
+#[test]
+fn a_server_taken_offline_stays_offline_until_it_is_put_online() {
+    let first = ScriptedServer::start(ServerRole::Primary, reply_with_row);
+    let second = ScriptedServer::start(ServerRole::Primary, reply_with_row);
+    let endpoints =
+        |state| [first.endpoint("a", "read-write", state), second.endpoint("b", "read-only", "Ready")];
+    let folder = create_folder("offline");
+    let proxy = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints("Ready"), Some(&folder));
+    let mut client = Client::connect(&proxy);
+    assert_eq!(
+        (message_kinds(&client.request(&write_statement(3000))), first.statement_count()),
+        ("TDCZ".into(), 1)
+    );
+    assert_eq!(admin_post(&proxy, "data-servers/never/offline"), Some(404));
+    (0..2).for_each(|_| assert_eq!(admin_post(&proxy, "data-servers/a/offline"), Some(200)));
+    wait_until("the other server is used", || {
+        message_kinds(&client.request(&write_statement(3000))) == "TDCZ" && second.statement_count() > 0
+    });
+    let count_before = first.statement_count();
+    for (revision, state) in [(2, "Gone"), (3, "Ready")] {
+        proxy.discovery.changes.send(list_change(revision, &endpoints(state))).expect("it watches");
+        (0..10).for_each(|_| drop(client.request(&write_statement(3000))));
+    }
+    proxy.signal("HUP");
+    proxy.wait_for_log("configuration read again");
+    (0..10).for_each(|_| drop(client.request(&write_statement(3000))));
+    drop((client, proxy));
+    // The killed process has stored the operator's order, which the next one reads.
+    let proxy = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints("Ready"), Some(&folder));
+    let mut client = Client::connect(&proxy);
+    (0..10).for_each(|_| drop(client.request(&write_statement(3000))));
+    assert_eq!(first.statement_count(), count_before, "no new request reached it");
+    second.close_all();
+    assert_eq!(admin_post(&proxy, "data-servers/b/offline"), Some(200));
+    assert_eq!(admin_post(&proxy, "data-servers/a/online"), Some(200));
+    wait_until("it is used again", || {
+        message_kinds(&client.request(&write_statement(3000))) == "TDCZ"
+            && first.statement_count() > count_before
+    });
+}
+
+/// Connections that send nothing or a part of a request must not block the admin API.
+#[test]
+fn stalled_admin_connections_delay_no_request() {
+    let proxy = start_proxy(&[]);
+    wait_until("it is ready", || is_ready(&proxy));
+    let stalled: Vec<_> = (0..40)
+        .map(|i| {
+            let mut stream = TcpStream::connect(proxy.admin_address).expect("it listens");
+            stream.write_all(&b"POST /control/out-of-serv"[..i % 26]).expect("it reads");
+            stream
+        })
+        .collect();
+    assert!(is_ready(&proxy));
+    assert_eq!(admin_request(&proxy, b"GET /control/\r\n\r\n"), Some(400));
+    assert_eq!(admin_request(&proxy, &[b'x'; 9000]), Some(431));
+    drop(stalled);
+}
+
+/// Out of service, the empty query gets an error, requests are served, and idle connections are closed.
+#[test]
+fn an_instance_out_of_service_drains_clients_and_admits_them_again_later() {
+    let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
+    let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
+    let mut client = Client::connect(&proxy);
+    assert_eq!(message_kinds(&client.request("")), "IZ");
+    assert_eq!(admin_post(&proxy, "out-of-service"), Some(200));
+    let response = client.request("");
+    assert_error_response(&response, "EZ", "57P03");
+    assert_eq!(message_kinds(&client.request(&write_statement(3000))), "TDCZ", "requests are still served");
+    assert!(!is_ready(&proxy));
+    assert_eq!(read_once(&mut client.stream, &mut [0]).expect("a clean end"), 0);
+    let (_, response) = connect_with_response(&proxy);
+    assert_error_response(&response, "E", "57P03");
+    assert_eq!(admin_post(&proxy, "in-service"), Some(200));
+    assert_eq!(message_kinds(&Client::connect(&proxy).request("")), "IZ");
+}
+
+#[test]
+fn graceful_shutdown_completes_requests_in_flight() {
+    let (server, gate) = start_gated_server("");
+    let mut proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
+    let mut busy = Client::connect(&proxy);
+    let mut idle = Client::connect(&proxy);
+    busy.send(&query(&write_statement(3000)));
+    while server.statement_count() == 0 {
+        std::thread::yield_now();
+    }
+    proxy.signal("TERM");
+    assert_eq!(read_once(&mut idle.stream, &mut [0]).expect("a clean end"), 0, "closed between requests");
+    gate.send(()).expect("the server waits");
+    assert_eq!(message_kinds(&busy.read_response()), "TDCZ");
+    assert_eq!(read_once(&mut busy.stream, &mut [0]).expect("a clean end"), 0);
+    assert!(proxy.child.wait().expect("it exits").success());
+}
+
+/// Pipelined requests are answered in turn, whatever other signals come meanwhile.
+#[test]
+fn graceful_shutdown_answers_pipelined_requests() {
+    let (server, gate) = start_gated_server("'gated'");
+    let mut proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
+    let mut client = Client::connect(&proxy);
+    let gated = query(&write_statement(3000).replace("'k'", "'gated'"));
+    client.send(
+        &[
+            gated,
+            query(&read_statement_with_id("b", 1500)),
+            query(&write_statement(3000).replace("id=2,", "id=c,")),
+        ]
+        .concat(),
+    );
+    wait_until("the request is sent", || server.statement_count() == 1);
+    proxy.signal("TERM");
+    proxy.wait_for_log("told to end");
+    proxy.signal("HUP");
+    proxy.signal("TERM");
+    gate.send(()).expect("the server waits");
+    for _ in 0..3 {
+        assert_eq!(message_kinds(&client.read_response()), "TDCZ");
+    }
+    assert_eq!(read_once(&mut client.stream, &mut [0]).expect("a clean end"), 0);
+    assert!(proxy.child.wait().expect("it exits").success());
+}
+
+/// The stage of a request when a graceful shutdown starts. It gets one response, and its connection a clean end.
+#[derive(Debug, Clone, Copy, PartialEq)]
+enum Stage {
+    HalfRead,
+    Connecting,
+    InFlight,
+    InListenQueue,
+    BeforeEndpointList,
+}
+
+#[rstest]
+#[case::half_read(Stage::HalfRead, "TDCZ")]
+#[case::connecting(Stage::Connecting, "TDCZ")]
+#[case::in_flight(Stage::InFlight, "EZ")]
+#[case::in_listen_queue(Stage::InListenQueue, "RZTDCZ")]
+#[case::before_endpoint_list(Stage::BeforeEndpointList, "EZ")]
+fn graceful_shutdown_answers_requests_in_every_stage(#[case] stage: Stage, #[case] expected_kinds: &str) {
+    let is_in_flight = stage == Stage::InFlight;
+    let server = ScriptedServer::start(ServerRole::Primary, move |text| {
+        if is_in_flight {
+            Reply::Nothing
+        } else {
+            reply_with_row(text)
+        }
+    });
+    let delayed_server = DelayedServer::start();
+    let endpoints = match stage {
+        Stage::Connecting => vec![delayed_server.endpoint("a", "read-write")],
+        Stage::BeforeEndpointList => vec![],
+        _ => vec![server.endpoint("a", "read-write", "Ready")],
+    };
+    let mut proxy = start_proxy_with_config(&config_with_connect_timeout(), &endpoints, None);
+    let request = query(&write_statement(2000));
+    let sent_length = if stage == Stage::HalfRead { request.len() / 2 } else { request.len() };
+    let mut client = if stage == Stage::InListenQueue {
+        proxy.signal("STOP");
+        let mut client = Client::open(&proxy);
+        client.send(&[startup(), request.clone()].concat());
+        client
+    } else {
+        let mut client = Client::connect(&proxy);
+        client.send(&request[..sent_length]);
+        client
+    };
+    let connecting = (stage == Stage::Connecting).then(|| delayed_server.accept());
+    if is_in_flight {
+        wait_until("the request is sent", || server.statement_count() == 1);
+    }
+    proxy.signal("TERM");
+    proxy.signal("CONT");
+    proxy.wait_for_log("told to end");
+    client.send(&request[sent_length..]);
+    if let Some(mut stream) = connecting {
+        stream.write_all(&startup_response()).expect("it reads");
+        assert_eq!(read_message(&mut stream).map(|m| m.0), Some(b'Q'));
+        stream.write_all(&[row(b"v"), message(b'Z', b"I")].concat()).expect("it reads");
+    }
+    let startup_messages = if stage == Stage::InListenQueue { client.read_response() } else { Vec::new() };
+    assert_eq!(message_kinds(&[startup_messages, client.read_response()].concat()), expected_kinds);
+    assert_eq!(read_once(&mut client.stream, &mut [0]).expect("a clean end"), 0);
+    assert!(proxy.child.wait().expect("it exits").success());
+}
+
+/// No client connection ends, not even between requests.
+#[test]
+fn a_hot_restart_hands_over_the_listener_and_the_clients() {
+    let server = start_server_with_marked_reply("id=9", || Reply::Nothing);
+    let endpoints = [server.endpoint("a", "read-write", "Ready")];
+    let folder = create_folder("upgrade");
+    let mut old = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&folder));
+    let mut idle = Client::connect(&old);
+    let mut silent = Client::open(&old);
+    let mut busy = Client::connect(&old);
+    assert_eq!(message_kinds(&idle.request(&write_statement(3000))), "TDCZ");
+    busy.send(&query(&write_statement(3000).replace("id=2", "id=9")));
+    wait_until("the request is sent", || server.statement_count() == 2);
+    let new = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&folder));
+    assert_eq!(new.address, old.address);
+    wait_until("it is ready", || is_ready(&new));
+    assert_eq!(message_kinds(&idle.request(&write_statement(3000))), "TDCZ");
+    old.signal("TERM");
+    silent.send(&startup());
+    assert_eq!(message_kinds(&silent.read_response()), "RZ");
+    assert_eq!(message_kinds(&busy.read_response()), "EZ", "the old process completes its own requests");
+    assert!(old.child.wait().expect("it exits").success());
+    for client in [&mut idle, &mut silent, &mut busy, &mut Client::connect(&new)] {
+        assert_eq!(message_kinds(&client.request(&write_statement(3000))), "TDCZ");
+    }
+    // A process that was killed does not block the next one.
+    drop(new);
+    let next = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&folder));
+    assert_eq!(message_kinds(&Client::connect(&next).request(&write_statement(3000))), "TDCZ");
+}
--- /dev/null
+++ b/tests/support/proxy.rs
@@ -0,0 +1,152 @@
+//! The program under test as a child process, and its admin API.
+
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::path::Path;
+use std::process::{Child, Command, Stdio};
+use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::mpsc;
+
+use pipittack_testkit::scripted_discovery::{full_list, ScriptedDiscovery};
+
+use super::TEST_TIMEOUT;
+
+/// The example configuration.
+pub const EXAMPLE_CONFIG: &str = include_str!("../../examples/config.json");
+
+/// The program under test. It is killed when the test is done with it.
+pub struct Proxy {
+    pub child: Child,
+    /// Path of its configuration.
+    pub config: String,
+    pub address: SocketAddr,
+    pub admin_address: SocketAddr,
+    /// Lines of its log.
+    pub log: mpsc::Receiver<String>,
+    pub discovery: ScriptedDiscovery,
+}
+
+/// Limits of the configuration.
+#[derive(Clone, Copy)]
+pub struct ProcessLimits {
+    pub memory_mb: u32,
+    pub sockets: u32,
+}
+
+impl Drop for Proxy {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
+
+impl Proxy {
+    /// Waits for a line of the log that contains a text.
+    pub fn wait_for_log(&self, text: &str) -> String {
+        std::iter::repeat_with(|| self.log.recv_timeout(TEST_TIMEOUT).expect("a line of the log"))
+            .find(|line| line.contains(text))
+            .expect("it goes on until one does")
+    }
+
+    pub fn signal(&self, name: &str) {
+        send_signal(&self.child, name);
+    }
+}
+
+/// Sends a process a signal.
+pub fn send_signal(child: &Child, name: &str) {
+    let kill = format!("kill -{name} {}", child.id());
+    assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell runs").success());
+}
+
+/// A command that serves a configuration, and the path of the configuration.
+pub fn serve_command(config: &str) -> (Command, String) {
+    static NEXT: AtomicU32 = AtomicU32::new(0);
+    let number = NEXT.fetch_add(1, Ordering::Relaxed);
+    let path = format!("{}/proxy-{}-{number}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
+    std::fs::write(&path, config).expect("a writable folder");
+    let mut command = Command::new(env!("CARGO_BIN_EXE_pipittack"));
+    command.arg("serve").env("GW_CONFIG", &path).env_remove("TMPDIR").stderr(Stdio::piped());
+    (command, path)
+}
+
+/// The example configuration with these limits.
+pub fn config_with_limits(limits: ProcessLimits) -> String {
+    EXAMPLE_CONFIG.replace("192", &limits.memory_mb.to_string()).replace("1024", &limits.sockets.to_string())
+}
+
+/// The example configuration, with more time for a connection to come up.
+pub fn config_with_connect_timeout() -> String {
+    EXAMPLE_CONFIG.replace(r#""ConnectTimeoutMs": 250"#, r#""ConnectTimeoutMs": 9000"#)
+}
+
+/// Starts the program with these endpoints, and waits until it serves and has the list.
+pub fn start_proxy(endpoints: &[String]) -> Proxy {
+    start_proxy_with_limits(ProcessLimits { memory_mb: 192, sockets: 1024 }, endpoints)
+}
+
+/// The same with these limits.
+pub fn start_proxy_with_limits(limits: ProcessLimits, endpoints: &[String]) -> Proxy {
+    start_proxy_with_config(&config_with_limits(limits), endpoints, None)
+}
+
+/// Starts the program with a configuration, in a folder that outlives it or in none.
+pub fn start_proxy_with_config(config: &str, endpoints: &[String], folder: Option<&Path>) -> Proxy {
+    let discovery = ScriptedDiscovery::start(full_list(1, endpoints));
+    let address = discovery.address;
+    spawn_proxy(config, endpoints, folder, discovery, address)
+}
+
+/// Starts the program with a configuration and a discovery service of the test's own.
+pub fn start_proxy_with_discovery(config: &str, endpoints: &[String], address: SocketAddr) -> Proxy {
+    spawn_proxy(config, endpoints, None, ScriptedDiscovery::start(full_list(1, endpoints)), address)
+}
+
+fn spawn_proxy(
+    config: &str,
+    endpoints: &[String],
+    folder: Option<&Path>,
+    discovery: ScriptedDiscovery,
+    discovery_address: SocketAddr,
+) -> Proxy {
+    let known = format!(r#""known": {}, "settings""#, full_list(1, endpoints));
+    let config = config
+        .replace("127.0.0.1:5433", "127.0.0.1:0")
+        .replace("127.0.0.1:8500", &discovery_address.to_string())
+        .replace("127.0.0.1:9800", "127.0.0.1:0")
+        .replace(r#""settings""#, &known);
+    let (mut command, config) = serve_command(&config);
+    folder.map(|folder| command.env("TMPDIR", folder));
+    let mut child = command.spawn().expect("the program starts");
+    let mut log_lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+    let mut address_after = |text: &str| loop {
+        let line = log_lines.next().expect("a line with an address").expect("UTF-8");
+        if let Some((_, address)) = line.split_once(text) {
+            break address.parse().expect("an address");
+        }
+    };
+    let admin_address = address_after("calls are answered at ");
+    let address = address_after("serving at ");
+    let (sender, log) = mpsc::channel();
+    std::thread::spawn(move || log_lines.map_while(Result::ok).for_each(|line| drop(sender.send(line))));
+    Proxy { child, config, address, admin_address, log, discovery }
+}
+
+/// Sends bytes to the admin API and gives the status that comes back; none where the connection just ends.
+pub fn admin_request(proxy: &Proxy, bytes: &[u8]) -> Option<u16> {
+    let mut stream = TcpStream::connect(proxy.admin_address).expect("it listens");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
+    stream.write_all(bytes).expect("it reads");
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("an end");
+    response.strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok()
+}
+
+pub fn admin_post(proxy: &Proxy, path: &str) -> Option<u16> {
+    let request = format!("POST /control/{path} HTTP/1.1\r\nHost: proxy\r\nContent-Length: 0\r\n\r\n");
+    admin_request(proxy, request.as_bytes())
+}
+
+pub fn is_ready(proxy: &Proxy) -> bool {
+    admin_request(proxy, b"GET /control/ready HTTP/1.1\r\n\r\n") == Some(200)
+}
