--- a/testkit/src/failover_trial/load.rs
+++ b/testkit/src/failover_trial/load.rs
@@ -1,6 +1,7 @@
 //! The load of a failover trial: clients that send requests at a constant rate and retry rejected ones.
 
 use std::net::SocketAddr;
+use std::ops::Range;
 use std::sync::atomic::Ordering;
 use std::thread;
 use std::time::{Duration, Instant};
@@ -23,7 +24,7 @@
 /// Share of writes whose client closes its connection before the response.
 const ABANDONED_SHARE: f64 = 0.02;
 /// When such a client closes its connection, in platform milliseconds.
-const ABANDON_MS: std::ops::Range<f64> = 20.0..600.0;
+const ABANDON_MS: Range<f64> = 20.0..600.0;
 /// Retries of a rejected request.
 const MAX_RETRIES: u32 = 2;
 /// Wait before a retry where the rejection names none.
--- a/testkit/src/failover_trial/report.rs
+++ b/testkit/src/failover_trial/report.rs
@@ -1,6 +1,7 @@
 //! The report of a failover trial: counts, latencies and violated rules. Serialized names are stable.
 
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -106,7 +107,7 @@
         Self(Histogram::new(HISTOGRAM_DIGITS).expect("three digits are within its range"))
     }
 
-    fn record(&mut self, latency: std::time::Duration) {
+    fn record(&mut self, latency: Duration) {
         let _ = self.0.record(latency.as_micros() as u64);
     }
 
--- a/testkit/src/failover_trial/round.rs
+++ b/testkit/src/failover_trial/round.rs
@@ -184,16 +184,18 @@
     fn fail_over(&mut self, primary: usize, failure: MemberState) {
         self.replica_set.set_member_state(primary, failure);
         self.wait(DETECTION_MS);
-        self.wait(ELECTION_MS);
-        self.promote(primary);
-        self.wait(RECOVERY_MS);
-        self.replica_set.recover(primary, Role::Replica);
+        self.elect_and_recover(primary);
     }
 
     fn fail_over_during_upgrade(&mut self, primary: usize) {
         self.replica_set.set_member_state(primary, MemberState::Paused);
         self.wait(DETECTION_MS);
         self.trial.proxy().upgrade().expect("the program can be upgraded");
+        self.elect_and_recover(primary);
+    }
+
+    /// A primary that was found failed is replaced, and comes back as a replica.
+    fn elect_and_recover(&mut self, primary: usize) {
         self.wait(ELECTION_MS);
         self.promote(primary);
         self.wait(RECOVERY_MS);
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -4,13 +4,33 @@
 mod support;
 
 use std::io::{Read, Write};
-use std::net::Shutdown;
+use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
 
 use pipittack_testkit::scripted_server::{Reply, ScriptedServer, ServerRole};
 use pipittack_testkit::wire::{message, query, startup_response};
 use support::*;
 
+/// A client's write that waits for a connection to the data server, which has not answered the startup packet.
+struct PendingConnect {
+    proxy: Proxy,
+    client: Client,
+    server_stream: TcpStream,
+    _server: DelayedServer,
+}
+
+impl PendingConnect {
+    fn start() -> Self {
+        let server = DelayedServer::start();
+        let endpoints = [server.endpoint("a", "read-write")];
+        let proxy = start_proxy_with_config(&config_with_connect_timeout(), &endpoints, None);
+        let mut client = Client::connect(&proxy);
+        client.send(&query(&write_statement(3000)));
+        let server_stream = server.accept();
+        Self { proxy, client, server_stream, _server: server }
+    }
+}
+
 /// The time that a request waits behind another one of its connection counts against its own wait.
 #[test]
 fn the_deadline_of_a_pipelined_request_counts_from_its_arrival() {
@@ -59,12 +79,7 @@
 /// The connection to the server comes up at the moment in which the client disconnects.
 #[test]
 fn nothing_is_written_for_a_client_that_has_gone() {
-    let server = DelayedServer::start();
-    let proxy =
-        start_proxy_with_config(&config_with_connect_timeout(), &[server.endpoint("a", "read-write")], None);
-    let mut client = Client::connect(&proxy);
-    client.send(&query(&write_statement(3000)));
-    let mut server_stream = server.accept();
+    let PendingConnect { proxy, client, mut server_stream, _server } = PendingConnect::start();
     proxy.signal("STOP");
     drop(client);
     server_stream.write_all(&startup_response()).expect("it reads");
@@ -129,12 +144,7 @@
 /// The operator takes the server offline while a connection to it comes up.
 #[test]
 fn nothing_is_written_to_a_server_taken_offline_during_the_connect() {
-    let server = DelayedServer::start();
-    let proxy =
-        start_proxy_with_config(&config_with_connect_timeout(), &[server.endpoint("a", "read-write")], None);
-    let mut client = Client::connect(&proxy);
-    client.send(&query(&write_statement(3000)));
-    let mut server_stream = server.accept();
+    let PendingConnect { proxy, mut client, mut server_stream, _server } = PendingConnect::start();
     assert_eq!(admin_post(&proxy, "data-servers/a/offline"), Some(200));
     server_stream.write_all(&startup_response()).expect("it reads");
     assert_eq!(message_kinds(&client.read_response()), "EZ");
