--- a/testkit/src/scripted_discovery.rs
+++ b/testkit/src/scripted_discovery.rs
@@ -5,12 +5,14 @@
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::mpsc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{mpsc, Arc};
 use std::thread;
 
 use crate::discovery_server::{CHUNKED_RESPONSE_HEAD, KEEP_ALIVE_INTERVAL};
 
-/// A discovery service. A text sent to `changes` goes out on the open watch; an empty text ends the watch.
+/// A discovery service. A text sent to `changes` goes out on the open watch; an empty text ends the watch. Dropping the
+/// service ends its listener.
 pub struct ScriptedDiscovery {
     /// Where it listens.
     pub address: SocketAddr,
@@ -18,6 +20,7 @@
     pub changes: mpsc::Sender<String>,
     /// The request lines that came in, in order.
     pub request_lines: mpsc::Receiver<String>,
+    stopped: Arc<AtomicBool>,
 }
 
 /// The complete endpoint list of a revision, as JSON.
@@ -37,12 +40,24 @@
         let address = listener.local_addr().expect("bound");
         let (changes, queued_changes) = mpsc::channel::<String>();
         let (request_sender, request_lines) = mpsc::channel();
+        let stopped = Arc::new(AtomicBool::new(false));
+        let listener_stopped = stopped.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
+                if listener_stopped.load(Ordering::Relaxed) {
+                    return;
+                }
                 let _ = serve_watch(stream, &list, &queued_changes, &request_sender);
             }
         });
-        Self { address, changes, request_lines }
+        Self { address, changes, request_lines, stopped }
+    }
+}
+
+impl Drop for ScriptedDiscovery {
+    fn drop(&mut self) {
+        self.stopped.store(true, Ordering::Relaxed);
+        let _ = TcpStream::connect(self.address); // wakes the listener, which then ends
     }
 }
 
--- a/testkit/src/scripted_server.rs
+++ b/testkit/src/scripted_server.rs
@@ -4,6 +4,7 @@
 
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{mpsc, Arc, Mutex, MutexGuard};
 use std::thread;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -38,7 +39,7 @@
     Replica,
 }
 
-/// A data server, and the statements that reached it.
+/// A data server, and the statements that reached it. Dropping it ends its listener and its connections.
 pub struct ScriptedServer {
     /// Where it listens.
     pub address: SocketAddr,
@@ -46,6 +47,7 @@
     pub closed_connections: mpsc::Receiver<()>,
     statements: Arc<Mutex<Vec<String>>>,
     streams: Arc<Mutex<Vec<TcpStream>>>,
+    stopped: Arc<AtomicBool>,
 }
 
 /// What each connection's thread needs.
@@ -75,8 +77,13 @@
         let (closed_sender, closed_connections) = mpsc::channel();
         let streams = Arc::new(Mutex::new(Vec::new()));
         let accepted = streams.clone();
+        let stopped = Arc::new(AtomicBool::new(false));
+        let listener_stopped = stopped.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
+                if listener_stopped.load(Ordering::Relaxed) {
+                    return;
+                }
                 let session = session.clone();
                 let closed_sender = closed_sender.clone();
                 accepted.lock().expect("no panic").extend(stream.try_clone());
@@ -88,7 +95,7 @@
                 });
             }
         });
-        Self { address, closed_connections, statements, streams }
+        Self { address, closed_connections, statements, streams, stopped }
     }
 
     /// The statements that reached it, in order.
@@ -114,6 +121,14 @@
     }
 }
 
+impl Drop for ScriptedServer {
+    fn drop(&mut self) {
+        self.stopped.store(true, Ordering::Relaxed);
+        self.close_all();
+        let _ = TcpStream::connect(self.address); // wakes the listener, which then ends
+    }
+}
+
 impl<Script: Fn(&str) -> Reply> Session<Script> {
     /// Serves one connection to its end.
     fn serve(&self, mut stream: &TcpStream) -> io::Result<()> {
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -126,7 +126,7 @@
     std::fs::rename(&path, &real).expect("a writable folder");
     let mkfifo = std::process::Command::new("mkfifo").arg(&path).status().expect("it runs");
     assert!(mkfifo.success());
-    let mut child = command.spawn().expect("the program starts");
+    let mut child = ChildGuard::spawn(&mut command);
     // Opens once the process reads it.
     let mut fifo = std::fs::OpenOptions::new().write(true).open(&path).expect("a pipe");
     send_signal(&child, name);
@@ -140,6 +140,4 @@
     if name == "TERM" {
         assert!(child.wait().expect("it exits").success());
     }
-    let _ = child.kill();
-    let _ = child.wait();
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -21,7 +21,7 @@
 pub use proxy::{
     admin_post, admin_request, config_with_connect_timeout, config_with_limits, is_ready, send_signal,
     serve_command, start_proxy, start_proxy_with_config, start_proxy_with_discovery, start_proxy_with_limits,
-    ProcessLimits, Proxy, EXAMPLE_CONFIG,
+    ChildGuard, ProcessLimits, Proxy, EXAMPLE_CONFIG,
 };
 pub use servers::{reply_with_row, start_gated_server, start_server_with_marked_reply};
 pub use statements::{read_statement, read_statement_with_id, write_statement};
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -2,6 +2,7 @@
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
+use std::ops::{Deref, DerefMut};
 use std::path::Path;
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -14,9 +15,12 @@
 /// The example configuration.
 pub const EXAMPLE_CONFIG: &str = include_str!("../../examples/config.json");
 
-/// The program under test. It is killed when the test is done with it.
+/// A child process that is killed when the test is done with it.
+pub struct ChildGuard(Child);
+
+/// The program under test, its addresses and its discovery service.
 pub struct Proxy {
-    pub child: Child,
+    pub child: ChildGuard,
     /// Path of its configuration.
     pub config: String,
     pub address: SocketAddr,
@@ -33,10 +37,31 @@
     pub sockets: u32,
 }
 
-impl Drop for Proxy {
+impl ChildGuard {
+    /// Starts a process.
+    pub fn spawn(command: &mut Command) -> Self {
+        Self(command.spawn().expect("the program starts"))
+    }
+}
+
+impl Deref for ChildGuard {
+    type Target = Child;
+
+    fn deref(&self) -> &Child {
+        &self.0
+    }
+}
+
+impl DerefMut for ChildGuard {
+    fn deref_mut(&mut self) -> &mut Child {
+        &mut self.0
+    }
+}
+
+impl Drop for ChildGuard {
     fn drop(&mut self) {
-        let _ = self.child.kill();
-        let _ = self.child.wait();
+        let _ = self.0.kill();
+        let _ = self.0.wait();
     }
 }
 
@@ -117,7 +142,7 @@
         .replace(r#""settings""#, &known);
     let (mut command, config) = serve_command(&config);
     folder.map(|folder| command.env("TMPDIR", folder));
-    let mut child = command.spawn().expect("the program starts");
+    let mut child = ChildGuard::spawn(&mut command);
     let mut log_lines = BufReader::new(child.stderr.take().expect("piped")).lines();
     let mut address_after = |text: &str| loop {
         let line = log_lines.next().expect("a line with an address").expect("UTF-8");
