--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -5,7 +5,8 @@
 
 use std::time::Duration;
 
-use pipittack_testkit::script::{listing, DataServer, Discovery, Say};
+use pipittack_testkit::scripted_discovery::{full_list, ScriptedDiscovery};
+use pipittack_testkit::scripted_server::{Reply, ScriptedServer, ServerRole};
 
 const DEFAULT_CONFIG_PATH: &str = "toy.json";
 const RESPONSE_TIME: Duration = Duration::from_millis(20);
@@ -14,37 +15,29 @@
 /// Discovery's address in the configuration that is the template.
 const TEMPLATE_DISCOVERY_ADDRESS: &str = "127.0.0.1:8500";
 
-#[derive(Clone, Copy, PartialEq)]
-enum Role {
-    Primary,
-    Replica,
-}
-
-impl Role {
-    /// The role as discovery spells it.
-    fn listed(self) -> &'static str {
-        match self {
-            Self::Primary => "read-write",
-            Self::Replica => "read-only",
-        }
+/// The role as discovery spells it.
+fn listed_role(role: ServerRole) -> &'static str {
+    match role {
+        ServerRole::Primary => "read-write",
+        ServerRole::Replica => "read-only",
     }
 }
 
 struct Member {
     name: &'static str,
-    role: Role,
-    server: DataServer,
+    role: ServerRole,
+    server: ScriptedServer,
 }
 
-fn start_member(name: &'static str, role: Role) -> Member {
-    let server = DataServer::start(role == Role::Primary, move |text| {
+fn start_member(name: &'static str, role: ServerRole) -> Member {
+    let server = ScriptedServer::start(role, move |text| {
         println!("{name}: {text}");
         let is_write = text.get(..6).is_some_and(|verb| verb.eq_ignore_ascii_case("INSERT"));
-        if is_write && role == Role::Replica {
-            return Say::Error(READ_ONLY_TRANSACTION);
+        if is_write && role == ServerRole::Replica {
+            return Reply::Error(READ_ONLY_TRANSACTION);
         }
         std::thread::sleep(RESPONSE_TIME);
-        Say::Row(format!("from {name}").into_bytes())
+        Reply::Row(format!("from {name}").into_bytes())
     });
     Member { name, role, server }
 }
@@ -52,15 +45,14 @@
 fn main() -> std::io::Result<()> {
     let path = std::env::args().nth(1).unwrap_or_else(|| DEFAULT_CONFIG_PATH.into());
     let members = [
-        start_member("db-0", Role::Primary),
-        start_member("db-1", Role::Replica),
-        start_member("db-2", Role::Replica),
+        start_member("db-0", ServerRole::Primary),
+        start_member("db-1", ServerRole::Replica),
+        start_member("db-2", ServerRole::Replica),
     ];
-    let targets = members.each_ref().map(|member| {
-        let role = member.role.listed();
-        member.server.listed(member.name, role, "Ready")
-    });
-    let discovery = Discovery::start(listing(1, true, &targets));
+    let endpoints = members
+        .each_ref()
+        .map(|member| member.server.endpoint(member.name, listed_role(member.role), "Ready"));
+    let discovery = ScriptedDiscovery::start(full_list(1, &endpoints));
     let config = include_str!("../config.json");
     let config = config.replace(TEMPLATE_DISCOVERY_ADDRESS, &discovery.address.to_string());
     std::fs::write(&path, config)?;
--- a/testkit/src/fleet/process_trial/exchange.rs
+++ b/testkit/src/fleet/process_trial/exchange.rs
@@ -13,7 +13,7 @@
 use super::super::workload::ClientRequest;
 use super::message_stream::{message_field, MessageStream};
 use super::state::SharedTrial;
-use crate::script::{query, startup};
+use crate::wire::{query, startup};
 
 /// Time in s past its deadline for which a client reads a response.
 const RESPONSE_GRACE_PERIOD_S: f64 = 0.5;
--- a/testkit/src/fleet/process_trial/message_stream.rs
+++ b/testkit/src/fleet/process_trial/message_stream.rs
@@ -8,7 +8,7 @@
 
 use tokio::net::TcpStream;
 
-use crate::script::message;
+use crate::wire::message;
 
 /// Maximum length of a message or line.
 const MAX_MESSAGE_BYTES: usize = 64 * 1024;
--- a/testkit/src/fleet/process_trial/server_connections.rs
+++ b/testkit/src/fleet/process_trial/server_connections.rs
@@ -16,7 +16,7 @@
 use super::message_stream::{error_message, MessageStream};
 use super::server_execution::{execute, request_id, ServerResponse};
 use super::state::{SharedTrial, TrialState};
-use crate::script::message;
+use crate::wire::message;
 
 /// Interval of the checks whether a link has come back.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
--- a/testkit/src/fleet/process_trial/server_execution.rs
+++ b/testkit/src/fleet/process_trial/server_execution.rs
@@ -9,7 +9,7 @@
 use super::super::site::{Completion, IncomingRequest, RequestAdmission};
 use super::message_stream::{comment_value, error_message};
 use super::state::{SharedTrial, TrialState};
-use crate::script::{message, row};
+use crate::wire::{message, row};
 
 /// Time in s in which a proxy is expected to process a response.
 const RESPONSE_PROCESSING_S: f64 = 0.1;
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -11,7 +11,8 @@
     AttemptCommand, AttemptResult, Clock, Driver, DriverParts, NewRequest, Response, ServerCommand,
 };
 use pipittack::net::server::{self, Query, ReuseStatistics, ServerOptions};
-use pipittack_testkit::script;
+use pipittack_testkit::scripted_server::{Reply, ScriptedServer, ServerRole};
+use pipittack_testkit::wire::query;
 use tokio::sync::mpsc::UnboundedReceiver;
 
 type TestDriver = Driver<&'static str, &'static str>;
@@ -177,7 +178,7 @@
 #[test]
 fn an_attempt_waits_for_a_socket() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let server = script::DataServer::start(true, |_| script::Say::Row(b"v".to_vec()));
+    let server = ScriptedServer::start(ServerRole::Primary, |_| Reply::Row(b"v".to_vec()));
     let clock = Clock::start();
     let DriverParts { driver, server_commands, .. } =
         DriverParts::new(settings(), 7, clock).expect("valid settings");
@@ -198,7 +199,7 @@
         let responses: Vec<_> = (0..8)
             .map(|_| {
                 let mut message = pool.chain();
-                message.extend(&script::query("SELECT d=0"));
+                message.extend(&query("SELECT d=0"));
                 driver.submit(new_request(ONCE), Query { message, wait_at: 14..15, room: None }).1
             })
             .collect();
@@ -206,7 +207,7 @@
             assert!(matches!(response.await, Ok(Response::Served(_))));
         }
     });
-    assert_eq!(server.count(), 8);
+    assert_eq!(server.statement_count(), 8);
 }
 
 #[test]
