--- a/core/src/routing/outlier_detection.rs
+++ b/core/src/routing/outlier_detection.rs
@@ -29,7 +29,7 @@
 /// Share of attempts with a refused connection above which connections count as scarce.
 const MAX_REFUSED_SHARE: f64 = 0.1;
 /// A connection that fails within this part of the connect timeout was refused.
-const MAX_REFUSAL_SHARE: f64 = 0.5;
+const REFUSAL_TIMEOUT_SHARE: f64 = 0.5;
 
 /// What the detector has to know besides the completion.
 pub(super) struct CompletionContext<'s> {
@@ -103,7 +103,7 @@
     ) {
         let now = context.now;
         let settings = context.settings;
-        let refused_within_secs = MAX_REFUSAL_SHARE * secs(settings.limits.connect_timeout);
+        let refused_within_secs = REFUSAL_TIMEOUT_SHARE * secs(settings.limits.connect_timeout);
         if end.outcome.is_response() {
             let was_short = server.refused_within(now, MIN_RESTART_SECS);
             self.refused.record(now, f64::from(u8::from(was_short)), &ATTEMPT_EWMA);
--- a/core/tests/action_hash/disturbances.rs
+++ b/core/tests/action_hash/disturbances.rs
@@ -171,12 +171,12 @@
     /// A new process takes over with a snapshot of what this one knew.
     pub(crate) fn hot_restart(&mut self) {
         self.counters.snapshots += 1;
-        let mut snapshot = self.gateway.snapshot();
+        let mut snapshot = self.engine.snapshot();
         snapshot.shift(CLOCK_SHIFT.as_secs_f64());
         self.clock_offset += CLOCK_SHIFT;
         self.drop_open_requests();
         let seed = self.random.bits();
-        self.gateway = RoutingEngine::new(self.settings.clone(), seed).expect("valid settings");
+        self.engine = RoutingEngine::new(self.settings.clone(), seed).expect("valid settings");
         let entries = self.cluster.entries(self.clock_offset);
         let view = Event::Endpoints(EndpointUpdate::Cached(entries));
         self.step(vec![view, Event::SnapshotReceived(Box::new(snapshot))]);
--- a/core/tests/action_hash/script.rs
+++ b/core/tests/action_hash/script.rs
@@ -74,7 +74,7 @@
 pub struct Script {
     pub(crate) case: Case,
     pub(crate) settings: Settings,
-    pub(crate) gateway: RoutingEngine,
+    pub(crate) engine: RoutingEngine,
     pub(crate) cluster: Cluster,
     pub(crate) random: Random,
     pub(crate) now: Duration,
@@ -109,7 +109,7 @@
     while script.now < end {
         script.advance();
     }
-    script.hash.snapshot(&script.gateway.snapshot());
+    script.hash.snapshot(&script.engine.snapshot());
     Outcomes { hash: script.hash.value(), counters: script.counters }
 }
 
@@ -119,7 +119,7 @@
         let settings = case.settings();
         let mut script = Self {
             case: *case,
-            gateway: RoutingEngine::new(settings.clone(), case.seed).expect("valid settings"),
+            engine: RoutingEngine::new(settings.clone(), case.seed).expect("valid settings"),
             settings,
             cluster: Cluster::new(case, &mut random),
             random,
@@ -181,7 +181,7 @@
     /// Steps the engine and carries out what it answers.
     pub(crate) fn step(&mut self, events: Vec<Event>) {
         let mut actions = Vec::new();
-        self.gateway.step(self.engine_time(), events, &mut actions);
+        self.engine.step(self.engine_time(), events, &mut actions);
         self.counters.steps += 1;
         self.hash.step(self.engine_time(), &actions);
         for action in actions {
