--- a/testkit/src/fleet/process_trial/lifecycle.rs
+++ b/testkit/src/fleet/process_trial/lifecycle.rs
@@ -27,7 +27,7 @@
         let start_index = trial.fleet.record_start(trial.clock.now());
         (configuration(trial, proxy), start_index)
     });
-    let prepared = shared.with(|trial| trial.processes.prepare_start(proxy, &config));
+    let prepared = shared.with(|trial| trial.processes.prepare_start(proxy, config));
     let started = match prepared {
         Ok(prepared) => prepared.spawn(start_index).await,
         Err(error) => Err(error),
--- a/testkit/src/fleet/process_trial/process_table.rs
+++ b/testkit/src/fleet/process_trial/process_table.rs
@@ -40,18 +40,40 @@
     }
 }
 
-/// A command that starts a process, and the address of that process's admin API.
+/// What a process is started with.
 pub struct PreparedStart {
-    command: Command,
+    program: PathBuf,
+    folder: PathBuf,
+    config: String,
+    log_file: PathBuf,
     admin_address: SocketAddr,
 }
 
 impl PreparedStart {
-    /// Starts the process. The system call runs on a thread of its own: it may take tens of milliseconds, and
-    /// the stand-ins of the trial must go on answering meanwhile.
-    pub async fn spawn(mut self, start_index: usize) -> io::Result<Process> {
-        let child = spawn_blocking(move || self.command.spawn().map(OwnedChild)).await??;
-        Ok(Process { child, admin_address: self.admin_address, start_index })
+    /// Starts the process. Its files are written and it is spawned on a thread of its own: either may take tens
+    /// of milliseconds, and the stand-ins of the trial must go on answering meanwhile.
+    pub async fn spawn(self, start_index: usize) -> io::Result<Process> {
+        let admin_address = self.admin_address;
+        let child = spawn_blocking(move || self.spawn_child()).await??;
+        Ok(Process { child, admin_address, start_index })
+    }
+
+    fn spawn_child(&self) -> io::Result<OwnedChild> {
+        let path = self.folder.join("config.json");
+        // The file is replaced atomically, because a process may reload it at any time.
+        let temporary = self.folder.join("config.new");
+        std::fs::write(&temporary, &self.config)?;
+        std::fs::rename(&temporary, &path)?;
+        let log = File::create(&self.log_file)?;
+        let mut command = Command::new(&self.program);
+        command
+            .args(["serve", "--ops", &self.admin_address.to_string()])
+            .env("GW_CONFIG", &path)
+            .env("TMPDIR", &self.folder)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
+        command.spawn().map(OwnedChild)
     }
 }
 
@@ -179,26 +201,14 @@
         self.proxies[proxy].paused_until.is_some_and(|until| until >= since)
     }
 
-    /// Writes the configuration of a new process, and opens its log.
-    pub fn prepare_start(&mut self, proxy: usize, config: &str) -> io::Result<PreparedStart> {
+    /// Chooses the admin address and the log file of a new process.
+    pub fn prepare_start(&mut self, proxy: usize, config: String) -> io::Result<PreparedStart> {
         let admin_address = self.free_address()?;
         let proxy = &mut self.proxies[proxy];
-        let path = proxy.folder.join("config.json");
-        // The file is replaced atomically, because a process may reload it at any time.
-        let temporary = proxy.folder.join("config.new");
-        std::fs::write(&temporary, config)?;
-        std::fs::rename(&temporary, &path)?;
-        let log = File::create(proxy.folder.join(format!("log-{}.txt", proxy.starts)))?;
+        let log_file = proxy.folder.join(format!("log-{}.txt", proxy.starts));
         proxy.starts += 1;
-        let mut command = Command::new(&self.paths.program);
-        command
-            .args(["serve", "--ops", &admin_address.to_string()])
-            .env("GW_CONFIG", &path)
-            .env("TMPDIR", &proxy.folder)
-            .stdin(Stdio::null())
-            .stdout(Stdio::null())
-            .stderr(log);
-        Ok(PreparedStart { command, admin_address })
+        let (program, folder) = (self.paths.program.clone(), proxy.folder.clone());
+        Ok(PreparedStart { program, folder, config, log_file, admin_address })
     }
 
     /// Adds a process that has started.
