--- a/src/net/client/query.rs
+++ b/src/net/client/query.rs
@@ -88,11 +88,11 @@
         message: ReceivedMessage,
         text: &AbridgedText,
     ) -> io::Result<Flow> {
-        let wait_at = text.message_range(&statement.timeout_range);
+        let timeout_range = text.message_range(&statement.timeout_range);
         let id = statement.id.clone();
         let request = self.new_request(statement, class, message.bytes.len(), message.received_at);
         self.no_request = None;
-        let query = Query { message: message.bytes, wait_at, room: self.reservation.take() };
+        let query = Query { message: message.bytes, timeout_range, reservation: self.reservation.take() };
         let (request, mut response) = self.shared.driver.submit(request, query);
         let id_guard = self.shared.request_ids.claim(id, self.number, request, self.stream.clone());
         let mut phase = self.shared.phase.subscribe();
@@ -165,8 +165,8 @@
     async fn write_value(&self, mut answer: Answer) -> io::Result<Flow> {
         let mut ready = Vec::new();
         postgres::push_ready_for_query(&mut ready);
-        let is_complete = !answer.goes_on();
-        let mut slices: Vec<_> = answer.pieces().map(IoSlice::new).collect();
+        let is_complete = !answer.has_more();
+        let mut slices: Vec<_> = answer.slices().map(IoSlice::new).collect();
         if is_complete {
             slices.push(IoSlice::new(&ready));
         }
@@ -176,7 +176,7 @@
             return Ok(Flow::Continue);
         }
         answer.clear();
-        while let Some(part) = answer.more().await? {
+        while let Some(part) = answer.next_chunk().await? {
             let mut slices: Vec<_> = part.slices(0..part.len()).map(IoSlice::new).collect();
             self.write_slices(&mut slices).await?;
         }
--- a/src/net/server/answer.rs
+++ b/src/net/server/answer.rs
@@ -26,9 +26,9 @@
     /// The complete message, from its type to the zero byte that ends its text.
     pub message: BufferChain,
     /// Where in it the digits of `d` are.
-    pub wait_at: Range<usize>,
+    pub timeout_range: Range<usize>,
     /// The buffers that it occupies, where one does not hold it.
-    pub room: Option<BufferReservation>,
+    pub reservation: Option<BufferReservation>,
 }
 
 impl Query {
@@ -36,11 +36,11 @@
     pub(super) async fn write(&self, stream: &TcpStream, time_left: Duration) -> io::Result<()> {
         let length = self.message.len();
         let timeout_ms = time_left.as_millis().max(1).to_string();
-        let header = postgres::encode_query_header(length - self.wait_at.len() + timeout_ms.len());
+        let header = postgres::encode_query_header(length - self.timeout_range.len() + timeout_ms.len());
         let mut slices = vec![IoSlice::new(&header)];
-        slices.extend(self.message.slices(header.len()..self.wait_at.start).map(IoSlice::new));
+        slices.extend(self.message.slices(header.len()..self.timeout_range.start).map(IoSlice::new));
         slices.push(IoSlice::new(timeout_ms.as_bytes()));
-        slices.extend(self.message.slices(self.wait_at.end..length).map(IoSlice::new));
+        slices.extend(self.message.slices(self.timeout_range.end..length).map(IoSlice::new));
         write_all(stream, &mut slices).await
     }
 }
@@ -64,12 +64,12 @@
     }
 
     /// The bytes that were received, buffer by buffer.
-    pub fn pieces(&self) -> impl Iterator<Item = &[u8]> {
+    pub fn slices(&self) -> impl Iterator<Item = &[u8]> {
         self.messages.iter().flat_map(|range| self.bytes.slices(range.clone()))
     }
 
     /// Whether more bytes follow.
-    pub fn goes_on(&self) -> bool {
+    pub fn has_more(&self) -> bool {
         self.rest.is_some()
     }
 
@@ -84,7 +84,7 @@
     /// # Errors
     ///
     /// Those of the socket, a timeout, and `InvalidData`: the value is incomplete then.
-    pub async fn more(&mut self) -> io::Result<Option<BufferChain>> {
+    pub async fn next_chunk(&mut self) -> io::Result<Option<BufferChain>> {
         let Some(rest) = &mut self.rest else { return Ok(None) };
         let chunk = rest.next_chunk().await?;
         if chunk.is_none() {
--- a/src/net/server/connection_pool.rs
+++ b/src/net/server/connection_pool.rs
@@ -141,7 +141,7 @@
 
     /// Records whether a connection broke at a query after it had been idle for so long.
     pub(super) fn record_reuse(&self, idle_time: Duration, broke: bool) {
-        self.reuse.borrow_mut().learn(self.now_secs(), idle_time, broke);
+        self.reuse.borrow_mut().record(self.now_secs(), idle_time, broke);
     }
 
     /// When a connection that is opened now must be up.
@@ -156,7 +156,7 @@
 
     /// Whether health checks return load reports.
     pub(super) fn health_checks_report(&self) -> bool {
-        self.options.borrow().probe_reports
+        self.options.borrow().health_checks_report
     }
 
     pub(super) fn max_sockets(&self) -> usize {
@@ -181,7 +181,7 @@
     fn is_reusable(&self, connection: &PooledConnection) -> bool {
         let idle_time = connection.idle_since.elapsed();
         let max_idle = self.options.borrow().max_idle;
-        let max_observed = self.reuse.borrow().most(self.now_secs());
+        let max_observed = self.reuse.borrow().max_idle_time(self.now_secs());
         (max_idle.is_zero() || idle_time < max_idle) && max_observed.is_none_or(|max| idle_time < max)
     }
 
--- a/src/net/server/options.rs
+++ b/src/net/server/options.rs
@@ -20,7 +20,7 @@
     /// Idle time after which a connection is not reused; zero for no limit.
     pub max_idle: Duration,
     /// Whether health checks return load reports.
-    pub probe_reports: bool,
+    pub health_checks_report: bool,
     /// Time within which an attempt or a health check must begin after it was decided on, where the settings
     /// bound it.
     pub start_timeout: Option<Duration>,
@@ -35,7 +35,7 @@
             max_sockets,
             connect_timeout: settings.limits.connect_timeout,
             max_idle: server_idle_timeout.mul_f64(MAX_IDLE_SHARE),
-            probe_reports: settings.load_reports == LoadReports::OnHealthCheck,
+            health_checks_report: settings.load_reports == LoadReports::OnHealthCheck,
             start_timeout: Some(start_timeout).filter(|timeout| !timeout.is_zero()),
         }
     }
--- a/src/net/server/reuse_statistics.rs
+++ b/src/net/server/reuse_statistics.rs
@@ -27,13 +27,13 @@
 
 impl ReuseStatistics {
     /// Records, at a time in seconds, whether a connection broke that had been idle for so long.
-    pub fn learn(&mut self, now: f64, idle_time: Duration, broke: bool) {
+    pub fn record(&mut self, now: f64, idle_time: Duration, broke: bool) {
         let share = idle_class(idle_time).map_or(&mut self.fresh, |class| &mut self.idle[class]);
         share.record(now, f64::from(u8::from(broke)), &BREAK_SHARE);
     }
 
     /// The idle time from which on a connection should not be reused, if there is one.
-    pub fn most(&self, now: f64) -> Option<Duration> {
+    pub fn max_idle_time(&self, now: f64) -> Option<Duration> {
         let usual = self.fresh.estimate(now, 0.0, &BREAK_SHARE);
         let max_share = MAX_BREAK_FACTOR * usual + MAX_BREAK_SHARE;
         let breaks_often = |share: &Ewma| share.estimate(now, usual, &BREAK_SHARE) > max_share;
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -165,13 +165,13 @@
     for _ in 0..100 {
         for (due, (share, idle_ms)) in breaks.iter_mut().zip([(young, 10), (old, 300)]) {
             *due += share;
-            statistics.learn(now, ms(idle_ms), *due >= 1.0);
+            statistics.record(now, ms(idle_ms), *due >= 1.0);
             *due %= 1.0;
         }
         now += 0.01;
     }
-    assert_eq!(statistics.most(now), is_limited.then_some(ms(256)));
-    assert_eq!(statistics.most(now + 100.0), None, "old connections are tried again after a while");
+    assert_eq!(statistics.max_idle_time(now), is_limited.then_some(ms(256)));
+    assert_eq!(statistics.max_idle_time(now + 100.0), None, "old connections are tried again after a while");
 }
 
 /// Otherwise a short lack of sockets would use up all attempts of a request within a few steps.
@@ -186,7 +186,7 @@
         max_sockets: 1,
         connect_timeout: ms(5000),
         max_idle: std::time::Duration::ZERO,
-        probe_reports: false,
+        health_checks_report: false,
         start_timeout: None,
     };
     let pool = BufferPool::default();
@@ -200,7 +200,9 @@
             .map(|_| {
                 let mut message = pool.chain();
                 message.extend(&query("SELECT d=0"));
-                driver.submit(new_request(ONCE), Query { message, wait_at: 14..15, room: None }).1
+                driver
+                    .submit(new_request(ONCE), Query { message, timeout_range: 14..15, reservation: None })
+                    .1
             })
             .collect();
         for response in responses {
