--- a/core/src/failover/attempt_log.rs
+++ b/core/src/failover/attempt_log.rs
@@ -1,28 +1,30 @@
-//! Records the attempts of one request and what is known of their execution.
+//! Records the attempts of one request and whether each of them may have executed the request.
 //!
-//! Owns the list of attempts. A request may be reported as not executed only if every attempt's outcome rules
-//! execution out: an attempt in flight may execute, and one that ended without such an outcome may have
-//! executed. Attempts are never removed. Times are seconds on the engine's clock.
+//! Owns the list of attempts; attempts are never removed. A request may be reported as not executed only if
+//! the outcome of every attempt rules out execution. An attempt in flight may still execute the request, and
+//! an attempt that ended without such an outcome may have executed it. Times are seconds on the engine's
+//! clock.
 
 use crate::api::{AttemptNumber, Idempotency, KeyScope, Outcome, ServerId};
 
-/// What is known of an attempt's execution.
+/// Evidence of whether an attempt executed its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionEvidence {
-    /// The attempt has not ended and may execute.
+    /// The attempt has not ended and may execute the request.
     InFlight,
     /// The server executed the request and responded.
     Executed,
-    /// The server did not execute it: it rejected the request, or did not receive all of it.
+    /// The server did not execute the request: it rejected the request or did not receive all of it.
     RuledOut,
-    /// The attempt ended without a response: the request may have been executed, or may be still.
+    /// The attempt ended without a response. The server may have executed the request or may still execute
+    /// it.
     Unknown,
 }
 
-/// Whether a client may repeat a request that the proxy gives up.
+/// Whether a client may safely retry a request that the proxy gives up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// The request was not executed, or is idempotent.
+    /// The request was not executed or is idempotent.
     Safe,
     /// The request may have been executed and is not idempotent.
     Unknown,
@@ -31,13 +33,13 @@
 /// An attempt that may have executed the request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PossibleExecution {
-    /// When the attempt was sent, in seconds on the engine's clock.
+    /// Time at which the attempt was sent, in seconds on the engine's clock.
     pub sent_at: f64,
-    /// The server that it was sent to.
+    /// Server to which the attempt was sent.
     pub server: ServerId,
 }
 
-/// One attempt.
+/// An attempt and the evidence of its execution.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct LoggedAttempt {
     number: u32,
@@ -46,14 +48,14 @@
     evidence: ExecutionEvidence,
 }
 
-/// The attempts of one request, in the order in which they were sent.
+/// The attempts of one request in the order in which they were sent.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AttemptLog {
     attempts: Vec<LoggedAttempt>,
 }
 
 impl ExecutionEvidence {
-    /// What the outcome of an attempt shows.
+    /// Returns the evidence that the outcome of an attempt provides.
     pub fn from_outcome(outcome: Outcome) -> Self {
         match outcome {
             Outcome::Success => Self::Executed,
@@ -70,7 +72,7 @@
         self.attempts.push(LoggedAttempt { number, server, sent_at: now, evidence });
     }
 
-    /// Records the outcome of an attempt. An attempt that is unknown or has ended already is left as it is.
+    /// Records the outcome of an attempt. Ignores attempts that are unknown or have already ended.
     pub fn record_ended(&mut self, number: AttemptNumber, outcome: Outcome) {
         let attempt = self
             .attempts
@@ -81,7 +83,7 @@
         }
     }
 
-    /// The first attempt that has ended and may have executed the request.
+    /// Returns the first attempt that has ended and may have executed the request; `None` if there is none.
     pub fn first_possible_execution(&self) -> Option<PossibleExecution> {
         let attempt = self.attempts.iter().find(|attempt| {
             matches!(attempt.evidence, ExecutionEvidence::Executed | ExecutionEvidence::Unknown)
@@ -89,19 +91,19 @@
         Some(PossibleExecution { sent_at: attempt.sent_at, server: attempt.server })
     }
 
-    /// Whether an attempt is in flight at a server.
+    /// Returns whether an attempt is in flight at a server.
     pub fn is_in_flight_at(&self, server: ServerId) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.server == server && attempt.evidence == ExecutionEvidence::InFlight)
     }
 
-    /// Whether any attempt, ended or in flight, may execute or have executed the request.
+    /// Returns whether any attempt may have executed the request or, if in flight, may still execute it.
     pub fn may_have_executed(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.evidence != ExecutionEvidence::RuledOut)
     }
 
-    /// Whether the client may repeat the request if it is given up now.
+    /// Returns whether the client may safely retry the request if the proxy gives it up now.
     pub fn retry_safety(&self, idempotency: Idempotency) -> RetrySafety {
         match idempotency {
             Idempotency::Idempotent | Idempotency::WithKey { scope: KeyScope::All, .. } => RetrySafety::Safe,
--- a/core/src/failover/failover_duration.rs
+++ b/core/src/failover/failover_duration.rs
@@ -1,23 +1,24 @@
-//! Estimates how long a failover will last, from the durations of earlier ones.
+//! Estimates how long a failover will last from the durations of earlier failovers.
 //!
-//! Owns a bounded sample of durations for each kind of failover. The chance that a failover ends within some
-//! time is the share of the sample's longer durations that end by then. One further value stands for what the
-//! sample does not cover and follows the Lindy rule: after e seconds, the chance of an end within t more is
-//! t / (t + e). So a failover that has outlasted the whole sample is expected to last about as long again.
-//! Times are seconds.
+//! Owns a bounded sample of durations for each kind of failover. The probability that a failover ends within
+//! a given time is the share of the longer durations in the sample that end by then. One additional value
+//! represents durations that the sample does not cover. This value follows the Lindy effect: after e seconds,
+//! the probability that the failover ends within the next t seconds is t / (t + e). A failover that has
+//! outlasted the whole sample is therefore expected to last about as long again. Times are seconds.
 
 use crate::api::FailoverKind;
 
-/// Durations that are stored for each kind.
+/// Maximum number of durations stored for each kind.
 const MAX_SAMPLES: usize = 24;
-/// Assumed durations of planned failovers before any was observed, in seconds. Each counts like an observed
-/// one and is evicted first.
+/// Assumed durations of planned failovers before any was observed, in seconds. Each has the same weight as an
+/// observed duration and is evicted first.
 const PRIOR_PLANNED_SECS: [f64; 3] = [0.3, 0.5, 0.8];
 /// Assumed durations of unplanned failovers before any was observed, in seconds.
 const PRIOR_UNPLANNED_SECS: [f64; 3] = [3.0, 4.5, 6.0];
-/// A planned failover that took longer counts as unplanned: its primary was lost on the way, unobserved.
+/// Longest duration of a planned failover, in seconds. A longer one counts as unplanned, because the primary
+/// must have been lost during the handover without being observed.
 const MAX_PLANNED_SECS: f64 = 2.0;
-/// Least time that is still expected of a failover that has outlasted the sample, in seconds.
+/// Lower bound of the expected remaining time of a failover that has outlasted the sample, in seconds.
 const MIN_REMAINING_SECS: f64 = 0.1;
 
 /// Durations of failovers by kind, in seconds, oldest first.
@@ -33,7 +34,7 @@
     }
 }
 
-/// The expected end of a failover in progress.
+/// Forecast of when a failover in progress ends.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RecoveryForecast<'sample> {
     sample: &'sample [f64],
@@ -41,12 +42,12 @@
 }
 
 impl FailoverDurations {
-    /// An empty sample, without the assumed durations.
+    /// Returns an empty sample without the assumed durations.
     pub fn empty() -> Self {
         Self { planned: Vec::new(), unplanned: Vec::new() }
     }
 
-    /// Adds the duration of a failover. Values that are negative or not finite are ignored.
+    /// Adds the duration of a failover. Ignores values that are negative or not finite.
     pub fn record(&mut self, kind: FailoverKind, duration_secs: f64) {
         if !duration_secs.is_finite() || duration_secs < 0.0 {
             return;
@@ -58,17 +59,17 @@
         sample.drain(..excess);
     }
 
-    /// The forecast for a failover that has lasted `elapsed_secs` so far.
+    /// Returns the forecast for a failover that began `elapsed_secs` ago.
     pub fn forecast(&self, kind: FailoverKind, elapsed_secs: f64) -> RecoveryForecast<'_> {
         RecoveryForecast { sample: self.sample(kind), elapsed_secs: elapsed_secs.max(0.0) }
     }
 
-    /// The shortest stored duration of a kind in seconds; infinite if there is none.
+    /// Returns the shortest stored duration of a kind in seconds; infinite if there is none.
     pub fn shortest(&self, kind: FailoverKind) -> f64 {
         self.sample(kind).iter().copied().fold(f64::INFINITY, f64::min)
     }
 
-    /// The stored durations of a kind in seconds, oldest first.
+    /// Returns the stored durations of a kind in seconds, oldest first.
     pub fn sample(&self, kind: FailoverKind) -> &[f64] {
         match kind {
             FailoverKind::Planned => &self.planned,
@@ -76,19 +77,19 @@
         }
     }
 
-    /// Adds the durations that another process of this proxy instance has stored.
+    /// Adds the durations stored by another process of this proxy instance.
     pub fn restore(&mut self, kind: FailoverKind, sample: &[f64]) {
         sample.iter().for_each(|duration_secs| self.record(kind, *duration_secs));
     }
 }
 
 impl RecoveryForecast<'_> {
-    /// The stored durations that are longer than the failover has lasted.
+    /// Returns the stored durations that are longer than the elapsed time of the failover.
     fn longer_durations(&self) -> impl Iterator<Item = f64> + '_ {
         self.sample.iter().copied().filter(|duration| *duration > self.elapsed_secs)
     }
 
-    /// The chance that the failover ends within so many seconds from now.
+    /// Returns the probability that the failover ends within `within_secs` from now.
     pub fn chance_within(&self, within_secs: f64) -> f64 {
         if within_secs <= 0.0 {
             return 0.0;
@@ -99,18 +100,19 @@
             longer += 1;
             ended_in_time += u32::from(duration <= self.elapsed_secs + within_secs);
         }
-        let lindy = within_secs / (within_secs + self.elapsed_secs.max(within_secs));
-        (f64::from(ended_in_time) + lindy) / (f64::from(longer) + 1.0)
+        let lindy_chance = within_secs / (within_secs + self.elapsed_secs.max(within_secs));
+        (f64::from(ended_in_time) + lindy_chance) / (f64::from(longer) + 1.0)
     }
 
-    /// The time in seconds from now by which the given share of such failovers has ended.
+    /// Returns the time in seconds from now by which `share` of such failovers have ended.
     pub fn quantile(&self, share: f64) -> f64 {
         let mut longer: Vec<f64> = self.longer_durations().collect();
         longer.sort_by(f64::total_cmp);
         let rank = (share.clamp(0.0, 1.0) * longer.len() as f64).ceil() as usize;
         match longer.get(rank.saturating_sub(1)) {
             Some(duration) => duration - self.elapsed_secs,
-            // It has outlasted the sample: the Lindy rule's median is the elapsed time.
+            // The failover has outlasted the sample. By the Lindy effect, the median remaining time is the
+            // elapsed time.
             None => self.elapsed_secs.max(MIN_REMAINING_SECS),
         }
     }
--- a/core/src/failover/failover_duration/tests.rs
+++ b/core/src/failover/failover_duration/tests.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 #[test]
-fn observed_durations_replace_the_prior() {
+fn observed_durations_replace_the_assumed_ones() {
     let mut durations = FailoverDurations::default();
     assert!((durations.forecast(FailoverKind::Unplanned, 0.0).quantile(0.5) - 4.5).abs() < 1e-9);
     for number in 0..MAX_SAMPLES {
@@ -38,7 +38,7 @@
 }
 
 proptest! {
-    /// The chance of a recovery is a probability and does not fall as the time grows.
+    /// The result is a probability and does not decrease as the time span grows.
     #[test]
     fn the_chance_of_recovery_grows_with_time(
         sample in prop::collection::vec(0.0..20.0f64, 0..40), elapsed in 0.0..30.0f64,
--- a/core/src/failover/failure_detector.rs
+++ b/core/src/failover/failure_detector.rs
@@ -1,30 +1,32 @@
-//! Decides how long a primary may be silent before it is suspected and its writes are buffered.
+//! Computes how long a primary may be silent before it is suspected and its writes are buffered.
 //!
-//! The threshold is far below the one at which a server counts as down: buffering a write costs little, while
-//! sending it to a primary that hangs makes its outcome unknown. Any response lifts the suspicion, and a
-//! suspicion is no evidence of a failure, since the process may only be paused.
+//! The threshold is far below the one at which a server is marked as down. Buffering a write costs little,
+//! whereas a write sent to a hanging primary has an unknown outcome. Any response ends the suspicion. A
+//! suspicion is not evidence of a failure, because the process may only be paused.
 //!
 //! Owns the response time estimate of one replica set's primary. Times are seconds on the engine's clock.
 
-/// Lower bound of the threshold: shorter silence is scheduling noise.
+/// Lower bound of the threshold in seconds. Shorter silences are scheduling noise.
 const MIN_THRESHOLD_SECS: f64 = 0.03;
-/// Upper bound of the threshold, which limits the writes sent to a silent primary that is usually slow.
+/// Upper bound of the threshold in seconds. Limits the number of writes sent to a silent primary whose
+/// responses are usually slow.
 const MAX_THRESHOLD_SECS: f64 = 0.8;
-/// Deviations of the response time that the threshold adds to the mean.
+/// Multiple of the mean deviation of the response time that is added to the mean.
 const DEVIATION_FACTOR: f64 = 3.0;
-/// Unanswered attempts at which the threshold applies as it is. With fewer the threshold rises in proportion,
-/// because one late response may be due to the request itself: with exponential response times, n attempts
-/// are all later than t with probability exp(-n t / mean).
+/// Number of unanswered attempts from which on the threshold is not raised. With fewer attempts, the
+/// threshold rises in inverse proportion, because one late response may be caused by the request itself. With
+/// exponentially distributed response times, n attempts all take longer than t with probability
+/// exp(-n * t / mean).
 const FULL_EVIDENCE_ATTEMPTS: f64 = 3.0;
-/// Responses from which on the estimate rests on the primary's own response times alone.
+/// Number of responses from which on the estimate uses only the primary's own response times.
 const MIN_RESPONSES: f64 = 10.0;
 /// Weight of a new response time in the mean, as in RFC 6298.
 const MEAN_GAIN: f64 = 1.0 / 8.0;
 /// Weight of a new response time in the deviation, as in RFC 6298.
 const DEVIATION_GAIN: f64 = 1.0 / 4.0;
 
-/// The response time of a replica set's primary: smoothed mean and mean deviation, as RFC 6298 computes them
-/// for TCP's retransmission timer. Only responses count, so an outage does not raise the estimate.
+/// Response time of a replica set's primary: smoothed mean and mean deviation, as computed by RFC 6298 for
+/// TCP's retransmission timer. Only responses are recorded, so an outage does not raise the estimate.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ResponseTimes {
     mean_secs: f64,
@@ -33,7 +35,7 @@
 }
 
 impl ResponseTimes {
-    /// Records a response time. Values that are negative or not finite are ignored.
+    /// Records a response time. Ignores values that are negative or not finite.
     pub fn record(&mut self, response_secs: f64) {
         if !response_secs.is_finite() || response_secs < 0.0 {
             return;
@@ -48,37 +50,37 @@
         self.response_count += 1.0;
     }
 
-    /// Smoothed mean in seconds.
+    /// Returns the smoothed mean in seconds; 0 before the first response.
     pub fn mean_secs(&self) -> f64 {
         self.mean_secs
     }
 
-    /// Mean deviation in seconds.
+    /// Returns the mean deviation in seconds; 0 before the first response.
     pub fn deviation_secs(&self) -> f64 {
         self.deviation_secs
     }
 
-    /// Number of response times recorded.
+    /// Returns the number of recorded response times.
     pub fn response_count(&self) -> f64 {
         self.response_count
     }
 }
 
-/// What the threshold on a primary's silence depends on, beside its response times.
+/// Parameters of the silence threshold other than the primary's response times.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SilenceThreshold {
-    /// Assumed response time before the primary has responded often enough, in seconds.
+    /// Response time that is assumed until the primary has responded often enough, in seconds.
     pub typical_response_secs: f64,
-    /// How many times slower the primary is than usual, because it is warming up.
+    /// Factor by which the primary is slower than usual during its warm-up; 1 if it is not slower.
     pub slowdown: f64,
-    /// Multiple of the mean response time that the threshold allows.
+    /// Multiple of the mean response time that is included in the threshold.
     pub suspicion_factor: f64,
-    /// Attempts in flight at the primary that count as unanswered.
+    /// Number of attempts in flight at the primary that count as unanswered.
     pub unanswered: usize,
 }
 
 impl SilenceThreshold {
-    /// The silence in seconds from which on the primary is suspected.
+    /// Returns the silence in seconds from which on the primary is suspected.
     pub fn threshold_secs(&self, times: ResponseTimes) -> f64 {
         let typical = self.typical_response_secs;
         let own_share = (times.response_count / MIN_RESPONSES).min(1.0);
@@ -89,8 +91,9 @@
         (self.slowdown * evidence_factor * response_bound).clamp(MIN_THRESHOLD_SECS, MAX_THRESHOLD_SECS)
     }
 
-    /// When the primary is suspected unless it responds before, given its last response and the time at which
-    /// the oldest unanswered attempt was sent. None if no attempt is unanswered.
+    /// Returns the time at which the primary is suspected unless it responds earlier; `None` if no attempt is
+    /// unanswered. `last_response_at` is the time of its last response, `oldest_unanswered_at` the time at
+    /// which the oldest unanswered attempt was sent.
     pub fn suspects_at(
         &self,
         times: ResponseTimes,
--- a/core/src/failover/failure_detector/tests.rs
+++ b/core/src/failover/failure_detector/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn silence_counts_only_while_an_attempt_is_unanswered() {
+fn silence_is_suspicious_only_while_an_attempt_is_unanswered() {
     let times = steady(0.08);
     assert_eq!(THRESHOLD.suspects_at(times, 5.0, None), None);
     let threshold = THRESHOLD.threshold_secs(times);
@@ -20,12 +20,12 @@
     assert_eq!(
         THRESHOLD.suspects_at(times, 5.0, Some(4.0)),
         Some(5.0 + threshold),
-        "it responded after the attempt was sent"
+        "the primary responded after the attempt was sent"
     );
     assert_eq!(
         THRESHOLD.suspects_at(times, 5.0, Some(6.0)),
         Some(6.0 + threshold),
-        "it was idle until the attempt was sent"
+        "the primary was idle until the attempt was sent"
     );
 }
 
@@ -39,15 +39,20 @@
     );
     assert!(
         (THRESHOLD.threshold_secs(ResponseTimes::default()) - 0.275).abs() < 1e-9,
-        "without responses the typical response time counts"
+        "without responses, the typical response time is used"
     );
 }
 
 #[test]
 fn fewer_unanswered_attempts_raise_the_threshold() {
-    // With one request in flight each, 100 proxies suspected 1,006 healthy primaries in 5 s.
-    let one = SilenceThreshold { unanswered: 1, ..THRESHOLD };
-    assert!((one.threshold_secs(steady(0.08)) - 0.3).abs() < 1e-6, "{}", one.threshold_secs(steady(0.08)));
+    // Guards against a threshold that ignores the number of unanswered attempts: when each of 100 proxies had
+    // one request in flight, the proxies suspected healthy primaries 1,006 times within 5 s.
+    let one_unanswered = SilenceThreshold { unanswered: 1, ..THRESHOLD };
+    assert!(
+        (one_unanswered.threshold_secs(steady(0.08)) - 0.3).abs() < 1e-6,
+        "{}",
+        one_unanswered.threshold_secs(steady(0.08))
+    );
     assert_eq!(
         SilenceThreshold { unanswered: 9, ..THRESHOLD }.threshold_secs(steady(0.08)),
         THRESHOLD.threshold_secs(steady(0.08))
@@ -62,7 +67,7 @@
     (0..9).for_each(|_| times.record(0.08));
     assert!(
         THRESHOLD.threshold_secs(times) < 0.25,
-        "ten responses replace the typical response time: {}",
+        "after ten responses, the estimate no longer uses the typical response time: {}",
         THRESHOLD.threshold_secs(times)
     );
 }
--- a/core/src/failover/mod.rs
+++ b/core/src/failover/mod.rs
@@ -1,13 +1,15 @@
-//! Failover: who the primary of a replica set is, when writes are buffered, and how they are released.
+//! Failover: tracks the primary of each replica set, buffers writes while there is none, and releases them to
+//! the new primary.
 //!
-//! Each replica set has a [`ReplicaSet`], which receives evidence and is asked before each write. Its parts
-//! are the [`PrimaryTracker`] (claims, ordered by epochs), the [`Phase`] (the state machine), the failure
-//! detector ([`ResponseTimes`] and [`SilenceThreshold`]), the [`FailoverDurations`] (how long failovers
-//! take), the [`BufferRelease`] (how buffered writes are released) and the schedule of inquiries after the
-//! primary. A [`BufferedWrite`] is kept or rejected by the forecast, within the limits of [`BufferUsage`].
-//! The [`AttemptLog`] of a request records whether it may have been executed.
+//! Each replica set has a [`ReplicaSet`], which receives evidence and is consulted before each write. A
+//! `ReplicaSet` consists of the [`PrimaryTracker`] (claims, ordered by epochs), the [`Phase`] (the state
+//! machine), the failure detector ([`ResponseTimes`] and [`SilenceThreshold`]), the [`FailoverDurations`]
+//! (durations of earlier failovers), the [`BufferRelease`] (the limit on buffered writes in flight) and the
+//! schedule of the search for the primary. A [`BufferedWrite`] is kept or rejected according to the
+//! [`RecoveryForecast`], within the limits of [`BufferUsage`]. The [`AttemptLog`] of a request records
+//! whether the request may have been executed.
 //!
-//! This module chooses no server for a read, sends nothing and reads no clock: times are seconds on the
+//! This module selects no servers for reads, performs no I/O and reads no clock. Times are seconds on the
 //! engine's clock. `docs/failover.md` describes the design.
 
 mod attempt_log;
--- a/core/src/failover/phase.rs
+++ b/core/src/failover/phase.rs
@@ -1,93 +1,96 @@
-//! The state machine of one replica set's primary.
+//! State machine of the failovers of one replica set.
 //!
-//! Defines which phase follows which on what input, and owns no other state. Time alone never changes the
-//! phase: the caller watches the clock and passes an input when a timeout expires. Times are seconds on the
-//! engine's clock.
+//! Defines the transition for each phase and input, and owns no other state. The passage of time alone does
+//! not change the phase: the caller checks timeouts and passes an input when one expires. Times are seconds
+//! on the engine's clock.
 
 use crate::api::FailoverKind;
 
-/// The state of a replica set's primary.
+/// Failover phase of a replica set.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum Phase {
-    /// A primary takes writes, and no failover is in progress.
+    /// The primary accepts writes, and no failover is in progress.
     #[default]
     Steady,
-    /// The primary has been silent for too long: writes are buffered until it responds.
+    /// The primary has been silent for longer than the failure detector allows. Writes are buffered until the
+    /// primary responds.
     Suspected {
-        /// When its silence began.
+        /// Time at which the silence of the primary began.
         since: f64,
     },
     /// The primary drains, and no server has claimed to be its successor.
     Draining {
-        /// When the drain was reported.
+        /// Time at which the drain was reported.
         since: f64,
     },
-    /// The primary has stepped down by itself, and no successor is known.
+    /// The primary stepped down, and no successor is known.
     HandingOver {
-        /// When the failover began.
+        /// Time at which the failover began.
         since: f64,
     },
     /// The primary is lost, and no successor is known.
     NoPrimary {
-        /// When the last primary's silence began.
+        /// Time at which the failover began: the start of the last primary's silence or, if the primary
+        /// drained before, the start of the drain.
         since: f64,
     },
-    /// A server has claimed to be the primary, and has served no write yet.
+    /// A server has claimed to be the primary but has not served a write yet.
     TakingOver {
-        /// When the failover began.
+        /// Time at which the failover began.
         since: f64,
     },
-    /// The primary serves writes, and the buffered ones are being released.
+    /// The primary serves writes, and the buffered writes are being released.
     Releasing,
 }
 
-/// An input of the state machine.
+/// Input of the state machine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PhaseInput {
-    /// The primary has been silent for longer than the failure detector allows, since this time.
+    /// The primary has been silent since this time, for longer than the failure detector allows.
     ResponseOverdue(f64),
     /// The primary responded.
     Responded,
     /// The primary started to drain at this time.
     DrainStarted(f64),
-    /// The primary reported at this time that it is no primary.
-    RoleDenied(f64),
-    /// The primary counts as down or was removed; its silence began at this time.
+    /// The primary reported at this time that it is no longer the primary.
+    SteppedDown(f64),
+    /// The primary is down, has been silent for too long or was removed. The time is the start of its
+    /// silence, or the time of the removal.
     Lost(f64),
-    /// Another server's claim to be the primary was accepted at this time.
+    /// The claim of another server to be the primary was accepted at this time.
     ClaimAccepted(f64),
     /// The primary served a write.
     WriteServed,
-    /// The buffered writes were released.
+    /// No buffered writes are left, or the release no longer limits the writes in flight.
     ReleaseCompleted,
 }
 
 impl Phase {
-    /// The phase that follows on an input.
-    pub fn after(self, input: PhaseInput) -> Self {
+    /// Returns the phase that follows this phase on an input.
+    pub fn transition(self, input: PhaseInput) -> Self {
         use PhaseInput::{
-            ClaimAccepted, DrainStarted, Lost, ReleaseCompleted, Responded, ResponseOverdue, RoleDenied,
+            ClaimAccepted, DrainStarted, Lost, ReleaseCompleted, Responded, ResponseOverdue, SteppedDown,
             WriteServed,
         };
         let began_at = self.failover_began_at();
         match (self, input) {
             (Self::Steady | Self::Releasing, ResponseOverdue(since)) => Self::Suspected { since },
-            // A successor that fails before it has served a write: the same failover goes on.
+            // The successor failed before it served a write, so the same failover continues.
             (Self::TakingOver { since }, ResponseOverdue(_) | Lost(_)) => Self::NoPrimary { since },
-            (Self::TakingOver { since }, RoleDenied(_) | DrainStarted(_)) => Self::HandingOver { since },
+            (Self::TakingOver { since }, SteppedDown(_) | DrainStarted(_)) => Self::HandingOver { since },
             (Self::Suspected { .. }, Responded) => Self::Releasing,
-            // After a long silence it has to serve a write before it is trusted again.
+            // After a long silence, the primary has to serve a write before the buffered writes are released.
             (Self::NoPrimary { since }, Responded) => Self::TakingOver { since },
             (Self::Suspected { since }, Lost(_)) => Self::NoPrimary { since },
             (Self::Steady | Self::Releasing, Lost(since)) => Self::NoPrimary { since },
-            // The primary is lost during its drain: the failover is no longer a planned one.
+            // The primary was lost during a drain or handover, so the failover becomes unplanned.
             (Self::Draining { since } | Self::HandingOver { since }, Lost(_)) => Self::NoPrimary { since },
             (Self::Steady | Self::Releasing, DrainStarted(at)) => Self::Draining { since: at },
             (Self::Suspected { since }, DrainStarted(_)) => Self::NoPrimary { since },
-            (Self::Steady | Self::Releasing | Self::Draining { .. }, RoleDenied(at)) => {
+            (Self::Steady | Self::Releasing | Self::Draining { .. }, SteppedDown(at)) => {
                 Self::HandingOver { since: began_at.unwrap_or(at) }
             }
-            (Self::Suspected { since } | Self::NoPrimary { since }, RoleDenied(_)) => {
+            (Self::Suspected { since } | Self::NoPrimary { since }, SteppedDown(_)) => {
                 Self::NoPrimary { since }
             }
             (_, ClaimAccepted(at)) => Self::TakingOver { since: began_at.unwrap_or(at) },
@@ -97,7 +100,7 @@
         }
     }
 
-    /// When the failover in progress began, if there is one.
+    /// Returns the time at which the failover in progress began; `None` if no failover is in progress.
     pub fn failover_began_at(self) -> Option<f64> {
         match self {
             Self::Steady | Self::Releasing => None,
@@ -109,7 +112,8 @@
         }
     }
 
-    /// The kind of the failover in progress, as far as is known.
+    /// Returns the kind of the failover in progress, as far as it can be observed; `None` if no failover is
+    /// in progress.
     pub fn failover_kind(self) -> Option<FailoverKind> {
         match self {
             Self::Steady | Self::Releasing => None,
@@ -120,12 +124,12 @@
         }
     }
 
-    /// Whether writes may be sent to the known primary.
+    /// Returns whether writes may be sent to the known primary.
     pub fn takes_writes(self) -> bool {
         matches!(self, Self::Steady | Self::Releasing | Self::TakingOver { .. })
     }
 
-    /// The name of the phase in log lines.
+    /// Returns the name of the phase in log lines.
     pub fn name(self) -> &'static str {
         match self {
             Self::Steady => "steady",
--- a/core/src/failover/phase/tests.rs
+++ b/core/src/failover/phase/tests.rs
@@ -22,18 +22,18 @@
 #[case::the_successor_serves_a_write(TAKING_OVER, WriteServed, Phase::Releasing)]
 #[case::the_buffer_is_released(Phase::Releasing, ReleaseCompleted, Phase::Steady)]
 #[case::the_primary_drains(Phase::Steady, DrainStarted(5.0), DRAINING)]
-#[case::a_draining_primary_steps_down(DRAINING, RoleDenied(7.0), HANDING_OVER)]
-#[case::a_primary_steps_down(Phase::Steady, RoleDenied(5.0), HANDING_OVER)]
+#[case::a_draining_primary_steps_down(DRAINING, SteppedDown(7.0), HANDING_OVER)]
+#[case::a_primary_steps_down(Phase::Steady, SteppedDown(5.0), HANDING_OVER)]
 #[case::a_draining_primary_is_lost(DRAINING, Lost(7.0), NO_PRIMARY)]
 #[case::a_suspected_primary_drains(SUSPECTED, DrainStarted(7.0), NO_PRIMARY)]
 #[case::the_successor_is_lost(TAKING_OVER, Lost(9.0), NO_PRIMARY)]
 #[case::the_successor_falls_silent(TAKING_OVER, ResponseOverdue(9.0), NO_PRIMARY)]
-#[case::the_successor_steps_down(TAKING_OVER, RoleDenied(9.0), HANDING_OVER)]
+#[case::the_successor_steps_down(TAKING_OVER, SteppedDown(9.0), HANDING_OVER)]
 #[case::silence_during_the_release(Phase::Releasing, ResponseOverdue(5.0), SUSPECTED)]
 #[case::a_late_response_to_a_write(SUSPECTED, WriteServed, SUSPECTED)]
 #[case::a_repeated_input(NO_PRIMARY, Lost(9.0), NO_PRIMARY)]
 fn an_input_leads_to_the_expected_phase(#[case] from: Phase, #[case] input: PhaseInput, #[case] to: Phase) {
-    assert_eq!(from.after(input), to);
+    assert_eq!(from.transition(input), to);
 }
 
 #[test]
--- a/core/src/failover/primary_loss.rs
+++ b/core/src/failover/primary_loss.rs
@@ -1,21 +1,21 @@
-//! Why a primary is suspected or counts as lost, with the evidence, and how often each cause occurred.
+//! Causes for which a primary is suspected or lost, with the evidence and a counter for each cause.
 //!
-//! Owns the counters. They decide nothing: they let operators tell a fault of the detector from one of the
-//! primary. Times are seconds.
+//! The counters do not affect any decision. They help operators to distinguish false alarms of the failure
+//! detector from faults of the primary. Times are seconds.
 
 use std::fmt;
 
 use super::{PrimaryObservation, ResponseTimes};
 use crate::api::ServerId;
 
-/// Why a primary is suspected or counts as lost.
+/// Cause for which a primary is suspected or lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PrimaryLossCause {
-    /// Its responses are overdue.
+    /// The primary's responses are overdue.
     Silent,
-    /// Connections to it failed or broke.
+    /// Connections to the primary failed or were closed.
     Dead,
-    /// Attempts there timed out, one after another.
+    /// Several consecutive attempts at the primary timed out.
     Unresponsive,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// How often primaries were suspected or counted as lost, by cause, since the process started.
+/// Number of times that primaries were suspected or lost since the process started, by cause.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct PrimaryLossCounts {
     silent: u64,
@@ -38,7 +38,7 @@
 }
 
 impl PrimaryLossCounts {
-    /// Counts one more, and returns how many of this cause there are now.
+    /// Increments the counter of a cause and returns its new value.
     pub fn record(&mut self, cause: PrimaryLossCause) -> u64 {
         let count = match cause {
             PrimaryLossCause::Silent => &mut self.silent,
@@ -50,20 +50,20 @@
     }
 }
 
-/// The evidence on which a primary is suspected or counts as lost, shown as a part of a log line.
+/// Evidence for which a primary is suspected or lost. Formatted as part of a log line.
 #[derive(Debug, Clone, Copy)]
 pub struct PrimaryLossEvidence {
     /// The primary.
     pub server: ServerId,
-    /// The cause.
+    /// Cause of the suspicion or loss.
     pub cause: PrimaryLossCause,
-    /// How often this cause has occurred, this time included.
+    /// Number of occurrences of this cause since the process started, including this one.
     pub cause_count: u64,
-    /// What was observed.
+    /// Observed state of the primary.
     pub observation: PrimaryObservation,
-    /// The primary's response times.
+    /// Response times of the primary.
     pub response_times: ResponseTimes,
-    /// When it was observed.
+    /// Time of the observation, in seconds on the engine's clock.
     pub now: f64,
 }
 
--- a/core/src/failover/primary_loss/tests.rs
+++ b/core/src/failover/primary_loss/tests.rs
@@ -4,7 +4,7 @@
 use crate::failover::SilenceThreshold;
 
 #[test]
-fn causes_are_counted_apart() {
+fn each_cause_has_its_own_counter() {
     let mut counts = PrimaryLossCounts::default();
     assert_eq!(counts.record(PrimaryLossCause::Silent), 1);
     assert_eq!(counts.record(PrimaryLossCause::Dead), 1);
@@ -12,9 +12,9 @@
     assert_eq!(counts.record(PrimaryLossCause::Unresponsive), 1);
 }
 
-/// Guards against a primary that counts as lost without a trace of why.
+/// Guards against log lines that report a lost primary without the evidence for it.
 #[test]
-fn the_evidence_names_each_input_of_the_threshold() {
+fn the_log_text_contains_each_input_of_the_threshold() {
     let mut response_times = ResponseTimes::default();
     response_times.record(0.04);
     let silence_threshold =
--- a/core/src/failover/primary_tracker.rs
+++ b/core/src/failover/primary_tracker.rs
@@ -1,121 +1,124 @@
-//! Tracks which server is the primary of one replica set, by epochs.
+//! Tracks which server is the primary of one replica set.
 //!
-//! Each accepted claim begins an epoch. The primary of the epoch before counts as deposed: its claims are
-//! stale until it reports that it is a replica, which shows that it knows of its deposition, or until the
-//! primary of the current epoch is lost. Of two servers that claim the role, the later one becomes primary
-//! and is tested by a single write. If it falls silent instead of serving that write, it loses the epoch to
-//! the other server's next claim. The rules cover the endpoint list, which is late, responses that were
-//! already in flight, and a former primary that returns unaware of its deposition.
+//! Each accepted claim starts a new epoch and deposes the primary of the previous epoch. The claims of a
+//! deposed server are stale until the server reports that it is a replica, which shows that the server knows
+//! of its deposition, or until the primary of the current epoch is lost or withdrawn. If two servers claim to
+//! be the primary, the server with the later claim becomes the primary and is tested with a single write. If
+//! that server does not respond to the write, it is marked as lost, and the next fresh claim of the other
+//! server is accepted. These rules also handle an outdated endpoint list, responses that were in flight
+//! during the failover, and a former primary that returns without knowing of its deposition.
 //!
-//! Owns the current claim, and the last role evidence of every other server. Invariant: a deposed server's
-//! claim is not accepted if it was in flight at the deposition. Times are seconds on the engine's clock; an
-//! attempt that was sent at the time of an observation counts as sent after it.
+//! The tracker owns the current claim and the last role evidence of every other server. Invariant: a claim of
+//! a deposed server is not accepted if the claim was in flight at the deposition. Times are seconds on the
+//! engine's clock. An attempt with the same timestamp as an observation counts as sent after the observation.
 
 use std::collections::BTreeMap;
 
 use crate::api::ServerId;
 
-/// After this time a deposed primary that is up has learned of its deposition. It may be asked again then,
-/// because it may have been elected again.
-const DEPOSITION_NOTICE_SECS: f64 = 2.0;
+/// Time after which a running server has learned of its deposition, in seconds. The server may then receive
+/// search attempts again, because it may have been elected again.
+const MAX_DEPOSITION_NOTICE_DELAY_SECS: f64 = 2.0;
 
-/// Two responses of one server may overtake each other by up to this time. A response reports the role at the
-/// time at which it was written, so beyond this time the later response counts, whenever its attempt was
-/// sent.
+/// Longest time by which two responses of one server may arrive out of order, in seconds. A response reports
+/// the role that the server had when it wrote the response. Of two responses further apart than this, the
+/// later one therefore counts, regardless of when their attempts were sent.
 const MAX_REORDERING_SECS: f64 = 0.02;
 
-/// What is known of the role of a server that is not the primary.
+/// Last evidence of the role of a server that is not the current primary.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RoleEvidence {
-    /// The server reported at this time that it is no primary.
-    Denied(f64),
-    /// Another server's claim was accepted at this time, and this server has not acknowledged it since.
+    /// The server reported at this time that it is not the primary.
+    NotPrimary(f64),
+    /// A claim of another server was accepted at this time, and this server has not reported since then that
+    /// it is a replica.
     Deposed(f64),
 }
 
-/// A server's report on its role.
+/// A server's report of its own role.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RoleReport {
-    /// The server.
+    /// Server that sent the report.
     pub server: ServerId,
-    /// When the response arrived or, for a load report, when it was true.
+    /// Arrival time of the response or, for a load report, the time for which the report is valid.
     pub observed_at: f64,
-    /// When the attempt was sent that the response answers, where that is known.
+    /// Time at which the attempt was sent that the response answers; `None` if unknown.
     pub sent_at: Option<f64>,
 }
 
-/// The primary of the current epoch.
+/// The claim of the current epoch's primary.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrimaryClaim {
-    /// The server.
+    /// Server that made the claim.
     pub server: ServerId,
-    /// When its claim was accepted.
+    /// Time at which the claim was accepted.
     pub accepted_at: f64,
-    /// Since when it counts as lost: it is silent or down.
+    /// Time at which the primary was marked as lost because it was silent or down; `None` if it is not lost.
     pub lost_at: Option<f64>,
 }
 
-/// The result of a claim.
+/// Result of a server's claim to be the primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// The server was the primary already.
-    Known,
-    /// The server is the primary of a new epoch.
+    /// The server already was the primary.
+    Confirmed,
+    /// The server became the primary, and a new epoch started.
     Accepted,
-    /// The claim is out of date, and so is everything that the server reported with it.
+    /// Newer evidence contradicts the claim. The rest of the server's report is outdated as well.
     Stale,
 }
 
-/// The current primary of a replica set and the role evidence of its other members.
+/// Current primary of a replica set and the role evidence of the other members.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PrimaryTracker {
     epoch: u64,
     claim: Option<PrimaryClaim>,
     evidence: BTreeMap<ServerId, RoleEvidence>,
-    /// When the newest evidence for or against a primary was observed.
+    /// Time of the newest evidence for or against a primary.
     newest_evidence_at: f64,
 }
 
 impl PrimaryTracker {
-    /// The primary, if one is known. It may be lost.
+    /// Returns the primary, which may be lost, or `None` if no primary is known.
     pub fn primary(&self) -> Option<ServerId> {
         self.claim.map(|claim| claim.server)
     }
 
-    /// The primary's claim.
+    /// Returns the claim of the primary, or `None` if no primary is known.
     pub fn claim(&self) -> Option<&PrimaryClaim> {
         self.claim.as_ref()
     }
 
-    /// The number of claims that were accepted.
+    /// Returns the number of claims accepted so far.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Whether a server was primary and has not acknowledged that it no longer is.
+    /// Returns whether a server was the primary and has not acknowledged its deposition.
     pub fn is_deposed(&self, server: ServerId) -> bool {
         matches!(self.evidence.get(&server), Some(RoleEvidence::Deposed(_)))
     }
 
-    /// Whether a write may be sent to a server to find out who the primary is. One that was deposed a moment
-    /// ago may be unaware of it, and would execute the write.
-    pub fn may_be_asked(&self, server: ServerId, now: f64) -> bool {
+    /// Returns whether a write may be sent to a server to find out whether the server is the primary. A
+    /// recently deposed server is excluded, because it may not know of its deposition and would execute the
+    /// write.
+    pub fn is_eligible_for_search(&self, server: ServerId, now: f64) -> bool {
         !matches!(
             self.evidence.get(&server),
-            Some(RoleEvidence::Deposed(at)) if now - at < DEPOSITION_NOTICE_SECS
+            Some(RoleEvidence::Deposed(at)) if now - at < MAX_DEPOSITION_NOTICE_DELAY_SECS
         )
     }
 
-    /// Whether a primary is known and not lost.
+    /// Returns whether a primary is known and not lost.
     pub fn has_live_primary(&self) -> bool {
         self.claim.is_some_and(|claim| claim.lost_at.is_none())
     }
 
-    /// A server reports that it is the primary.
+    /// Records that a server claims to be the primary.
     pub fn record_claim(&mut self, report: RoleReport) -> ClaimVerdict {
         if self.primary() == Some(report.server) {
             self.confirm(report);
-            return ClaimVerdict::Known;
+            return ClaimVerdict::Confirmed;
         }
         if self.is_stale_claim(report) {
             return ClaimVerdict::Stale;
@@ -124,10 +127,11 @@
         ClaimVerdict::Accepted
     }
 
-    /// The known primary repeats its claim.
+    /// Records that the current primary repeated its claim.
     fn confirm(&mut self, report: RoleReport) {
         if let Some(claim) = &mut self.claim {
-            // A response that was in flight when the primary was lost is no sign that it works again.
+            // A response that was in flight when the primary was lost does not show that the primary works
+            // again.
             let is_fresh = claim.lost_at.is_none_or(|lost_at| {
                 report.sent_at.is_some_and(|sent_at| sent_at >= lost_at) || report.observed_at > lost_at
             });
@@ -136,14 +140,14 @@
         self.newest_evidence_at = self.newest_evidence_at.max(report.observed_at);
     }
 
-    /// Whether newer evidence contradicts the claim of a server that is not the primary.
+    /// Returns whether newer evidence contradicts the claim of a server that is not the current primary.
     fn is_stale_claim(&self, report: RoleReport) -> bool {
         if report.observed_at < self.newest_evidence_at {
             return true;
         }
         match self.evidence.get(&report.server) {
-            // The denial may have overtaken this claim.
-            Some(RoleEvidence::Denied(at)) => {
+            // The server may have written this claim before the report that it is not the primary.
+            Some(RoleEvidence::NotPrimary(at)) => {
                 report.sent_at.is_some_and(|sent_at| sent_at < *at)
                     && report.observed_at - at < MAX_REORDERING_SECS
             }
@@ -165,33 +169,35 @@
         self.newest_evidence_at = self.newest_evidence_at.max(at);
     }
 
-    /// The endpoint list names a server as the primary. The list is late, so it counts only where no primary
-    /// is known or the known one is lost, and never against a server's own report.
+    /// Records that the endpoint list names a server as the primary. The endpoint list lags behind, so its
+    /// entry counts only if no primary is known or the known primary is lost, and never contradicts a
+    /// server's own report.
     pub fn record_listed(&mut self, server: ServerId, now: f64) -> ClaimVerdict {
         if self.primary() == Some(server) {
-            return ClaimVerdict::Known;
+            return ClaimVerdict::Confirmed;
         }
         if self.evidence.contains_key(&server) || self.has_live_primary() {
             return ClaimVerdict::Stale;
         }
         let newest_evidence_at = self.newest_evidence_at;
         self.accept(server, now);
-        // The list is no evidence: even an older report of a server takes precedence over it.
+        // The endpoint list is not evidence: even an older report of a server takes precedence over it.
         self.newest_evidence_at = newest_evidence_at;
         ClaimVerdict::Accepted
     }
 
-    /// A server reports at `at` that it is no primary. Returns whether it counted as the primary until now.
-    pub fn record_denial(&mut self, server: ServerId, at: f64) -> bool {
+    /// Records that a server reported at `at` that it is not the primary. Returns whether the server was the
+    /// primary until now.
+    pub fn record_not_primary(&mut self, server: ServerId, at: f64) -> bool {
         let was_primary = self.primary() == Some(server);
         if was_primary && at < self.newest_evidence_at {
             return false;
         }
         let is_newer = self.evidence.get(&server).is_none_or(|evidence| match evidence {
-            RoleEvidence::Denied(known_at) | RoleEvidence::Deposed(known_at) => at > *known_at,
+            RoleEvidence::NotPrimary(known_at) | RoleEvidence::Deposed(known_at) => at > *known_at,
         });
         if is_newer {
-            self.evidence.insert(server, RoleEvidence::Denied(at));
+            self.evidence.insert(server, RoleEvidence::NotPrimary(at));
         }
         if was_primary {
             self.claim = None;
@@ -200,20 +206,22 @@
         was_primary
     }
 
-    /// The primary is silent or down. Stale claims are still rejected, but other servers' fresh claims count.
+    /// Marks the primary as lost because it is silent or down. Stale claims are still rejected, but fresh
+    /// claims of other servers are accepted.
     pub fn mark_lost(&mut self, now: f64) {
         if let Some(claim) = &mut self.claim {
             claim.lost_at.get_or_insert(now);
         }
     }
 
-    /// The primary responded at this time. Returns whether it counted as lost until then.
+    /// Records that the primary responded at `at`. Returns whether the primary was lost until then.
     pub fn record_response(&mut self, at: f64) -> bool {
         let lost_at = self.claim.as_mut().and_then(|claim| claim.lost_at.take_if(|lost_at| at > *lost_at));
         lost_at.is_some()
     }
 
-    /// A server drains, is out of service or was removed. Returns whether it was the primary until now.
+    /// Clears the primary if it is `server`, which drains, is out of service or was removed. Returns whether
+    /// `server` was the primary.
     pub fn withdraw(&mut self, server: ServerId) -> bool {
         let was_primary = self.primary() == Some(server);
         if was_primary {
@@ -227,14 +235,15 @@
         self.evidence.retain(|server, _| is_member(*server));
     }
 
-    /// Restores from another process's snapshot that a server was deposed, with `at` as the time.
+    /// Restores from another process's snapshot that a server was deposed. `at` becomes the time of the
+    /// deposition.
     pub fn restore_deposed(&mut self, server: ServerId, at: f64) {
         if self.primary() != Some(server) {
             self.evidence.entry(server).or_insert(RoleEvidence::Deposed(at));
         }
     }
 
-    /// Restores the epoch from another process's snapshot.
+    /// Raises the epoch to the epoch in another process's snapshot.
     pub fn restore_epoch(&mut self, epoch: u64) {
         self.epoch = self.epoch.max(epoch);
     }
--- a/core/src/failover/primary_tracker/tests.rs
+++ b/core/src/failover/primary_tracker/tests.rs
@@ -10,7 +10,7 @@
     RoleReport { server, observed_at, sent_at }
 }
 
-/// A is primary since 10; B's claim is accepted at 20.
+/// Returns a tracker in which A becomes the primary at 10.0 s and B at 20.0 s.
 fn after_failover() -> PrimaryTracker {
     let mut tracker = PrimaryTracker::default();
     assert_eq!(tracker.record_claim(claim(A, 10.0, Some(9.0))), ClaimVerdict::Accepted);
@@ -23,47 +23,51 @@
 fn a_deposed_primary_is_not_trusted_until_it_reports_that_it_is_a_replica() {
     let mut tracker = after_failover();
     assert!(tracker.is_deposed(A) && tracker.epoch() == 2);
-    assert!(!tracker.may_be_asked(A, 21.0) && tracker.may_be_asked(A, 22.5) && tracker.may_be_asked(C, 21.0));
+    assert!(
+        !tracker.is_eligible_for_search(A, 21.0)
+            && tracker.is_eligible_for_search(A, 22.5)
+            && tracker.is_eligible_for_search(C, 21.0)
+    );
     assert_eq!(
         tracker.record_claim(claim(A, 21.0, Some(14.0))),
         ClaimVerdict::Stale,
-        "the response was in flight"
+        "the response was in flight at the deposition"
     );
     assert_eq!(
         tracker.record_claim(claim(A, 25.0, Some(24.9))),
         ClaimVerdict::Stale,
-        "it is unaware of its deposition"
+        "A does not know of its deposition"
     );
     assert_eq!(tracker.record_listed(A, 26.0), ClaimVerdict::Stale, "the endpoint list is late");
     assert_eq!(tracker.primary(), Some(B));
-    assert!(!tracker.record_denial(A, 27.0));
+    assert!(!tracker.record_not_primary(A, 27.0));
     assert_eq!(
         tracker.record_claim(claim(A, 27.01, Some(26.5))),
         ClaimVerdict::Stale,
-        "the denial overtook this response"
+        "the two responses may have arrived out of order"
     );
     assert_eq!(
         tracker.record_claim(claim(A, 40.0, Some(39.9))),
         ClaimVerdict::Accepted,
-        "it was elected again"
+        "A was elected again"
     );
     assert_eq!((tracker.primary(), tracker.is_deposed(B)), (Some(A), true));
 }
 
 #[test]
-fn of_two_claimants_the_one_that_falls_silent_loses_the_epoch() {
+fn if_the_newer_of_two_claimants_falls_silent_the_other_becomes_primary() {
     let mut tracker = after_failover();
     tracker.mark_lost(20.5);
     assert_eq!(
         tracker.record_claim(claim(A, 20.6, Some(19.0))),
         ClaimVerdict::Stale,
-        "it was sent before the deposition"
+        "the attempt was sent before the deposition"
     );
     assert_eq!(tracker.record_claim(claim(A, 20.7, Some(20.55))), ClaimVerdict::Accepted);
     assert_eq!(
         tracker.record_claim(claim(B, 20.8, Some(20.3))),
         ClaimVerdict::Stale,
-        "the response was in flight"
+        "the response was in flight at the deposition"
     );
 }
 
@@ -72,17 +76,17 @@
     let mut tracker = PrimaryTracker::default();
     tracker.record_claim(claim(A, 10.0, None));
     tracker.mark_lost(12.0);
-    assert_eq!(tracker.record_claim(claim(A, 12.0, Some(11.0))), ClaimVerdict::Known);
+    assert_eq!(tracker.record_claim(claim(A, 12.0, Some(11.0))), ClaimVerdict::Confirmed);
     assert!(
         tracker.claim().is_some_and(|claim| claim.lost_at.is_some()),
-        "the response was in flight when it was lost"
+        "the response was in flight when A was lost"
     );
-    assert_eq!(tracker.record_claim(claim(A, 12.5, Some(11.0))), ClaimVerdict::Known);
+    assert_eq!(tracker.record_claim(claim(A, 12.5, Some(11.0))), ClaimVerdict::Confirmed);
     assert!(tracker.claim().is_some_and(|claim| claim.lost_at.is_none()));
 }
 
 #[test]
-fn the_endpoint_list_counts_only_without_better_evidence() {
+fn the_endpoint_list_overrides_neither_a_live_primary_nor_the_report_of_a_server() {
     let mut tracker = PrimaryTracker::default();
     assert_eq!(tracker.record_listed(A, 5.0), ClaimVerdict::Accepted);
     assert_eq!(tracker.record_listed(B, 6.0), ClaimVerdict::Stale);
@@ -92,23 +96,23 @@
         "a server's older report takes precedence"
     );
     tracker.mark_lost(8.0);
-    assert_eq!(tracker.record_listed(A, 9.0), ClaimVerdict::Stale, "it was deposed");
+    assert_eq!(tracker.record_listed(A, 9.0), ClaimVerdict::Stale, "A was deposed");
     assert_eq!(tracker.record_listed(C, 9.0), ClaimVerdict::Accepted);
-    assert!(tracker.record_denial(C, 9.5));
+    assert!(tracker.record_not_primary(C, 9.5));
     assert_eq!((tracker.primary(), tracker.record_listed(C, 10.0)), (None, ClaimVerdict::Stale));
 }
 
 #[test]
-fn a_denial_older_than_the_evidence_changes_nothing() {
+fn an_outdated_report_of_not_being_primary_changes_nothing() {
     let mut tracker = after_failover();
-    assert!(!tracker.record_denial(B, 19.0));
+    assert!(!tracker.record_not_primary(B, 19.0));
     assert_eq!(tracker.primary(), Some(B));
-    assert!(tracker.record_denial(B, 21.0));
+    assert!(tracker.record_not_primary(B, 21.0));
     assert_eq!(tracker.primary(), None);
 }
 
 #[test]
-fn withdrawn_servers_and_former_members_are_forgotten() {
+fn withdrawing_a_server_clears_its_claim_and_former_members_lose_their_evidence() {
     let mut tracker = after_failover();
     assert!(tracker.withdraw(B) && !tracker.withdraw(B));
     assert_eq!(
--- a/core/src/failover/replica_set/observation.rs
+++ b/core/src/failover/replica_set/observation.rs
@@ -1,50 +1,51 @@
-//! Watches the primary for silence and turns what is observed into inputs of the state machine.
+//! Monitors the primary for silence and passes the result to the state machine.
 //!
-//! Called once in each step of the engine. Silence beyond the failure detector's threshold raises a
-//! suspicion; beyond the longest process pause, the primary counts as lost. Any response lifts both. Times
-//! are seconds on the engine's clock.
+//! The engine calls [`ReplicaSet::observe_primary`] once per step. Silence longer than the failure detector's
+//! threshold raises a suspicion. Silence longer than the longest expected process pause marks the primary as
+//! lost. Any response ends either state. Times are seconds on the engine's clock.
 
 use super::ReplicaSet;
 use crate::api::ServerId;
 use crate::failover::{BufferRelease, Phase, PhaseInput, SilenceThreshold};
 
-/// Lower bound of the longest silence that is still taken for a process pause.
-const MIN_MAX_PAUSE_SECS: f64 = 0.6;
-/// The longest silence that is taken for a process pause, as a multiple of the failure detector's threshold.
-const MAX_PAUSE_THRESHOLDS: f64 = 1.4;
+/// Lower bound of the longest silence that is attributed to a paused process, in seconds.
+const MAX_PAUSE_LOWER_BOUND_SECS: f64 = 0.6;
+/// Longest silence that is attributed to a paused process, as a multiple of the failure detector's threshold.
+const MAX_PAUSE_THRESHOLD_FACTOR: f64 = 1.4;
 
-/// What is observed of the primary in one step.
+/// Observed state of the primary in one step of the engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrimaryObservation {
-    /// When it last responded.
+    /// Time of the primary's last response.
     pub last_response: f64,
-    /// When the oldest unanswered attempt was sent.
+    /// Send time of the oldest unanswered attempt; `None` if no attempt is unanswered.
     pub oldest_unanswered: Option<f64>,
-    /// Whether it counts as down.
+    /// Whether the primary is marked as down.
     pub is_down: bool,
-    /// How long it may be silent before it is suspected.
+    /// Parameters of the silence threshold beyond which the primary is suspected.
     pub silence_threshold: SilenceThreshold,
-    /// The number of writes that wait for it.
+    /// Number of writes that wait for the primary.
     pub queued_writes: usize,
 }
 
-/// The primary's silence in one step.
+/// Silence of the primary in one step of the engine.
 struct Silence {
     last_response_at: f64,
     since: f64,
     is_suspected: bool,
-    /// The longest silence that is taken for a process pause.
+    /// Longest silence that is attributed to a paused process, in seconds.
     max_pause_secs: f64,
 }
 
 impl ReplicaSet {
-    /// The server whose silence counts: the primary, or the former one that drains.
+    /// Returns the server whose silence is monitored: the primary, or the last primary if it drains or was
+    /// removed and has no successor yet.
     pub fn watched_primary(&self) -> Option<ServerId> {
         self.primary().or(self.withdrawn_primary)
     }
 
-    /// Evaluates what is observed of [`Self::watched_primary`]. Returns the name of the phase if it differs
-    /// from the one at the last call.
+    /// Evaluates the observed state of [`Self::watched_primary`]. Returns the name of the phase if the phase
+    /// has changed since the last call.
     pub fn observe_primary(&mut self, now: f64, observation: &PrimaryObservation) -> Option<&'static str> {
         let silence = self.measure_silence(now, observation);
         if observation.is_down || (silence.is_suspected && now - silence.since > silence.max_pause_secs) {
@@ -55,12 +56,12 @@
         } else if self.tracker.record_response(silence.last_response_at)
             || self.phase.failover_began_at().is_some_and(|began_at| silence.last_response_at > began_at)
         {
-            // A response that reports no role shows as well that the primary works.
+            // Even a response that does not report a role shows that the primary works.
             self.primary_responded(now);
         } else if observation.oldest_unanswered.is_none() {
             self.resume_after_timeouts(now, &silence);
         }
-        let is_released = observation.queued_writes == 0 || self.release.is_done();
+        let is_released = observation.queued_writes == 0 || self.release.is_complete();
         if self.phase == Phase::Releasing && is_released {
             self.apply(PhaseInput::ReleaseCompleted);
         }
@@ -72,15 +73,15 @@
     fn measure_silence(&self, now: f64, observation: &PrimaryObservation) -> Silence {
         let threshold = &observation.silence_threshold;
         let oldest_unanswered_at = observation.oldest_unanswered;
-        // A primary that has not responded yet counts as heard from at its claim.
+        // If the primary has not responded since its claim, its silence is measured from the claim.
         let last_response_at = match self.tracker.claim() {
             Some(claim) => claim.accepted_at.max(observation.last_response),
             None => observation.last_response,
         };
         let since = oldest_unanswered_at.map_or(last_response_at, |sent_at| sent_at.max(last_response_at));
         let suspected_at = threshold.suspects_at(self.response_times, last_response_at, oldest_unanswered_at);
-        let max_pause_secs =
-            MIN_MAX_PAUSE_SECS.max(MAX_PAUSE_THRESHOLDS * threshold.threshold_secs(self.response_times));
+        let max_pause_secs = MAX_PAUSE_LOWER_BOUND_SECS
+            .max(MAX_PAUSE_THRESHOLD_FACTOR * threshold.threshold_secs(self.response_times));
         Silence {
             last_response_at,
             since,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Ends a suspicion after all attempts in flight have timed out: a single write tests the primary.
+    /// Ends a suspicion after all attempts in flight have timed out. A single write then tests the primary.
     fn resume_after_timeouts(&mut self, now: f64, silence: &Silence) {
         let Phase::Suspected { since } = self.phase else { return };
         if now - since > silence.max_pause_secs {
--- a/core/src/failover/replica_set/role_evidence.rs
+++ b/core/src/failover/replica_set/role_evidence.rs
@@ -1,7 +1,8 @@
-//! Takes up evidence of who the primary is: servers' reports, the endpoint list, drains and removals.
+//! Processes evidence of which server is the primary: servers' reports, the endpoint list, drains and
+//! removals.
 //!
-//! The primary tracker decides whether a claim is accepted; this module passes the consequences on to the
-//! phase, the durations of failovers, the release of buffered writes and the schedule of inquiries.
+//! The primary tracker decides whether a claim is accepted. This module updates the failover phase, the
+//! failover durations, the release of buffered writes and the search for the primary accordingly.
 
 use super::{ReplacedPrimary, ReplicaSet};
 use crate::api::{FailoverKind, ServerId};
@@ -10,73 +11,73 @@
 };
 
 impl ReplicaSet {
-    /// A server responded; `is_primary` is what it reports of its role, if anything. `all_sets` learns the
-    /// duration of a failover that ends with this report.
+    /// Records the role that a server reports in a response; `is_primary` is `None` if the response reports
+    /// no role. Adds the duration of a failover that ends with this report to `cluster_durations`.
     pub fn role_reported(
         &mut self,
         is_primary: Option<bool>,
         report: RoleReport,
         now: f64,
-        all_sets: &mut FailoverDurations,
+        cluster_durations: &mut FailoverDurations,
     ) {
         match is_primary {
             Some(true) => {
-                self.primary_claimed(report, now, all_sets);
+                self.primary_claimed(report, now, cluster_durations);
             }
-            Some(false) => self.primary_denied(report.server, report.observed_at),
+            Some(false) => self.not_primary_reported(report.server, report.observed_at),
             None => {}
         }
     }
 
-    /// A server reports that it is the primary; see `PrimaryTracker::record_claim`.
+    /// Records that a server claims to be the primary; see `PrimaryTracker::record_claim`.
     pub fn primary_claimed(
         &mut self,
         report: RoleReport,
         now: f64,
-        all_sets: &mut FailoverDurations,
+        cluster_durations: &mut FailoverDurations,
     ) -> ClaimVerdict {
         let old = self.tracker.claim().copied();
         let verdict = self.tracker.record_claim(report);
         match verdict {
-            ClaimVerdict::Known => self.primary_responded(now),
-            ClaimVerdict::Accepted => self.primary_changed(old, now, all_sets),
+            ClaimVerdict::Confirmed => self.primary_responded(now),
+            ClaimVerdict::Accepted => self.change_primary(old, now, cluster_durations),
             ClaimVerdict::Stale => {}
         }
         verdict
     }
 
-    /// The endpoint list names a server as the primary; see `PrimaryTracker::record_listed`.
+    /// Records that the endpoint list names a server as the primary; see `PrimaryTracker::record_listed`.
     pub fn primary_listed(
         &mut self,
         server: ServerId,
         now: f64,
-        all_sets: &mut FailoverDurations,
+        cluster_durations: &mut FailoverDurations,
     ) -> ClaimVerdict {
         let old = self.tracker.claim().copied();
         let is_first = old.is_none() && self.tracker.epoch() == 0;
         let verdict = self.tracker.record_listed(server, now);
         match verdict {
             ClaimVerdict::Accepted if is_first => {}
-            ClaimVerdict::Accepted => self.primary_changed(old, now, all_sets),
-            ClaimVerdict::Stale if self.writable_primary().is_none() => self.inquiry.ask_next(server),
+            ClaimVerdict::Accepted => self.change_primary(old, now, cluster_durations),
+            ClaimVerdict::Stale if self.writable_primary().is_none() => self.search.start_round_at(server),
             _ => {}
         }
         verdict
     }
 
-    /// A server reports at `at` that it is no primary.
-    pub fn primary_denied(&mut self, server: ServerId, at: f64) {
-        if self.tracker.record_denial(server, at) {
-            self.apply(PhaseInput::RoleDenied(at));
+    /// Records that a server reported at `at` that it is not the primary.
+    pub fn not_primary_reported(&mut self, server: ServerId, at: f64) {
+        if self.tracker.record_not_primary(server, at) {
+            self.apply(PhaseInput::SteppedDown(at));
         }
     }
 
-    /// A server drains, by the endpoint list or by the operators.
+    /// Records that a server drains, as reported by the endpoint list, an operator or the peer process.
     pub fn server_draining(&mut self, server: ServerId, now: f64) {
         self.withdraw(server, PhaseInput::DrainStarted(now));
     }
 
-    /// A server was removed from the endpoint list.
+    /// Records that a server was removed.
     pub fn server_removed(&mut self, server: ServerId, now: f64) {
         self.withdraw(server, PhaseInput::Lost(now));
     }
@@ -88,7 +89,8 @@
         }
     }
 
-    /// Drops the evidence of servers that are no longer members. A primary that is no member is removed.
+    /// Drops the evidence of servers that are no longer members. Treats a primary that is not a member as
+    /// removed.
     pub fn retain_members(&mut self, now: f64, is_member: impl Fn(ServerId) -> bool) {
         if let Some(former_member) = self.primary().filter(|primary| !is_member(*primary)) {
             self.server_removed(former_member, now);
@@ -96,10 +98,10 @@
         self.tracker.retain_members(is_member);
     }
 
-    /// The known primary responded, perhaps after a silence.
+    /// Records that the current primary responded, possibly after a silence.
     pub(super) fn primary_responded(&mut self, now: f64) {
         match self.phase {
-            Phase::Suspected { .. } => self.release = BufferRelease::to_known(now),
+            Phase::Suspected { .. } => self.release = BufferRelease::completed(now),
             Phase::NoPrimary { .. } if self.tracker.has_live_primary() => {
                 self.release = BufferRelease::new(now);
             }
@@ -108,11 +110,16 @@
         self.apply(PhaseInput::Responded);
     }
 
-    /// Another server became primary.
-    fn primary_changed(&mut self, old: Option<PrimaryClaim>, now: f64, all_sets: &mut FailoverDurations) {
+    /// Makes the server whose claim was accepted the new primary. `old` is the previous claim.
+    fn change_primary(
+        &mut self,
+        old: Option<PrimaryClaim>,
+        now: f64,
+        cluster_durations: &mut FailoverDurations,
+    ) {
         let kind = self.phase.failover_kind();
         if let Some((kind, began_at)) = kind.zip(self.phase.failover_began_at()) {
-            all_sets.record(kind, now - began_at);
+            cluster_durations.record(kind, now - began_at);
             self.durations.record(kind, now - began_at);
         }
         if let Some(old) = old {
@@ -122,14 +129,14 @@
         self.release = if kind == Some(FailoverKind::Unplanned) {
             BufferRelease::new(now)
         } else {
-            // The former primary stepped down by itself, so its successor is not in doubt.
+            // The previous primary stepped down in a planned handover, so its successor needs no test.
             BufferRelease::after_handover(now)
         };
-        // The first primary that is ever known takes over from no other.
+        // The first primary that becomes known at startup is not the result of a failover.
         if self.tracker.epoch() > 1 || self.phase != Phase::Steady {
             self.apply(PhaseInput::ClaimAccepted(now));
         }
-        self.inquiry.restart_round();
+        self.search.restart_round();
         self.withdrawn_primary = None;
     }
 }
--- a/core/src/failover/replica_set/snapshot.rs
+++ b/core/src/failover/replica_set/snapshot.rs
@@ -1,11 +1,12 @@
-//! Takes and restores the part of a replica set's state that passes to another process of the proxy instance.
+//! Creates and restores snapshots of a replica set's state for another process of the proxy instance.
 
 use super::ReplicaSet;
 use crate::api::{FailoverKind, ReplicaSetSnapshot, ServerId};
 use crate::failover::Phase;
 
 impl ReplicaSet {
-    /// The snapshot for one member. It holds durations in place of times, since clocks differ.
+    /// Returns the snapshot for one member. It contains durations instead of times, because the clocks of the
+    /// processes differ.
     pub fn snapshot(&self, server: ServerId, now: f64) -> ReplicaSetSnapshot {
         let failover = self.phase.failover_kind().zip(self.phase.failover_began_at());
         ReplicaSetSnapshot {
@@ -15,8 +16,8 @@
         }
     }
 
-    /// Restores the snapshot for one member. A failover in progress is taken over only if this process knows
-    /// of none and of no primary.
+    /// Restores the snapshot for one member. A failover in progress is restored only if this process knows of
+    /// no failover and of no primary.
     pub fn restore(&mut self, server: ServerId, snapshot: &ReplicaSetSnapshot, now: f64) {
         self.tracker.restore_epoch(snapshot.epoch);
         if snapshot.deposed {
--- a/core/src/failover/write_buffer.rs
+++ b/core/src/failover/write_buffer.rs
@@ -1,10 +1,11 @@
-//! Decides which writes are buffered while their replica set takes none, and how many.
+//! Decides which writes are buffered while their replica set accepts none, and limits their number and size.
 //!
-//! A write is buffered while its set may recover before the write's deadline, and is rejected at once
-//! otherwise. Near half of its time, it stays buffered only if recovery is likely.
+//! A write is buffered while its replica set may recover before the write's deadline, and is rejected
+//! immediately otherwise. When nearly half of the time until the deadline has passed, the write stays
+//! buffered only if recovery is likely.
 //!
-//! Owns the count of buffered writes and bytes within one step of the engine. Times are seconds on the
-//! engine's clock.
+//! Owns the number and the size of the buffered writes within one step of the engine. Times are seconds on
+//! the engine's clock.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,37 +13,38 @@
 use super::RecoveryForecast;
 use crate::api::{FailoverSettings, GroupId};
 
-/// Share of the time between a write's arrival and its deadline after which the chance of recovery has to
-/// reach the limit for late writes.
+/// Share of the time between a write's arrival and its deadline after which the probability of recovery has
+/// to reach the limit for late writes.
 const LATE_SHARE: f64 = 0.49;
-/// Least retry hint, as a share of the longest hint.
+/// Lower bound of the retry hint, as a share of its upper bound.
 const MIN_HINT_SHARE: f64 = 0.2;
-/// Greatest retry hint, as a share of the time that is left until the write's deadline.
+/// Upper bound of the retry hint for a rejected write, as a share of the time left until the write's
+/// deadline.
 const MAX_RETRY_AFTER_SHARE: f64 = 0.15;
-/// Divisor in place of a longest hint of zero, in seconds.
+/// Smallest divisor for the share of the upper bound, in seconds. Avoids a division by zero.
 const MIN_HINT_DIVISOR_SECS: f64 = 1e-9;
 
-/// The hint after which a client should retry: the expected time until recovery, but at most `longest` and at
-/// least a fixed share of it.
-pub fn retry_after_hint(recovery_secs: f64, longest: Duration) -> Duration {
-    let share = recovery_secs / longest.as_secs_f64().max(MIN_HINT_DIVISOR_SECS);
-    longest.mul_f64(if share.is_finite() { share.clamp(MIN_HINT_SHARE, 1.0) } else { 1.0 })
+/// Returns the delay after which a client should retry: the expected time until recovery, but at most
+/// `max_retry_after` and at least a fixed share of it.
+pub fn retry_after_hint(recovery_secs: f64, max_retry_after: Duration) -> Duration {
+    let share = recovery_secs / max_retry_after.as_secs_f64().max(MIN_HINT_DIVISOR_SECS);
+    max_retry_after.mul_f64(if share.is_finite() { share.clamp(MIN_HINT_SHARE, 1.0) } else { 1.0 })
 }
 
-/// What becomes of a write whose replica set takes none.
+/// Decision on a write whose replica set accepts no writes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum BufferDecision {
-    /// It stays buffered.
+    /// The write stays buffered.
     Keep,
-    /// It is rejected without having been executed.
+    /// The write is rejected without having been executed.
     Reject {
-        /// When the client should retry, in seconds from now.
+        /// Delay after which the client should retry, in seconds from now.
         retry_after_secs: f64,
     },
 }
 
 impl BufferDecision {
-    /// When the client should retry, in seconds from now, if the write is rejected.
+    /// Returns the delay in seconds after which the client should retry; `None` if the write stays buffered.
     pub fn retry_after_secs(self) -> Option<f64> {
         match self {
             Self::Keep => None,
@@ -51,18 +53,18 @@
     }
 }
 
-/// A buffered write and the forecast of its replica set. Times are seconds on the engine's clock.
+/// A buffered write and the recovery forecast of its replica set. Times are seconds on the engine's clock.
 #[derive(Debug, Clone, Copy)]
 pub struct BufferedWrite<'sample> {
-    /// When the write arrived.
+    /// Arrival time of the write.
     pub arrived: f64,
-    /// The write's deadline.
+    /// Deadline of the write.
     pub deadline: f64,
     /// Expected time to serve the write, in seconds.
     pub service_secs: f64,
-    /// Whether a server has already declined it. Such a write never counts as late.
+    /// Whether a server has already declined the write. Such a write never counts as late.
     pub was_declined: bool,
-    /// When the replica set is expected to take writes again.
+    /// Forecast of when the replica set accepts writes again.
     pub forecast: RecoveryForecast<'sample>,
 }
 
@@ -84,7 +86,7 @@
     }
 }
 
-/// A number of buffered writes and their size.
+/// Number and size of buffered writes.
 #[derive(Debug, Clone, Copy, Default)]
 struct Usage {
     writes: usize,
@@ -98,7 +100,7 @@
     }
 }
 
-/// The buffered writes of all replica sets, counted anew in each step of the engine.
+/// Buffered writes of all replica sets. Counted anew in each step of the engine.
 #[derive(Debug, Default)]
 pub struct BufferUsage {
     total: Usage,
@@ -106,8 +108,8 @@
 }
 
 impl BufferUsage {
-    /// Reserves space for one write of a replica set whose statement has so many bytes. Returns whether there
-    /// was space in the buffer and in the set's share of it.
+    /// Reserves buffer space for one write of a replica set with a statement of `bytes` bytes. Returns
+    /// whether the write fits into the buffer and into the replica set's share of it.
     pub fn try_reserve(&mut self, set: GroupId, bytes: u64, settings: &FailoverSettings) -> bool {
         let usage = self.sets.entry(set).or_default();
         let set_limit = |limit: f64| (limit * settings.max_share_per_set).max(1.0);
--- a/core/src/failover/write_buffer/tests.rs
+++ b/core/src/failover/write_buffer/tests.rs
@@ -4,7 +4,7 @@
 use super::*;
 use crate::api::FailoverKind;
 
-fn at(now: f64, elapsed: f64) -> BufferDecision {
+fn decide_at(now: f64, elapsed: f64) -> BufferDecision {
     let mut durations = FailoverDurations::default();
     durations.restore(FailoverKind::Unplanned, &[4.0; 24]);
     let forecast = durations.forecast(FailoverKind::Unplanned, elapsed);
@@ -15,14 +15,18 @@
 #[test]
 fn a_write_is_buffered_while_its_set_may_recover_in_time() {
     assert!(
-        at(100.0, 0.0).retry_after_secs().is_some_and(|secs| (secs - 0.45).abs() < 1e-9),
+        decide_at(100.0, 0.0).retry_after_secs().is_some_and(|secs| (secs - 0.45).abs() < 1e-9),
         "the failover lasts 4 s"
     );
-    assert_eq!(at(100.0, 2.0), BufferDecision::Keep, "2 s of the failover are left");
-    assert_eq!(at(101.6, 3.6), BufferDecision::Keep, "late, but the failover is nearly over");
+    assert_eq!(decide_at(100.0, 2.0), BufferDecision::Keep, "2 s of the failover remain");
+    assert_eq!(
+        decide_at(101.6, 3.6),
+        BufferDecision::Keep,
+        "the write is late, but the failover is nearly over"
+    );
     assert!(
-        matches!(at(101.6, 1.0), BufferDecision::Reject { .. }),
-        "late, and 3 s of the failover are left"
+        matches!(decide_at(101.6, 1.0), BufferDecision::Reject { .. }),
+        "the write is late, and 3 s of the failover remain"
     );
 }
 
@@ -37,7 +41,7 @@
 }
 
 #[test]
-fn with_the_prior_a_write_is_buffered_for_half_of_its_time() {
+fn with_assumed_durations_a_write_is_buffered_for_half_of_the_time_to_its_deadline() {
     let durations = FailoverDurations::default();
     let decide = |now: f64| {
         let forecast = durations.forecast(FailoverKind::Unplanned, now - 100.0);
@@ -61,8 +65,8 @@
     let settings =
         FailoverSettings { max_buffered_writes: 10, max_buffered_bytes: 1000, ..FailoverSettings::default() };
     let mut usage = BufferUsage::default();
-    let first: Vec<_> = (0..8).map(|_| usage.try_reserve(GroupId(1), 10, &settings)).collect();
-    assert_eq!(first.iter().filter(|reserved| **reserved).count(), 5);
+    let results: Vec<_> = (0..8).map(|_| usage.try_reserve(GroupId(1), 10, &settings)).collect();
+    assert_eq!(results.iter().filter(|reserved| **reserved).count(), 5);
     assert!(!usage.try_reserve(GroupId(2), 501, &settings), "a set may use half of the bytes");
     assert!(usage.try_reserve(GroupId(2), 500, &settings));
     assert!(!usage.try_reserve(GroupId(3), 451, &settings) && usage.try_reserve(GroupId(3), 450, &settings));
