--- a/core/src/failover/replica_set/role_evidence.rs
+++ b/core/src/failover/replica_set/role_evidence.rs
@@ -40,7 +40,7 @@
         let verdict = self.tracker.record_claim(report);
         match verdict {
             ClaimVerdict::Confirmed => self.primary_responded(now),
-            ClaimVerdict::Accepted => self.change_primary(old, now, cluster_durations),
+            ClaimVerdict::Accepted => self.primary_changed(old, now, cluster_durations),
             ClaimVerdict::Stale => {}
         }
         verdict
@@ -58,7 +58,7 @@
         let verdict = self.tracker.record_listed(server, now);
         match verdict {
             ClaimVerdict::Accepted if is_first => {}
-            ClaimVerdict::Accepted => self.change_primary(old, now, cluster_durations),
+            ClaimVerdict::Accepted => self.primary_changed(old, now, cluster_durations),
             ClaimVerdict::Stale if self.writable_primary().is_none() => self.search.start_round_at(server),
             _ => {}
         }
@@ -110,8 +110,8 @@
         self.apply(PhaseInput::Responded);
     }
 
-    /// Makes the server whose claim was accepted the new primary. `old` is the previous claim.
-    fn change_primary(
+    /// Updates the state after the claim of another server was accepted. `old` is the previous claim.
+    fn primary_changed(
         &mut self,
         old: Option<PrimaryClaim>,
         now: f64,
