--- a/core/src/failover/mod.rs
+++ b/core/src/failover/mod.rs
@@ -28,7 +28,7 @@
 pub use failover_duration::{FailoverDurations, RecoveryForecast};
 pub use failure_detector::{ResponseTimes, SilenceThreshold};
 pub use phase::{Phase, PhaseInput};
-pub use primary_inquiry::InquiryCandidate;
+pub use primary_inquiry::PrimaryCandidate;
 pub(crate) use primary_inquiry::MAX_SILENCE_TO_ASK;
 pub use primary_loss::{PrimaryLossCause, PrimaryLossCounts, PrimaryLossEvidence};
 pub use primary_tracker::{ClaimVerdict, PrimaryClaim, PrimaryTracker, RoleEvidence, RoleReport};
--- a/core/src/failover/primary_inquiry.rs
+++ b/core/src/failover/primary_inquiry.rs
@@ -31,7 +31,7 @@
 
 /// A member of the replica set that may receive a search attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct InquiryCandidate {
+pub struct PrimaryCandidate {
     /// Id of the member.
     pub server: ServerId,
     /// Seconds for which the member has owed a response: since its last response, or since its oldest attempt
@@ -136,7 +136,7 @@
     /// would execute the write.
     pub fn next_member(
         &mut self,
-        candidates: &[InquiryCandidate],
+        candidates: &[PrimaryCandidate],
         tracker: &PrimaryTracker,
         progress: FailoverProgress,
         now: f64,
--- a/core/src/failover/replica_set.rs
+++ b/core/src/failover/replica_set.rs
@@ -14,7 +14,7 @@
 
 pub use observation::PrimaryObservation;
 
-use super::primary_inquiry::{FailoverProgress, InquiryCandidate, PrimarySearch};
+use super::primary_inquiry::{FailoverProgress, PrimaryCandidate, PrimarySearch};
 use super::{
     BufferRelease, FailoverDurations, Phase, PhaseInput, PrimaryTracker, RecoveryForecast, ResponseTimes,
 };
@@ -235,7 +235,7 @@
     /// `None` if the write has to wait. `candidates` is sorted by server id.
     pub fn next_to_ask(
         &mut self,
-        candidates: &[InquiryCandidate],
+        candidates: &[PrimaryCandidate],
         now: f64,
         cluster_durations: &FailoverDurations,
     ) -> Option<ServerId> {
--- a/core/src/failover/replica_set/tests.rs
+++ b/core/src/failover/replica_set/tests.rs
@@ -24,8 +24,8 @@
     RoleReport { server, observed_at, sent_at }
 }
 
-fn candidate(server: ServerId, silence_secs: f64) -> InquiryCandidate {
-    InquiryCandidate { server, silence_secs }
+fn candidate(server: ServerId, silence_secs: f64) -> PrimaryCandidate {
+    PrimaryCandidate { server, silence_secs }
 }
 
 /// Returns a replica set whose primary A last responded at 10.0 s.
--- a/core/src/routing/cluster/mod.rs
+++ b/core/src/routing/cluster/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::api::{GroupId, LoadReport, Outcome, ServerId, Settings};
-use crate::failover::{FailoverDurations, InquiryCandidate, Phase, PrimaryLossCounts, RoleReport};
+use crate::failover::{FailoverDurations, Phase, PrimaryCandidate, PrimaryLossCounts, RoleReport};
 use crate::time::secs;
 
 use super::group::{Group, GroupTable};
@@ -184,7 +184,7 @@
     pub fn next_member_to_ask(
         &mut self,
         group: GroupId,
-        members: &[InquiryCandidate],
+        members: &[PrimaryCandidate],
         now: f64,
     ) -> Option<ServerId> {
         let set = self.groups.get_mut(group)?.replica_set_mut();
--- a/core/src/routing/write_routing.rs
+++ b/core/src/routing/write_routing.rs
@@ -2,7 +2,7 @@
 //! primary is known, to the members in turn, which decline it unless they are the primary.
 
 use crate::api::{GroupId, ServerId};
-use crate::failover::{InquiryCandidate, Phase, ReplicaSet};
+use crate::failover::{Phase, PrimaryCandidate, ReplicaSet};
 
 use super::cluster::Member;
 use super::open_request::OpenRequest;
@@ -27,7 +27,7 @@
     /// The group.
     pub group: GroupId,
     /// The eligible members in the order of ids.
-    pub members: Vec<InquiryCandidate>,
+    pub members: Vec<PrimaryCandidate>,
     /// Seconds after which the attempt is given up.
     pub timeout_secs: f64,
 }
@@ -93,7 +93,7 @@
         member.server.has_capacity(view.now) && view.is_eligible(write, member.id, member.server)
     };
     let able = view.cluster.members(group).filter(is_able);
-    let candidate = |member: Member| InquiryCandidate {
+    let candidate = |member: Member| PrimaryCandidate {
         server: member.id,
         silence_secs: member.server.silence_secs(view.now),
     };
