--- a/core/src/failover/mod.rs
+++ b/core/src/failover/mod.rs
@@ -29,7 +29,7 @@
 pub use failure_detector::{ResponseTimes, SilenceThreshold};
 pub use phase::{Phase, PhaseInput};
 pub use primary_inquiry::PrimaryCandidate;
-pub(crate) use primary_inquiry::MAX_SILENCE_TO_ASK;
+pub(crate) use primary_inquiry::MAX_RESPONSIVE_SILENCE_SECS;
 pub use primary_loss::{PrimaryLossCause, PrimaryLossCounts, PrimaryLossEvidence};
 pub use primary_tracker::{ClaimVerdict, PrimaryClaim, PrimaryTracker, RoleEvidence, RoleReport};
 pub use replica_set::{PrimaryObservation, ReplicaSet};
--- a/core/src/failover/primary_inquiry.rs
+++ b/core/src/failover/primary_inquiry.rs
@@ -14,7 +14,7 @@
 
 /// Longest silence after which a member still receives search attempts and position probes, in seconds. A
 /// member that has left an attempt unanswered for longer might leave them unanswered as well.
-pub(crate) const MAX_SILENCE_TO_ASK: f64 = 0.15;
+pub(crate) const MAX_RESPONSIVE_SILENCE_SECS: f64 = 0.15;
 /// Time between two search attempts within a round, in seconds.
 const SEARCH_ATTEMPT_INTERVAL_SECS: f64 = 0.01;
 /// Pause between two rounds of search attempts, in seconds.
@@ -145,7 +145,7 @@
         let candidate = candidates.iter().find(|candidate| {
             candidate.server >= first
                 && tracker.primary() != Some(candidate.server)
-                && candidate.silence_secs < MAX_SILENCE_TO_ASK
+                && candidate.silence_secs < MAX_RESPONSIVE_SILENCE_SECS
                 && tracker.is_eligible_for_search(candidate.server, now)
         });
         let member = candidate.map(|candidate| candidate.server);
--- a/core/src/routing/position_probe.rs
+++ b/core/src/routing/position_probe.rs
@@ -9,7 +9,7 @@
 //! Times and positions are seconds on the engine's clock.
 
 use crate::api::{Consistency, LoadReports, ServerId, SessionTokens, Settings, StaleReadPolicy};
-use crate::failover::MAX_SILENCE_TO_ASK;
+use crate::failover::MAX_RESPONSIVE_SILENCE_SECS;
 use crate::time::secs;
 
 use super::cluster::Member;
@@ -79,7 +79,7 @@
         if demand.is_met_by(replica.server) {
             return None;
         }
-        let is_responsive = replica.server.silence_secs(now) < MAX_SILENCE_TO_ASK;
+        let is_responsive = replica.server.silence_secs(now) < MAX_RESPONSIVE_SILENCE_SECS;
         if demand.asks(replica.server) && is_responsive && may_send(replica) {
             candidates.push(replica.id);
         }
