--- a/core/src/failover/replica_set.rs
+++ b/core/src/failover/replica_set.rs
@@ -227,19 +227,19 @@
     }
 
     /// Returns whether a write may be sent to a member now to find out whether the member is the primary.
-    pub fn may_ask_for_primary(&self, now: f64) -> bool {
+    pub fn may_search_for_primary(&self, now: f64) -> bool {
         !self.tracker.has_live_primary() && self.search.is_attempt_due(now)
     }
 
     /// Returns the member to which the next write is sent to find out whether the member is the primary;
     /// `None` if the write has to wait. `candidates` is sorted by server id.
-    pub fn next_to_ask(
+    pub fn next_search_target(
         &mut self,
         candidates: &[PrimaryCandidate],
         now: f64,
         cluster_durations: &FailoverDurations,
     ) -> Option<ServerId> {
-        if !self.may_ask_for_primary(now) {
+        if !self.may_search_for_primary(now) {
             return None;
         }
         let is_candidate = |server| candidates.iter().any(|candidate| candidate.server == server);
--- a/core/src/failover/replica_set/tests.rs
+++ b/core/src/failover/replica_set/tests.rs
@@ -43,7 +43,7 @@
     assert_eq!(set.writable_primary(), Some(A), "the silence is below the threshold");
     set.observe_primary(10.25, &observation(10.0, Some(10.0)));
     assert_eq!((set.writable_primary(), set.phase()), (None, Phase::Suspected { since: 10.0 }));
-    assert!(!set.may_ask_for_primary(10.3), "the primary's process may only be paused");
+    assert!(!set.may_search_for_primary(10.3), "the primary's process may only be paused");
     assert_eq!(set.canary_target(10.3), Some(A));
     set.read_sent(A, 10.3);
     assert_eq!((set.canary_target(10.4), set.canary_target(10.6)), (None, Some(A)));
@@ -72,7 +72,7 @@
     let (mut set, mut durations) = steady();
     set.observe_primary(10.3, &observation(10.0, Some(10.0)));
     set.observe_primary(10.7, &observation(10.0, Some(10.0)));
-    assert!(set.may_ask_for_primary(10.7), "the silence is too long for a process pause");
+    assert!(set.may_search_for_primary(10.7), "the silence is too long for a process pause");
     assert!(set.recovery_forecast(10.7, &durations).is_some_and(|forecast| forecast.quantile(0.5) > 3.0));
     assert_eq!(set.primary_claimed(claim(B, 14.0, Some(13.9)), 14.0, &mut durations), ClaimVerdict::Accepted);
     assert_eq!(durations.sample(FailoverKind::Unplanned).last(), Some(&4.0));
@@ -95,7 +95,7 @@
     let (mut set, mut durations) = steady();
     set.server_draining(A, 11.0);
     assert_eq!((set.phase().failover_kind(), set.writable_primary()), (Some(FailoverKind::Planned), None));
-    assert!(set.may_ask_for_primary(11.0));
+    assert!(set.may_search_for_primary(11.0));
     let planned = set.recovery_forecast(11.1, &durations).map(|forecast| forecast.quantile(0.5));
     assert!(planned.is_some_and(|left| left < 1.0), "{planned:?}");
     assert_eq!(set.primary_claimed(claim(B, 11.5, Some(11.4)), 11.5, &mut durations), ClaimVerdict::Accepted);
@@ -110,7 +110,7 @@
     set.primary_claimed(claim(B, 13.0, Some(12.9)), 13.0, &mut durations);
     set.observe_primary(13.3, &observation(13.0, Some(13.0)));
     assert_eq!((set.phase(), set.writable_primary()), (Phase::NoPrimary { since: 10.0 }, None));
-    assert!(set.may_ask_for_primary(13.4));
+    assert!(set.may_search_for_primary(13.4));
     assert_eq!(set.primary_claimed(claim(A, 15.0, Some(14.9)), 15.0, &mut durations), ClaimVerdict::Accepted);
 }
 
@@ -159,7 +159,7 @@
 fn search_attempts_are_sent_in_rounds_with_a_pause_in_between() {
     let (mut set, durations, members) =
         (ReplicaSet::default(), FailoverDurations::default(), [candidate(A, 0.0), candidate(B, 0.0)]);
-    let mut target_at = |now| set.next_to_ask(&members, now, &durations);
+    let mut target_at = |now| set.next_search_target(&members, now, &durations);
     assert_eq!((target_at(1.0), target_at(1.005), target_at(1.02)), (Some(A), None, Some(B)));
     assert_eq!(
         (target_at(1.04), target_at(1.1), target_at(1.2)),
@@ -171,8 +171,8 @@
 #[test]
 fn silent_members_receive_no_search_attempts() {
     let (mut set, durations) = (ReplicaSet::default(), FailoverDurations::default());
-    assert_eq!(set.next_to_ask(&[candidate(A, 0.2), candidate(B, 0.1)], 1.0, &durations), Some(B));
-    assert_eq!(set.next_to_ask(&[candidate(A, 0.2), candidate(B, 0.2)], 2.0, &durations), None);
+    assert_eq!(set.next_search_target(&[candidate(A, 0.2), candidate(B, 0.1)], 1.0, &durations), Some(B));
+    assert_eq!(set.next_search_target(&[candidate(A, 0.2), candidate(B, 0.2)], 2.0, &durations), None);
 }
 
 #[test]
@@ -183,7 +183,7 @@
     for n in 0..400 {
         let now = 11.0 + f64::from(n) / 100.0;
         targets.extend(
-            set.next_to_ask(&[candidate(A, 9.0), candidate(B, 0.0)], now, &durations)
+            set.next_search_target(&[candidate(A, 9.0), candidate(B, 0.0)], now, &durations)
                 .map(|member| ((now * 10.0).round() as i64, member)),
         );
     }
@@ -209,7 +209,7 @@
         let now = 11.0 + f64::from(n) / 4.0;
         set.read_sent(A, now);
         assert_ne!(
-            set.next_to_ask(&[candidate(A, 9.0), candidate(B, 0.0)], now, &durations),
+            set.next_search_target(&[candidate(A, 9.0), candidate(B, 0.0)], now, &durations),
             Some(A),
             "{now}"
         );
--- a/core/src/routing/cluster/mod.rs
+++ b/core/src/routing/cluster/mod.rs
@@ -188,6 +188,6 @@
         now: f64,
     ) -> Option<ServerId> {
         let set = self.groups.get_mut(group)?.replica_set_mut();
-        set.next_to_ask(members, now, &self.failover_durations)
+        set.next_search_target(members, now, &self.failover_durations)
     }
 }
--- a/core/src/routing/write_routing.rs
+++ b/core/src/routing/write_routing.rs
@@ -85,7 +85,7 @@
 fn ask_for_primary(view: &RoutingView, write: &OpenRequest, set: &ReplicaSet) -> WriteDecision {
     let max_attempts = write.arrival().max_attempts;
     let has_attempts = write.attempts_sent() + MIN_ATTEMPTS_LEFT_TO_ASK <= max_attempts;
-    if !set.may_ask_for_primary(view.now) || !has_attempts {
+    if !set.may_search_for_primary(view.now) || !has_attempts {
         return WriteDecision::Wait;
     }
     let group = write.request().group;
