--- a/core/src/failover/replica_set.rs
+++ b/core/src/failover/replica_set.rs
@@ -221,7 +221,7 @@
 /// Search for the primary.
 impl ReplicaSet {
     /// Returns the silent primary if a read may be sent to it now to test whether it responds.
-    pub fn canary_target(&self, now: f64) -> Option<ServerId> {
+    pub fn test_read_target(&self, now: f64) -> Option<ServerId> {
         let is_silent = matches!(self.phase, Phase::Suspected { .. } | Phase::NoPrimary { .. });
         self.primary().filter(|_| is_silent && self.search.is_test_read_due(now))
     }
--- a/core/src/failover/replica_set/tests.rs
+++ b/core/src/failover/replica_set/tests.rs
@@ -44,9 +44,9 @@
     set.observe_primary(10.25, &observation(10.0, Some(10.0)));
     assert_eq!((set.writable_primary(), set.phase()), (None, Phase::Suspected { since: 10.0 }));
     assert!(!set.may_search_for_primary(10.3), "the primary's process may only be paused");
-    assert_eq!(set.canary_target(10.3), Some(A));
+    assert_eq!(set.test_read_target(10.3), Some(A));
     set.read_sent(A, 10.3);
-    assert_eq!((set.canary_target(10.4), set.canary_target(10.6)), (None, Some(A)));
+    assert_eq!((set.test_read_target(10.4), set.test_read_target(10.6)), (None, Some(A)));
     assert_eq!(set.recovery_forecast(10.3, &durations), None, "no write is rejected during a suspicion");
     set.primary_claimed(claim(A, 10.4, Some(10.0)), 10.4, &mut durations);
     set.write_sent(A, 10.4);
--- a/core/src/routing/read_routing.rs
+++ b/core/src/routing/read_routing.rs
@@ -181,7 +181,7 @@
 
     /// A suspected primary to which the read is sent to see whether it responds.
     fn canary(&self) -> Option<Member<'v>> {
-        let target = self.group.replica_set().canary_target(self.view.now)?;
+        let target = self.group.replica_set().test_read_target(self.view.now)?;
         if self.class.idempotency != Idempotency::Idempotent || !self.read.is_fresh() {
             return None;
         }
