--- a/core/src/failover/replica_set.rs
+++ b/core/src/failover/replica_set.rs
@@ -101,7 +101,7 @@
 
     /// Returns whether a failover is in progress or buffered writes are being released. Queued writes are
     /// then sent in order of their deadlines, earliest first.
-    pub fn is_releasing(&self) -> bool {
+    pub fn is_in_failover(&self) -> bool {
         !matches!(self.phase, Phase::Steady)
     }
 
--- a/core/src/routing/queue.rs
+++ b/core/src/routing/queue.rs
@@ -56,7 +56,7 @@
         let Some(group) = self.cluster.groups().get(request.request().group) else {
             return arrival.arrived_at;
         };
-        if is_write && group.replica_set().is_releasing() {
+        if is_write && group.replica_set().is_in_failover() {
             // Writes that a failover buffered are forwarded by their deadlines.
             arrival.deadline
         } else if !is_write && group.is_congested(self.now) {
