--- a/core/src/failover/replica_set.rs
+++ b/core/src/failover/replica_set.rs
@@ -195,7 +195,7 @@
     /// Returns whether an attempt in flight at the primary that was sent at `sent_at` counts as unanswered.
     /// It does not if the primary has served an attempt that was sent later, because then the request is slow
     /// and the primary does not hang.
-    pub fn is_response_owed(&self, sent_at: f64) -> bool {
+    pub fn counts_as_unanswered(&self, sent_at: f64) -> bool {
         sent_at > self.newest_served_sent_at
     }
 
--- a/core/src/failover/replica_set/tests.rs
+++ b/core/src/failover/replica_set/tests.rs
@@ -220,11 +220,11 @@
 fn an_attempt_does_not_count_as_unanswered_if_a_later_one_was_served() {
     let (mut set, _) = steady();
     set.response_received(A, Outcome::Success, 10.2, 0.05);
-    assert_eq!((set.is_response_owed(10.0), set.is_response_owed(10.3)), (false, true));
+    assert_eq!((set.counts_as_unanswered(10.0), set.counts_as_unanswered(10.3)), (false, true));
     set.response_received(B, Outcome::Success, 11.0, 0.05);
     set.response_received(A, Outcome::Misdirected, 11.0, 0.05);
     assert!(
-        set.is_response_owed(10.3),
+        set.counts_as_unanswered(10.3),
         "neither another server's response nor a declined request shows that the primary works"
     );
 }
--- a/core/src/routing/cluster/primary_watch.rs
+++ b/core/src/routing/cluster/primary_watch.rs
@@ -23,7 +23,7 @@
             let Some(server) = self.servers.get(&watched) else { continue };
             let queued_writes = group.queued_writes();
             let set = group.replica_set_mut();
-            let unanswered = in_flight.unanswered_at(watched, |sent_at| set.is_response_owed(sent_at));
+            let unanswered = in_flight.unanswered_at(watched, |sent_at| set.counts_as_unanswered(sent_at));
             let silence_threshold = SilenceThreshold {
                 typical_response_secs: slowest_mean_secs,
                 slowdown: 1.0 / server.warm_up().capacity_share(now, &settings.rules),
