--- a/core/src/failover/write_buffer.rs
+++ b/core/src/failover/write_buffer.rs
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct BufferedWrite<'sample> {
     /// Arrival time of the write.
-    pub arrived: f64,
+    pub arrived_at: f64,
     /// Deadline of the write.
     pub deadline: f64,
     /// Expected time to serve the write, in seconds.
@@ -72,7 +72,7 @@
     /// Decides whether the write stays buffered at `now`.
     pub fn decide(&self, now: f64, settings: &FailoverSettings) -> BufferDecision {
         let chance = self.forecast.chance_within(self.deadline - now - self.service_secs);
-        let late_at = self.arrived + LATE_SHARE * (self.deadline - self.arrived);
+        let late_at = self.arrived_at + LATE_SHARE * (self.deadline - self.arrived_at);
         let is_late = !self.was_declined && now >= late_at;
         let min_chance =
             if is_late { settings.min_late_recovery_chance } else { settings.min_recovery_chance };
--- a/core/src/failover/write_buffer/tests.rs
+++ b/core/src/failover/write_buffer/tests.rs
@@ -8,7 +8,7 @@
     let mut durations = FailoverDurations::default();
     durations.restore(FailoverKind::Unplanned, &[4.0; 24]);
     let forecast = durations.forecast(FailoverKind::Unplanned, elapsed);
-    BufferedWrite { arrived: 100.0, deadline: 103.0, service_secs: 0.1, was_declined: false, forecast }
+    BufferedWrite { arrived_at: 100.0, deadline: 103.0, service_secs: 0.1, was_declined: false, forecast }
         .decide(now, &FailoverSettings { min_recovery_chance: 0.03, ..FailoverSettings::default() })
 }
 
@@ -35,7 +35,7 @@
     let durations = FailoverDurations::default();
     let forecast = durations.forecast(FailoverKind::Unplanned, 2.0);
     let write =
-        BufferedWrite { arrived: 100.0, deadline: 103.0, service_secs: 0.1, was_declined: true, forecast };
+        BufferedWrite { arrived_at: 100.0, deadline: 103.0, service_secs: 0.1, was_declined: true, forecast };
     assert_eq!(write.decide(101.6, &FailoverSettings::default()), BufferDecision::Keep);
     assert!(matches!(write.decide(102.9, &FailoverSettings::default()), BufferDecision::Reject { .. }));
 }
@@ -45,7 +45,7 @@
     let durations = FailoverDurations::default();
     let decide = |now: f64| {
         let forecast = durations.forecast(FailoverKind::Unplanned, now - 100.0);
-        BufferedWrite { arrived: 100.0, deadline: 103.0, service_secs: 0.1, was_declined: false, forecast }
+        BufferedWrite { arrived_at: 100.0, deadline: 103.0, service_secs: 0.1, was_declined: false, forecast }
             .decide(now, &FailoverSettings::default())
     };
     assert_eq!((decide(100.0), decide(101.4)), (BufferDecision::Keep, BufferDecision::Keep));
--- a/core/src/routing/queue.rs
+++ b/core/src/routing/queue.rs
@@ -99,7 +99,7 @@
         let forecast = set.recovery_forecast(self.now, self.cluster.failover_durations())?;
         let mean_secs = self.latencies.mean_secs(request.request().class);
         let write = BufferedWrite {
-            arrived: request.arrival().arrived_at,
+            arrived_at: request.arrival().arrived_at,
             deadline: request.arrival().deadline,
             service_secs: MAX_RESPONSE_SHARE * mean_secs.min(request.time_limit_secs()),
             was_declined: request.was_declined(),
