--- a/core/src/failover/primary_loss.rs
+++ b/core/src/failover/primary_loss.rs
@@ -72,7 +72,7 @@
         let millis = |secs: f64| (secs * 1e3).round();
         let threshold = &self.observation.silence_threshold;
         let times = &self.response_times;
-        let oldest_secs = self.observation.oldest_unanswered.map_or(0.0, |sent_at| self.now - sent_at);
+        let oldest_secs = self.observation.oldest_unanswered_at.map_or(0.0, |sent_at| self.now - sent_at);
         write!(
             formatter,
             "primary={} cause={} count={} last_response_ms={} oldest_unanswered_ms={} \
@@ -81,7 +81,7 @@
             self.server.0,
             self.cause,
             self.cause_count,
-            millis(self.now - self.observation.last_response),
+            millis(self.now - self.observation.last_response_at),
             millis(oldest_secs),
             threshold.unanswered,
             millis(threshold.threshold_secs(self.response_times)),
--- a/core/src/failover/primary_loss/tests.rs
+++ b/core/src/failover/primary_loss/tests.rs
@@ -20,8 +20,8 @@
     let silence_threshold =
         SilenceThreshold { typical_response_secs: 0.2, slowdown: 1.5, suspicion_factor: 4.0, unanswered: 2 };
     let observation = PrimaryObservation {
-        last_response: 10.0,
-        oldest_unanswered: Some(10.2),
+        last_response_at: 10.0,
+        oldest_unanswered_at: Some(10.2),
         is_down: false,
         silence_threshold,
         queued_writes: 0,
--- a/core/src/failover/replica_set/observation.rs
+++ b/core/src/failover/replica_set/observation.rs
@@ -17,9 +17,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PrimaryObservation {
     /// Time of the primary's last response.
-    pub last_response: f64,
+    pub last_response_at: f64,
     /// Send time of the oldest unanswered attempt; `None` if no attempt is unanswered.
-    pub oldest_unanswered: Option<f64>,
+    pub oldest_unanswered_at: Option<f64>,
     /// Whether the primary is marked as down.
     pub is_down: bool,
     /// Parameters of the silence threshold beyond which the primary is suspected.
@@ -58,7 +58,7 @@
         {
             // Even a response that does not report a role shows that the primary works.
             self.primary_responded(now);
-        } else if observation.oldest_unanswered.is_none() {
+        } else if observation.oldest_unanswered_at.is_none() {
             self.resume_after_timeouts(now, &silence);
         }
         let is_released = observation.queued_writes == 0 || self.release.is_complete();
@@ -72,11 +72,11 @@
 
     fn measure_silence(&self, now: f64, observation: &PrimaryObservation) -> Silence {
         let threshold = &observation.silence_threshold;
-        let oldest_unanswered_at = observation.oldest_unanswered;
+        let oldest_unanswered_at = observation.oldest_unanswered_at;
         // If the primary has not responded since its claim, its silence is measured from the claim.
         let last_response_at = match self.tracker.claim() {
-            Some(claim) => claim.accepted_at.max(observation.last_response),
-            None => observation.last_response,
+            Some(claim) => claim.accepted_at.max(observation.last_response_at),
+            None => observation.last_response_at,
         };
         let since = oldest_unanswered_at.map_or(last_response_at, |sent_at| sent_at.max(last_response_at));
         let suspected_at = threshold.suspects_at(self.response_times, last_response_at, oldest_unanswered_at);
--- a/core/src/failover/replica_set/tests.rs
+++ b/core/src/failover/replica_set/tests.rs
@@ -9,10 +9,10 @@
 const THRESHOLD: SilenceThreshold =
     SilenceThreshold { typical_response_secs: 0.08, slowdown: 1.0, suspicion_factor: 0.5, unanswered: 3 };
 
-fn observation(last_response: f64, oldest_unanswered: Option<f64>) -> PrimaryObservation {
+fn observation(last_response_at: f64, oldest_unanswered_at: Option<f64>) -> PrimaryObservation {
     PrimaryObservation {
-        last_response,
-        oldest_unanswered,
+        last_response_at,
+        oldest_unanswered_at,
         is_down: false,
         silence_threshold: THRESHOLD,
         queued_writes: 5,
--- a/core/src/routing/cluster/primary_watch.rs
+++ b/core/src/routing/cluster/primary_watch.rs
@@ -31,8 +31,8 @@
                 unanswered: unanswered.count,
             };
             let observation = PrimaryObservation {
-                last_response: server.replication().last_response_at(),
-                oldest_unanswered: unanswered.oldest_sent_at,
+                last_response_at: server.replication().last_response_at(),
+                oldest_unanswered_at: unanswered.oldest_sent_at,
                 is_down: !server.is_up(),
                 silence_threshold,
                 queued_writes,
