--- a/core/src/failover/replica_set/observation.rs
+++ b/core/src/failover/replica_set/observation.rs
@@ -40,11 +40,11 @@
 impl ReplicaSet {
     /// Returns the server whose silence is monitored: the primary, or the last primary if it drains or was
     /// removed and has no successor yet.
-    pub fn watched_primary(&self) -> Option<ServerId> {
+    pub fn observed_primary(&self) -> Option<ServerId> {
         self.primary().or(self.withdrawn_primary)
     }
 
-    /// Evaluates the observed state of [`Self::watched_primary`]. Returns the name of the phase if the phase
+    /// Evaluates the observed state of [`Self::observed_primary`]. Returns the name of the phase if the phase
     /// has changed since the last call.
     pub fn observe_primary(&mut self, now: f64, observation: &PrimaryObservation) -> Option<&'static str> {
         let silence = self.measure_silence(now, observation);
--- a/core/src/failover/replica_set/tests.rs
+++ b/core/src/failover/replica_set/tests.rs
@@ -118,7 +118,7 @@
 fn a_planned_failover_becomes_unplanned_if_the_draining_primary_hangs() {
     let (mut set, durations) = steady();
     set.server_draining(A, 11.0);
-    assert_eq!(set.watched_primary(), Some(A));
+    assert_eq!(set.observed_primary(), Some(A));
     set.observe_primary(11.9, &observation(11.0, Some(11.1)));
     assert_eq!(set.phase(), Phase::NoPrimary { since: 11.0 });
     assert!(set.recovery_forecast(12.0, &durations).is_some_and(|forecast| forecast.quantile(0.5) > 2.0));
--- a/core/src/routing/cluster/primary_watch.rs
+++ b/core/src/routing/cluster/primary_watch.rs
@@ -19,7 +19,7 @@
         actions: &mut Vec<Action>,
     ) {
         for (id, group) in self.groups.iter_mut() {
-            let Some(watched) = group.replica_set().watched_primary() else { continue };
+            let Some(watched) = group.replica_set().observed_primary() else { continue };
             let Some(server) = self.servers.get(&watched) else { continue };
             let queued_writes = group.queued_writes();
             let set = group.replica_set_mut();
