--- a/core/src/failover/failure_detector.rs
+++ b/core/src/failover/failure_detector.rs
@@ -25,8 +25,9 @@
 /// Weight of a new response time in the deviation, as in RFC 6298.
 const DEVIATION_GAIN: f64 = 1.0 / 4.0;
 
-/// Response time of a replica set's primary: smoothed mean and mean deviation, as computed by RFC 6298 for
-/// TCP's retransmission timer. Only responses are recorded, so an outage does not raise the estimate.
+/// Response time of a replica set's primary: smoothed mean and mean deviation, based on the estimator of RFC
+/// 6298 for TCP's retransmission timer. Only responses are recorded, so an outage does not raise the
+/// estimate.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ResponseTimes {
     mean_secs: f64,
--- a/core/src/failover/primary_inquiry.rs
+++ b/core/src/failover/primary_inquiry.rs
@@ -1,9 +1,8 @@
 //! Schedules the search for the primary of a replica set while no working primary is known.
 //!
-//! The search sends a buffered write to one member after another. A replica declines the write without
-//! executing it, and the primary executes it. These writes are called search attempts. The lost primary
-//! itself is tested with reads, and only rarely with a write, because the outcome of a write without a
-//! response is unknown.
+//! The search sends a buffered write to one member after another; such a write is a search attempt. A replica
+//! declines the write without executing it, and the primary executes it. The lost primary itself is tested
+//! with reads, and only rarely with a write, because the outcome of a write without a response is unknown.
 //!
 //! Owns the times of the next test read, test write and search attempt, and the member that receives the next
 //! search attempt. Members receive search attempts in the order of their ids, in rounds with a pause in
@@ -12,8 +11,8 @@
 use super::PrimaryTracker;
 use crate::api::ServerId;
 
-/// Longest silence after which a member still receives search attempts and position probes, in seconds. A
-/// member that has left an attempt unanswered for longer might leave them unanswered as well.
+/// Silence from which on a member receives no search attempts or position probes, in seconds. A member that
+/// has left an attempt unanswered for this long might leave further attempts unanswered as well.
 pub(crate) const MAX_RESPONSIVE_SILENCE_SECS: f64 = 0.15;
 /// Time between two search attempts within a round, in seconds.
 const SEARCH_ATTEMPT_INTERVAL_SECS: f64 = 0.01;
--- a/core/src/failover/primary_loss.rs
+++ b/core/src/failover/primary_loss.rs
@@ -1,4 +1,4 @@
-//! Causes for which a primary is suspected or lost, with the evidence and a counter for each cause.
+//! Causes of the suspicion or loss of a primary, with the evidence and a counter for each cause.
 //!
 //! The counters do not affect any decision. They help operators to distinguish false alarms of the failure
 //! detector from faults of the primary. Times are seconds.
@@ -8,7 +8,7 @@
 use super::{PrimaryObservation, ResponseTimes};
 use crate::api::ServerId;
 
-/// Cause for which a primary is suspected or lost.
+/// Cause of the suspicion or loss of a primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PrimaryLossCause {
     /// The primary's responses are overdue.
@@ -50,10 +50,10 @@
     }
 }
 
-/// Evidence for which a primary is suspected or lost. Formatted as part of a log line.
+/// Evidence that led to the suspicion or loss of a primary. Formatted as part of a log line.
 #[derive(Debug, Clone, Copy)]
 pub struct PrimaryLossEvidence {
-    /// The primary.
+    /// Id of the primary.
     pub server: ServerId,
     /// Cause of the suspicion or loss.
     pub cause: PrimaryLossCause,
--- a/core/src/failover/primary_tracker.rs
+++ b/core/src/failover/primary_tracker.rs
@@ -169,9 +169,9 @@
         self.newest_evidence_at = self.newest_evidence_at.max(at);
     }
 
-    /// Records that the endpoint list names a server as the primary. The endpoint list lags behind, so its
-    /// entry counts only if no primary is known or the known primary is lost, and never contradicts a
-    /// server's own report.
+    /// Records that the endpoint list names a server as the primary. The endpoint list lags behind, so the
+    /// entry is ignored if a primary is known that is not lost, or if the tracker has role evidence of the
+    /// server.
     pub fn record_listed(&mut self, server: ServerId, now: f64) -> ClaimVerdict {
         if self.primary() == Some(server) {
             return ClaimVerdict::Confirmed;
--- a/core/src/failover/replica_set.rs
+++ b/core/src/failover/replica_set.rs
@@ -232,7 +232,8 @@
     }
 
     /// Returns the member to which the next write is sent to find out whether the member is the primary;
-    /// `None` if the write has to wait. `candidates` is sorted by server id.
+    /// `None` if the write has to wait. Returns the lost primary if a test write to it is due. `candidates`
+    /// is sorted by server id.
     pub fn next_search_target(
         &mut self,
         candidates: &[PrimaryCandidate],
--- a/core/src/failover/replica_set/tests.rs
+++ b/core/src/failover/replica_set/tests.rs
@@ -5,7 +5,7 @@
 
 const A: ServerId = ServerId(1);
 const B: ServerId = ServerId(2);
-/// Results in a threshold of 0.2 s before the first response.
+/// Results in a threshold of 0.16 s before the first response.
 const THRESHOLD: SilenceThreshold =
     SilenceThreshold { typical_response_secs: 0.08, slowdown: 1.0, suspicion_factor: 0.5, unanswered: 3 };
 
@@ -194,9 +194,9 @@
         matches!(gaps[..], [6..8, 12..14]),
         "the interval of test writes doubles each time: {test_write_times:?}"
     );
-    let late = targets.iter().filter(|(at, member)| *member == B && *at >= 130).count();
+    let near_end_count = targets.iter().filter(|(at, member)| *member == B && *at >= 130).count();
     assert!(
-        late >= 2 * targets.iter().filter(|(at, member)| *member == B && *at < 120).count(),
+        near_end_count >= 2 * targets.iter().filter(|(at, member)| *member == B && *at < 120).count(),
         "search attempts are more frequent near the expected end of the failover"
     );
 }
@@ -235,12 +235,15 @@
     set.observe_primary(11.0, &PrimaryObservation { is_down: true, ..observation(10.0, Some(10.0)) });
     let snapshot = set.snapshot(A, 12.0);
     assert_eq!(snapshot.failover, Some((FailoverKind::Unplanned, 2.0)));
-    let mut other = ReplicaSet::default();
-    other.restore(A, &snapshot, 50.0);
-    assert_eq!(other.phase(), Phase::NoPrimary { since: 48.0 });
+    let mut restored = ReplicaSet::default();
+    restored.restore(A, &snapshot, 50.0);
+    assert_eq!(restored.phase(), Phase::NoPrimary { since: 48.0 });
     set.primary_claimed(claim(B, 13.0, Some(12.9)), 13.0, &mut durations);
-    other.primary_claimed(claim(B, 51.0, Some(50.9)), 51.0, &mut durations);
-    other.restore(A, &set.snapshot(A, 13.0), 51.0);
-    assert!(other.is_deposed(A));
-    assert_eq!(other.primary_claimed(claim(A, 52.0, Some(51.9)), 52.0, &mut durations), ClaimVerdict::Stale);
+    restored.primary_claimed(claim(B, 51.0, Some(50.9)), 51.0, &mut durations);
+    restored.restore(A, &set.snapshot(A, 13.0), 51.0);
+    assert!(restored.is_deposed(A));
+    assert_eq!(
+        restored.primary_claimed(claim(A, 52.0, Some(51.9)), 52.0, &mut durations),
+        ClaimVerdict::Stale
+    );
 }
--- a/core/src/failover/write_buffer.rs
+++ b/core/src/failover/write_buffer.rs
@@ -16,12 +16,13 @@
 /// Share of the time between a write's arrival and its deadline after which the probability of recovery has
 /// to reach the limit for late writes.
 const LATE_SHARE: f64 = 0.49;
-/// Lower bound of the retry hint, as a share of its upper bound.
+/// Lower bound of the retry hint, as a share of `max_retry_after`.
 const MIN_HINT_SHARE: f64 = 0.2;
 /// Upper bound of the retry hint for a rejected write, as a share of the time left until the write's
 /// deadline.
 const MAX_RETRY_AFTER_SHARE: f64 = 0.15;
-/// Smallest divisor for the share of the upper bound, in seconds. Avoids a division by zero.
+/// Lower bound of the divisor in [`retry_after_hint`], in seconds. Avoids a division by zero if
+/// `max_retry_after` is zero.
 const MIN_HINT_DIVISOR_SECS: f64 = 1e-9;
 
 /// Returns the delay after which a client should retry: the expected time until recovery, but at most
