--- a/core/src/failover/primary_inquiry.rs
+++ b/core/src/failover/primary_inquiry.rs
@@ -33,8 +33,8 @@
 pub struct PrimaryCandidate {
     /// Id of the member.
     pub server: ServerId,
-    /// Seconds for which the member has owed a response: since its last response, or since its oldest attempt
-    /// in flight was sent if that was later. 0 if it owes none.
+    /// Silence of the member in seconds: the time since its last response, or since its oldest attempt in
+    /// flight was sent if that was later. 0 if no attempt is in flight.
     pub silence_secs: f64,
 }
 
