--- a/core/src/routing/cluster/primary_watch.rs
+++ b/core/src/routing/cluster/primary_watch.rs
@@ -19,11 +19,11 @@
         actions: &mut Vec<Action>,
     ) {
         for (id, group) in self.groups.iter_mut() {
-            let Some(watched) = group.replica_set().watched_primary() else { continue };
+            let Some(watched) = group.replica_set().observed_primary() else { continue };
             let Some(server) = self.servers.get(&watched) else { continue };
             let queued_writes = group.queued_writes();
             let set = group.replica_set_mut();
-            let unanswered = in_flight.unanswered_at(watched, |sent_at| set.is_response_owed(sent_at));
+            let unanswered = in_flight.unanswered_at(watched, |sent_at| set.counts_as_unanswered(sent_at));
             let silence_threshold = SilenceThreshold {
                 typical_response_secs: slowest_mean_secs,
                 slowdown: 1.0 / server.warm_up().capacity_share(now, &settings.rules),
@@ -31,8 +31,8 @@
                 unanswered: unanswered.count,
             };
             let observation = PrimaryObservation {
-                last_response: server.replication().last_response_at(),
-                oldest_unanswered: unanswered.oldest_sent_at,
+                last_response_at: server.replication().last_response_at(),
+                oldest_unanswered_at: unanswered.oldest_sent_at,
                 is_down: !server.is_up(),
                 silence_threshold,
                 queued_writes,
