--- a/core/src/routing/arrival.rs
+++ b/core/src/routing/arrival.rs
@@ -1,7 +1,8 @@
 //! Admits requests or rejects them on arrival.
 //!
-//! A read is rejected at once where load shedding excludes it, or where only a primary without capacity could
-//! serve it. What depends on the arrival alone, such as the position that a read must see, is computed here.
+//! A read is rejected at once if load shedding excludes it, or if only a primary without capacity could serve
+//! it. Values that depend only on the arrival are computed here, such as the replication position that a read
+//! must see.
 
 use rand::Rng;
 
@@ -13,7 +14,8 @@
 use super::RoutingEngine;
 
 impl RoutingEngine {
-    /// A request arrived.
+    /// Records a new request, and rejects it if it is not admitted. Ignores a request whose id is already
+    /// open.
     pub(super) fn request_arrived(&mut self, request: Request, actions: &mut Vec<Action>) {
         if self.requests.contains_key(&request.id) {
             return;
@@ -52,7 +54,7 @@
         })
     }
 
-    /// The replication position that a causal or linearizable read must see; 0 for other requests.
+    /// Returns the replication position that a causal or linearizable read must see; 0 for other requests.
     fn required_position(&self, request: &Request) -> f64 {
         let consistency = self.settings.classes[request.class.0].consistency;
         match (consistency, self.settings.session_tokens) {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Whether load shedding admits a read.
+    /// Returns whether load shedding admits a read.
     fn admits_read(&mut self, read: &Request) -> bool {
         let group = self.cluster.groups().get(read.group);
         let admitted_share = group.map_or(1.0, |group| group.admission().admitted_share());
--- a/core/src/routing/dispatch.rs
+++ b/core/src/routing/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sends queued requests to servers and gives final answers to those that can't be sent.
+//! Sends queued requests to servers, and gives final answers to requests that can't be sent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,12 +15,12 @@
 use super::write_routing::{route_write, WriteDecision};
 use super::{RoutingEngine, ATTEMPT_EWMA};
 
-/// Queued requests for each one that the concurrency limits of a group admit.
+/// Largest queue length of a group, as a multiple of the sum of its servers' concurrency limits.
 const QUEUE_LENGTH_FACTOR: f64 = 3.0;
 /// Shortest timeout of an attempt in seconds.
 const MIN_ATTEMPT_TIMEOUT_SECS: f64 = 0.001;
 
-/// What stays queued in one step.
+/// The requests that stay queued in one step, by group.
 #[derive(Default)]
 struct QueueUsage {
     lengths: BTreeMap<GroupId, f64>,
@@ -28,7 +28,7 @@
 }
 
 impl RoutingEngine {
-    /// Sends what can be sent, in the order of the queue.
+    /// Sends the queued requests that can be sent, in the order of the queue.
     pub(super) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         let view = self.view();
         let waiting = self.requests.values().filter(|open| open.is_dispatchable());
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Counts a request that stays queued, and rejects it where the queue or the write buffer is full.
+    /// Counts a request that stays queued, and rejects it if the queue or the write buffer is full.
     fn queue_or_reject(
         &mut self,
         id: RequestId,
@@ -89,7 +89,7 @@
         match route_write(&self.view(), write) {
             WriteDecision::Wait => None,
             WriteDecision::Send(attempt) => Some(attempt),
-            WriteDecision::AskMembers(query) => {
+            WriteDecision::FindPrimary(query) => {
                 let server = self.cluster.next_member_to_ask(query.group, &query.members, self.now)?;
                 Some(PlannedAttempt { server, timeout_secs: query.timeout_secs })
             }
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Sends an attempt.
+    /// Sends an attempt to a server.
     fn forward(&mut self, id: RequestId, planned: PlannedAttempt, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(open) = self.requests.get_mut(&id) else { return };
@@ -146,15 +146,15 @@
         actions.push(Action::Forward { request: id, server: planned.server, timeout });
     }
 
-    /// Gives the final answer to a request. `recovery_secs` is the time after which its group is expected to
-    /// take writes again.
+    /// Gives the final answer to a request. `recovery_secs` is the time after which the request's group is
+    /// expected to take writes again, if it takes none now.
     pub(super) fn finish(&mut self, id: RequestId, recovery_secs: Option<f64>, actions: &mut Vec<Action>) {
         if let Some(open) = self.requests.remove(&id) {
             actions.push(final_answer(&open, recovery_secs, &self.settings));
         }
     }
 
-    /// Cancels the attempts of a request, where that is permitted.
+    /// Cancels the attempts of a request, if the settings permit it.
     pub(super) fn cancel_attempts(&self, request: RequestId, actions: &mut Vec<Action>) {
         if self.settings.limits.allow_cancel {
             let attempts = self.in_flight.of_request(request);
--- a/core/src/routing/eligibility.rs
+++ b/core/src/routing/eligibility.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent, to which servers, and whether a group has capacity for it.
+//! Decides whether a request may be sent, to which servers, and whether a group has capacity for it.
 
 use crate::api::{Idempotency, KeyScope, ServerId, StaleReadPolicy};
 use crate::time::secs;
@@ -10,11 +10,11 @@
 
 /// Seconds before the end of an idempotency key's window at which retries stop.
 const KEY_WINDOW_MARGIN_SECS: f64 = 0.01;
-/// A server is slow from this multiple of its usual response time on.
+/// Ratio of a server's response time to the usual one of the class above which the server counts as slow.
 pub(super) const SLOW_SERVER_RATIO: f64 = 2.0;
 
 impl RoutingView<'_> {
-    /// Whether one more attempt of a request is permitted and within the retry budget.
+    /// Returns whether one more attempt of a request is permitted and within the retry budget.
     pub fn may_send(&self, request: &OpenRequest) -> bool {
         let class = self.class(request);
         let may_repeat = match (request.first_possible_execution(), class.idempotency) {
@@ -30,7 +30,7 @@
             && self.now < request.arrival().deadline
     }
 
-    /// Whether the service rules permit sending a request to a server now.
+    /// Returns whether the service rules permit sending a request to a server now.
     pub fn is_eligible(&self, request: &OpenRequest, id: ServerId, server: &Server) -> bool {
         server.group() == request.request().group
             && !server.is_closed()
@@ -39,7 +39,7 @@
             && self.is_fresh_enough(request, id, server)
     }
 
-    /// Whether a server recognizes the idempotency key of a request that may have been executed.
+    /// Returns whether a server recognizes the idempotency key of a request that may have been executed.
     fn recognizes_key(&self, request: &OpenRequest, server: &Server) -> bool {
         let idempotency = self.class(request).idempotency;
         let Idempotency::WithKey { scope: KeyScope::Zone, .. } = idempotency else { return true };
@@ -52,7 +52,8 @@
         server.is_warm(self.now, &self.settings.rules) || server.warm_up().budget() >= cost
     }
 
-    /// Whether a server has the data that a request must see, as far as the proxy has to ensure it.
+    /// Returns whether a server has the data that a request must see. Always true for writes, and if replicas
+    /// decline reads that need newer data: then the proxy need not check.
     fn is_fresh_enough(&self, request: &OpenRequest, id: ServerId, server: &Server) -> bool {
         if self.settings.stale_read_policy != StaleReadPolicy::AnswerStale || self.is_write(request) {
             return true;
@@ -62,7 +63,8 @@
             || server.replication().position() >= self.required_position(request)
     }
 
-    /// Whether the primary of a read's group has capacity for it beside the writes of all instances.
+    /// Returns whether the primary of a read's group has capacity for the read beside the writes of all
+    /// instances.
     pub fn primary_admits_read(&self, request: &OpenRequest) -> bool {
         let Some(group) = self.cluster.groups().get(request.request().group) else { return true };
         let classes = &self.settings.classes;
@@ -70,7 +72,7 @@
         self.primary_reads.admits(group.late_at_primary(), self.now, class, classes, &super::ATTEMPT_EWMA)
     }
 
-    /// Whether only the primary could serve a read, and has no capacity for it.
+    /// Returns whether only the primary could serve a read and has no capacity for it.
     pub fn lacks_capacity_for_read(&self, request: &OpenRequest) -> bool {
         let group = request.request().group;
         let Some(primary) = self.cluster.primary(group) else { return false };
@@ -86,7 +88,7 @@
         !self.cluster.members(group).any(can_serve)
     }
 
-    /// Whether a replica that is fresh enough for a read, and not slow, has capacity for it.
+    /// Returns whether a replica that is fresh enough for a read, and not slow, has capacity for the read.
     pub fn has_lightly_loaded_replica(&self, request: &OpenRequest) -> bool {
         let group = request.request().group;
         let required_position = self.required_position(request);
--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -1,15 +1,16 @@
 //! The routing engine: admission, routing, retries and outlier detection for a cluster of database servers.
 //!
 //! Each server has a concurrency limit, which is set periodically from a parabola fitted to throughput over
-//! concurrency. Requests beyond the limits are queued, and rejected where the queue is full. A read goes to
-//! the better of two random replicas that are fresh enough, a write to the primary. The other rules apply
-//! when that breaks down; `docs/design.md` describes them.
+//! concurrency. Requests beyond the limits are queued, and are rejected when the queue is full. A read goes
+//! to the better of two random replicas that are fresh enough, and a write goes to the primary.
+//! `docs/design.md` describes the rules for the other cases, such as a replica set without a primary.
 //!
-//! [`RoutingEngine`] owns the parts and the order in which they are asked. Each module below owns one part of
-//! the state: [`cluster`] the servers and replica sets, [`open_request`] and [`in_flight`] the requests and
-//! their attempts, [`read_admission`] load shedding, [`outlier_detection`] the evidence against servers.
-//! Routing decisions ([`read_routing`], [`write_routing`], [`queue`]) are computed from a read-only [`view`]
-//! and applied afterwards. Times are `f64` seconds on the engine's clock.
+//! [`RoutingEngine`] owns all state and calls its components in a fixed order. Each component owns one part
+//! of the state: [`cluster`] owns the servers and replica sets, [`open_request`] and [`in_flight`] own the
+//! requests and their attempts, [`read_admission`] owns load shedding, and [`outlier_detection`] owns the
+//! shares of lost attempts and refused connections. The functions of [`read_routing`], [`write_routing`] and
+//! [`queue`] compute routing decisions from a read-only [`view`]; the engine then applies them. Times are
+//! `f64` seconds on the engine's clock.
 
 mod arrival;
 mod attempt_result;
@@ -63,19 +64,19 @@
 use read_admission::ReadAdmission;
 use retry_budget::RetryBudget;
 use tenant_meter::TenantMeters;
-use timer::{Activity, StepTimer, UpkeepSchedule};
+use timer::{Activity, MaintenanceSchedule, StepTimer};
 use view::RoutingView;
 
-/// Averages over the last 10 attempts, forgets in 10 s, and weighs the prior like 2 attempts.
+/// Averages over at most 10 attempts with a time constant of 10 s. The prior weighs as much as 2 attempts.
 const ATTEMPT_EWMA: EwmaConfig = EwmaConfig { max_weight: 10.0, decay_secs: 10.0, prior_weight: 2.0 };
 
-/// The routing engine of one proxy instance: it is fed events and answers with actions.
+/// The routing engine of one proxy instance. It takes events as input and returns actions.
 pub struct RoutingEngine {
     settings: Settings,
     now: f64,
     rng: Pcg64Mcg,
     timer: StepTimer,
-    upkeep: UpkeepSchedule,
+    maintenance: MaintenanceSchedule,
     discovery: DiscoverySchedule,
     cluster: Cluster,
     requests: BTreeMap<RequestId, OpenRequest>,
@@ -100,18 +101,18 @@
 }
 
 impl RoutingEngine {
-    /// An engine that knows nothing but its settings. `seed` is that of its random numbers.
+    /// Creates an engine without servers or requests. `seed` initializes its random number generator.
     ///
     /// # Errors
     ///
-    /// Fails if the settings have a figure that the engine can't work with.
+    /// Fails if a value in the settings is out of range.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
         Ok(Self {
             now: 0.0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             timer: StepTimer::default(),
-            upkeep: UpkeepSchedule::default(),
+            maintenance: MaintenanceSchedule::default(),
             discovery: DiscoverySchedule::default(),
             cluster: Cluster::default(),
             requests: BTreeMap::new(),
@@ -129,21 +130,22 @@
         })
     }
 
-    /// Learns all events of a batch, then decides. Both happen at `now`, the time on the caller's clock.
+    /// Processes a batch of events, makes all decisions that are due, and appends the resulting actions to
+    /// `out`. `now` is the time of the events and of the decisions on the caller's clock.
     pub fn step(&mut self, now: Duration, events: impl IntoIterator<Item = Event>, out: &mut Vec<Action>) {
         self.timer.step_started(secs(now));
         self.now = self.now.max(secs(now));
         self.sessions.start(self.now);
         events.into_iter().for_each(|event| self.handle_event(event, out));
-        self.follow_discovery(out);
-        self.count_queues();
-        self.maintain(out);
-        self.watch_primaries(out);
+        self.open_watch_if_due(out);
+        self.count_queued_requests();
+        self.run_maintenance(out);
+        self.observe_primaries(out);
         self.dispatch(out);
         self.timer.schedule(self.now, self.activity(), &self.settings, out);
     }
 
-    /// The state that another process of this proxy instance must know.
+    /// Returns the state that another process of this proxy instance needs.
     pub fn snapshot(&self) -> StateSnapshot {
         snapshot::take(&self.cluster, &self.sessions, self.now)
     }
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Applies new settings. Estimates of classes that have not changed stay.
+    /// Applies new settings. The estimates of unchanged classes are kept.
     fn apply_settings(&mut self, settings: Settings) {
         for (index, class) in settings.classes.iter().enumerate() {
             if self.settings.classes.get(index) != Some(class) {
@@ -247,16 +249,16 @@
         self.cluster.record_load_report(id, load_report, self.now);
     }
 
-    /// Opens a watch on the endpoint list where one is due.
-    fn follow_discovery(&mut self, actions: &mut Vec<Action>) {
+    /// Opens a watch on the endpoint list if one is due.
+    fn open_watch_if_due(&mut self, actions: &mut Vec<Action>) {
         let subscribes = self.settings.discovery == DiscoveryMode::Subscribe;
         if subscribes && self.discovery.is_call_due(self.now, &self.settings, || self.rng.random()) {
             actions.push(Action::Watch { on: true });
         }
     }
 
-    /// Counts the requests that wait for each group.
-    fn count_queues(&mut self) {
+    /// Counts the queued requests of each group.
+    fn count_queued_requests(&mut self) {
         self.cluster.groups_mut().values_mut().for_each(|group| group.reset_queue());
         for open in self.requests.values().filter(|open| open.is_queued()) {
             let group = self.cluster.groups_mut().get_or_create(open.request().group);
@@ -267,10 +269,10 @@
         }
     }
 
-    /// The periodic upkeep, where it is due.
-    fn maintain(&mut self, actions: &mut Vec<Action>) {
-        let Some(elapsed_secs) = self.upkeep.start_if_due(self.now) else { return };
-        // Tokens that all servers have passed can't matter any more.
+    /// Runs the periodic maintenance if it is due.
+    fn run_maintenance(&mut self, actions: &mut Vec<Action>) {
+        let Some(elapsed_secs) = self.maintenance.start_if_due(self.now) else { return };
+        // A token that all servers have passed no longer restricts any read.
         self.sessions.forget_up_to(self.cluster.lowest_position());
         self.cluster.refresh_load(self.now, &self.in_flight);
         let warm = self.cluster.warm_capacity(self.now, &self.settings);
@@ -279,7 +281,7 @@
         self.cluster.maintain_servers(self.now, elapsed_secs, rate, &self.settings, actions);
     }
 
-    fn watch_primaries(&mut self, actions: &mut Vec<Action>) {
+    fn observe_primaries(&mut self, actions: &mut Vec<Action>) {
         let Some(slowest_mean_secs) = self.latencies.slowest_mean_secs() else { return };
         let (settings, in_flight) = (&self.settings, &self.in_flight);
         self.cluster.observe_primaries(self.now, settings, in_flight, slowest_mean_secs, actions);
--- a/core/src/routing/open_request.rs
+++ b/core/src/routing/open_request.rs
@@ -77,7 +77,7 @@
     }
 
     /// Whether no attempt was sent yet.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_unsent(&self) -> bool {
         self.attempts_sent == 0
     }
 
--- a/core/src/routing/queue.rs
+++ b/core/src/routing/queue.rs
@@ -88,7 +88,7 @@
         let is_congested = group.is_some_and(|group| group.is_congested(self.now));
         let max_wait_secs = MAX_CONGESTED_WAIT_SHARE * request.time_limit_secs();
         !self.is_write(request)
-            && request.is_fresh()
+            && request.is_unsent()
             && is_congested
             && self.now >= request.arrival().arrived_at + max_wait_secs
     }
--- a/core/src/routing/read_routing.rs
+++ b/core/src/routing/read_routing.rs
@@ -1,8 +1,10 @@
-//! Where a read goes: the better of two random replicas that are fresh enough, with a few exceptions.
+//! Selects the server for a read: the better of two random replicas that are fresh enough, with these
+//! exceptions.
 //!
-//! A server that is down gets a fresh read as a trial. A primary that is suspected gets one read as a canary.
-//! A replica whose position is unknown, or that lags, is preferred where that does no harm. The primary
-//! serves what no replica can, or only far later.
+//! A server that is down gets a read without earlier attempts as a trial. A suspected primary gets one read
+//! as a canary. An idle replica that has not reported its position, or a lagging one that responds well
+//! within the latency objective, is preferred for reads that it may serve. The primary serves a read that no
+//! replica can serve, or that the selected replica would serve far later.
 
 use rand::Rng;
 
@@ -19,18 +21,19 @@
 use super::server::{DownState, Server, TrialPolicy};
 use super::view::{PlannedAttempt, RoutingView};
 
-/// A trial's timeout in mean response times.
-const TRIAL_TIMEOUT_MEANS: f64 = 3.0;
-/// Share of the primary's concurrency limit that reads leave to writes.
+/// Timeout of a trial, as a multiple of the class's mean response time.
+const TRIAL_TIMEOUT_FACTOR: f64 = 3.0;
+/// Share of the primary's concurrency limit that is reserved for writes.
 const WRITE_RESERVED_SHARE: f64 = 0.5;
-/// Lag in seconds from which on a replica is preferred for reads that any member may serve.
+/// Lag in seconds above which a replica is preferred for eventually consistent reads.
 const MIN_PREFERRED_LAG_SECS: f64 = 0.1;
-/// Part of the latency objective within which the response of a lagging replica must be expected.
+/// Upper bound of a lagging replica's expected response time, as a share of the latency objective.
 const MAX_LAGGING_RESPONSE_SHARE: f64 = 0.75;
-/// Seconds without a response after which a replica may be fresher than it reported.
-const OUTDATED_REPORT_SECS: f64 = 1.0;
+/// Age in seconds of a replica's last response above which its reported position is treated as outdated: the
+/// replica may have advanced since.
+const MIN_OUTDATED_REPORT_AGE_SECS: f64 = 1.0;
 
-/// Random numbers for one decision.
+/// The random numbers for one routing decision.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ReadDraws {
     first: usize,
@@ -38,7 +41,7 @@
 }
 
 impl ReadDraws {
-    /// Draws both numbers.
+    /// Draws both numbers from `rng`.
     pub fn new(rng: &mut impl Rng) -> Self {
         let first = rng.random::<u32>() as usize;
         let second = rng.random::<u32>() as usize;
@@ -46,20 +49,20 @@
     }
 }
 
-/// What is to be done with a read.
+/// Routing decision for a read.
 pub(super) enum ReadDecision {
-    /// It goes to a server that is down, to see whether it responds.
+    /// Attempt at a server that is down, which shows whether the server responds.
     Trial(PlannedAttempt),
-    /// It is sent, or waits.
+    /// Regular attempt, or none while the read stays queued.
     Route {
-        /// The attempt; `None` where the read waits.
+        /// The attempt; `None` if the read stays queued.
         attempt: Option<PlannedAttempt>,
-        /// A replica whose position is to be checked.
+        /// Replica whose position is checked by a health check; `None` for no check.
         position_check: Option<ServerId>,
     },
 }
 
-/// Decides where a read goes.
+/// Selects the server for a read.
 pub(super) fn route_read(view: &RoutingView, read: &OpenRequest, draws: ReadDraws) -> ReadDecision {
     let Some(group) = view.cluster.groups().get(read.request().group) else {
         return ReadDecision::Route { attempt: None, position_check: None };
@@ -71,7 +74,7 @@
     }
 }
 
-/// One read's decision.
+/// Computes the routing decision for one read.
 struct ReadRouter<'v, 'e> {
     view: &'v RoutingView<'e>,
     read: &'v OpenRequest,
@@ -79,11 +82,12 @@
     group: &'v Group,
     draws: ReadDraws,
     required_position: f64,
-    /// Replicas decline reads that they are too stale for, so that their positions may be estimated.
+    /// Whether replicas decline reads that need newer data. If so, the router may estimate a replica's
+    /// position, because a wrong estimate is noticed.
     replicas_check_staleness: bool,
     /// Eligible members that respond.
     up: Vec<Member<'v>>,
-    /// Eligible members that don't.
+    /// Eligible members that are down.
     down: Vec<Member<'v>>,
 }
 
@@ -107,8 +111,8 @@
         }
     }
 
-    /// An attempt at a server that is down, where its trial is due. Where no eligible member is up, any
-    /// idempotent read may be one.
+    /// Returns a trial of a server that is down, if one is due. Only an idempotent read without earlier
+    /// attempts may be a trial. If no eligible member is up, any idempotent read may be one.
     fn trial(&self) -> Option<PlannedAttempt> {
         if self.class.idempotency != Idempotency::Idempotent {
             return None;
@@ -117,14 +121,14 @@
         let allow_health_checks = self.view.settings.limits.allow_health_checks;
         let policy = if allow_health_checks { TrialPolicy::AfterHealthCheck } else { TrialPolicy::ReadsOnly };
         let is_due = |down: &DownState| {
-            (self.read.is_fresh() && down.is_trial_due(now, policy))
+            (self.read.is_unsent() && down.is_trial_due(now, policy))
                 || (self.up.is_empty() && down.is_last_resort_due(now))
         };
         let due: Vec<_> =
             self.down.iter().filter(|member| member.server.down().is_some_and(is_due)).collect();
         let chosen = due.get(self.draws.first.checked_rem(due.len())?)?;
         let mean_secs = self.view.latencies.mean_secs(self.read.request().class);
-        let timeout_secs = (mean_secs * TRIAL_TIMEOUT_MEANS).min(self.read.secs_left(now));
+        let timeout_secs = (mean_secs * TRIAL_TIMEOUT_FACTOR).min(self.read.secs_left(now));
         Some(PlannedAttempt { server: chosen.id, timeout_secs })
     }
 
@@ -160,14 +164,15 @@
         self.class.consistency != Consistency::Linearizable && !self.is_primary(member)
     }
 
-    /// Eligible replicas that respond.
+    /// Returns the eligible replicas that respond.
     fn replicas(&self) -> impl Iterator<Item = Member<'v>> + '_ {
         self.up.iter().copied().filter(|member| self.is_replica_for_read(member))
     }
 
-    /// Whether a replica has the data that the read must see. Where replicas check that themselves, one is
-    /// taken to lag as much as at its last report: a wrong estimate costs a declined attempt, and without it
-    /// the reads of an instance that seldom gets reports would all go to one member.
+    /// Returns whether a replica has the data that the read must see. If replicas check staleness themselves,
+    /// the replica's lag is assumed to be the same as at its last report. A wrong estimate costs one declined
+    /// attempt. Without the estimate, an instance that rarely gets reports would send all reads to one
+    /// member.
     fn is_fresh(&self, server: &Server) -> bool {
         let replication = server.replication();
         let estimated_position = self.view.now - replication.lag_secs();
@@ -179,76 +184,81 @@
         self.view.expected_response_secs(server, self.read)
     }
 
-    /// A suspected primary to which the read is sent to see whether it responds.
+    /// Returns the suspected primary if the read is to be sent there as a canary, which shows whether the
+    /// primary responds.
     fn canary(&self) -> Option<Member<'v>> {
         let target = self.group.replica_set().canary_target(self.view.now)?;
-        if self.class.idempotency != Idempotency::Idempotent || !self.read.is_fresh() {
+        if self.class.idempotency != Idempotency::Idempotent || !self.read.is_unsent() {
             return None;
         }
         self.up.iter().find(|member| member.id == target && self.has_capacity(member)).copied()
     }
 
     fn choose_replica(&self, fresh: &[Member<'v>]) -> Option<Member<'v>> {
-        let mut open: Vec<_> = fresh.iter().copied().filter(|member| self.has_capacity(member)).collect();
-        if open.len() > 1 {
-            open.retain(|member| self.read.failed_at() != Some(member.id));
+        let mut available: Vec<_> =
+            fresh.iter().copied().filter(|member| self.has_capacity(member)).collect();
+        if available.len() > 1 {
+            available.retain(|member| self.read.failed_at() != Some(member.id));
         }
-        let better = self.better_of_two(&mut open);
-        let preferred = self.lagging_replica(&open).or_else(|| self.unreported_replica(&open)).or(better);
+        let better = self.better_of_two(&mut available);
+        let preferred =
+            self.lagging_replica(&available).or_else(|| self.unreported_replica(&available)).or(better);
         if preferred.is_none() && fresh.is_empty() && self.replicas_check_staleness {
-            return self.farthest_replica();
+            return self.most_advanced_replica();
         }
         preferred
     }
 
-    /// The one of two random replicas where the response is expected earlier. Rotates the replicas, so that
-    /// instances go through them in different orders.
-    fn better_of_two(&self, open: &mut [Member<'v>]) -> Option<Member<'v>> {
-        let first_index = self.draws.first.checked_rem(open.len())?;
-        let second_index = (1 + self.draws.second % (open.len() - 1).max(1)) % open.len();
-        open.rotate_left(first_index);
-        let first = open[0];
-        let second = open[second_index];
+    /// Returns the one of two random replicas with the shorter expected response time. Rotates `available` by
+    /// a random number, so that instances try the replicas in different orders.
+    fn better_of_two(&self, available: &mut [Member<'v>]) -> Option<Member<'v>> {
+        let first_index = self.draws.first.checked_rem(available.len())?;
+        let second_index = (1 + self.draws.second % (available.len() - 1).max(1)) % available.len();
+        available.rotate_left(first_index);
+        let first = available[0];
+        let second = available[second_index];
         let is_second_better = self.expected_secs(second.server) < self.expected_secs(first.server);
         Some(if is_second_better { second } else { first })
     }
 
-    /// An idle replica that has not reported its position since its start: until it does, it serves few
-    /// reads.
-    fn unreported_replica(&self, open: &[Member<'v>]) -> Option<Member<'v>> {
+    /// Returns an idle replica that has not reported its position since its start. Such a replica serves few
+    /// reads until it reports.
+    fn unreported_replica(&self, available: &[Member<'v>]) -> Option<Member<'v>> {
         if self.replicas_check_staleness {
             return None;
         }
         let is_unreported = |member: &&Member| {
             member.server.load().in_flight() < 1.0 && member.server.replication().is_unknown()
         };
-        open.iter().find(is_unreported).copied()
+        available.iter().find(is_unreported).copied()
     }
 
-    /// The replica that lags most, for a read that any member may serve: it can't serve others' reads.
-    fn lagging_replica(&self, open: &[Member<'v>]) -> Option<Member<'v>> {
+    /// Returns the replica with the largest lag, for an eventually consistent read. That replica is too stale
+    /// for other reads, so the less stale replicas stay free for them.
+    fn lagging_replica(&self, available: &[Member<'v>]) -> Option<Member<'v>> {
         if is_large_fleet(self.view.settings) || self.class.consistency != Consistency::Eventual {
             return None;
         }
         let max_secs = MAX_LAGGING_RESPONSE_SHARE * secs(self.class.latency_objective);
         let lag_secs = |member: &Member| member.server.replication().lag_secs();
-        let lagging = open.iter().filter(|member| {
+        let lagging = available.iter().filter(|member| {
             lag_secs(member) > MIN_PREFERRED_LAG_SECS && self.expected_secs(member.server) < max_secs
         });
         lagging.max_by(|a, b| lag_secs(a).total_cmp(&lag_secs(b))).copied()
     }
 
-    /// The replica with the highest reported position among those whose report is outdated.
-    fn farthest_replica(&self) -> Option<Member<'v>> {
+    /// Returns the replica with the highest reported position among those whose report is outdated.
+    fn most_advanced_replica(&self) -> Option<Member<'v>> {
         let position = |member: &Member| member.server.replication().position();
         let outdated = self.replicas().filter(|member| {
             let secs_since_response = self.view.now - member.server.replication().last_response_at();
-            self.has_capacity(member) && secs_since_response > OUTDATED_REPORT_SECS
+            self.has_capacity(member) && secs_since_response > MIN_OUTDATED_REPORT_AGE_SECS
         });
         outdated.max_by(|a, b| position(a).total_cmp(&position(b)))
     }
 
-    /// The primary, where no replica can serve the read or only far later, and writes leave capacity.
+    /// Returns the primary if no replica can serve the read, or only far later, and the writes leave enough
+    /// capacity.
     fn primary_instead_of(&self, replica: Option<Member<'v>>) -> Option<Member<'v>> {
         let set = self.group.replica_set();
         if matches!(set.phase(), Phase::Suspected { .. }) {
@@ -258,23 +268,25 @@
         let primary = self.up.iter().find(|member| self.is_primary(member)).copied()?;
         let server = primary.server;
         let max_in_flight = (server.concurrency_limit() * (1.0 - WRITE_RESERVED_SHARE)).max(1.0);
-        let may_serve = self.fleet_leaves_capacity(server)
+        let may_serve = self.has_spare_primary_capacity(server)
             && self.has_capacity(&primary)
             && is_read_turn
             && server.load().in_flight() < max_in_flight;
-        let is_better = replica.is_none_or(|replica| self.is_far_better(server, replica.server));
+        let is_better = replica.is_none_or(|replica| self.is_much_faster(server, replica.server));
         (may_serve && is_better).then_some(primary)
     }
 
-    /// In a large fleet no instance sends reads to a slow primary, where the writes of all instances meet.
-    fn fleet_leaves_capacity(&self, primary: &Server) -> bool {
+    /// Returns whether the primary has capacity for the read beside the writes of all instances. Always true
+    /// in a small fleet. In a large fleet a slow primary gets no reads from any instance, because the writes
+    /// of all instances go there.
+    fn has_spare_primary_capacity(&self, primary: &Server) -> bool {
         !is_large_fleet(self.view.settings)
             || (primary.slowness(self.view.now) < SLOW_SERVER_RATIO
                 && self.view.primary_admits_read(self.read))
     }
 
-    /// Whether the primary would respond far earlier than a replica that has warmed up.
-    fn is_far_better(&self, primary: &Server, replica: &Server) -> bool {
+    /// Returns whether the primary is expected to respond far earlier than a replica that has warmed up.
+    fn is_much_faster(&self, primary: &Server, replica: &Server) -> bool {
         replica.is_warm(self.view.now, &self.view.settings.rules)
             && SLOW_SERVER_RATIO * self.expected_secs(primary) < self.expected_secs(replica)
     }
--- a/core/src/routing/timer.rs
+++ b/core/src/routing/timer.rs
@@ -9,9 +9,9 @@
 use crate::time::secs;
 
 /// Seconds between two upkeeps.
-const UPKEEP_INTERVAL_SECS: f64 = 0.05;
+const MAINTENANCE_INTERVAL_SECS: f64 = 0.05;
 /// Longest time in seconds that one upkeep accounts for.
-const MAX_UPKEEP_SECS: f64 = 1.0;
+const MAX_MAINTENANCE_SECS: f64 = 1.0;
 /// Seconds between steps while no request is open.
 const IDLE_STEP_INTERVAL_SECS: f64 = 0.2;
 /// Shortest interval in seconds that the steps of queued requests are computed with.
@@ -65,7 +65,7 @@
     pub fn schedule(&mut self, now: f64, activity: Activity, settings: &Settings, actions: &mut Vec<Action>) {
         let after_secs = match activity {
             Activity::Idle => IDLE_STEP_INTERVAL_SECS,
-            Activity::InFlight => UPKEEP_INTERVAL_SECS,
+            Activity::InFlight => MAINTENANCE_INTERVAL_SECS,
             Activity::Queued => QUEUE_STEP_FACTOR * secs(settings.min_step_interval).max(MIN_QUEUE_STEP_SECS),
         };
         let due_at = now + after_secs;
@@ -82,15 +82,15 @@
 
 /// The time of the last upkeep.
 #[derive(Default)]
-pub(super) struct UpkeepSchedule {
+pub(super) struct MaintenanceSchedule {
     last_at: f64,
 }
 
-impl UpkeepSchedule {
+impl MaintenanceSchedule {
     /// Starts an upkeep where one is due. Returns the seconds that it accounts for.
     pub fn start_if_due(&mut self, now: f64) -> Option<f64> {
-        let elapsed_secs = (now - self.last_at).min(MAX_UPKEEP_SECS);
-        if elapsed_secs < UPKEEP_INTERVAL_SECS {
+        let elapsed_secs = (now - self.last_at).min(MAX_MAINTENANCE_SECS);
+        if elapsed_secs < MAINTENANCE_INTERVAL_SECS {
             return None;
         }
         self.last_at = now;
--- a/core/src/routing/write_routing.rs
+++ b/core/src/routing/write_routing.rs
@@ -1,5 +1,6 @@
-//! Where a write goes: to the primary, to a replica that reports its position on the way, or, where no
-//! primary is known, to the members in turn, which decline it unless they are the primary.
+//! Selects the server for a write: the primary, or a replica that declines the write and reports its
+//! position. If no primary is known, the members are tried in turn, because every member except the primary
+//! declines a write.
 
 use crate::api::{GroupId, ServerId};
 use crate::failover::{InquiryCandidate, Phase, ReplicaSet};
@@ -9,37 +10,37 @@
 use super::position_probe::{write_probe_target, PositionDemand};
 use super::view::{PlannedAttempt, RoutingView};
 
-/// Attempts that must be left for a write to ask who the primary is.
-const MIN_ATTEMPTS_LEFT_TO_ASK: u32 = 2;
+/// Attempts that a write must have left to be sent to a member that may decline it.
+const MIN_ATTEMPTS_FOR_INQUIRY: u32 = 2;
 
-/// What is to be done with a write.
+/// Routing decision for a write.
 pub(super) enum WriteDecision {
-    /// It waits.
+    /// The write stays queued.
     Wait,
-    /// It is sent.
+    /// The write is sent to a server.
     Send(PlannedAttempt),
-    /// It asks one of the members which server is the primary.
-    AskMembers(PrimaryQuery),
+    /// The write is sent to one of the members to find the primary.
+    FindPrimary(PrimaryQuery),
 }
 
-/// A write that asks members which server is the primary.
+/// A write that may be sent to a member to find the primary.
 pub(super) struct PrimaryQuery {
-    /// The group.
+    /// Group of the write.
     pub group: GroupId,
-    /// The eligible members in the order of ids.
+    /// Eligible members in the order of their ids.
     pub members: Vec<InquiryCandidate>,
-    /// Seconds after which the attempt is given up.
+    /// Timeout of the attempt in seconds.
     pub timeout_secs: f64,
 }
 
-/// Decides where a write goes.
+/// Selects the server for a write.
 pub(super) fn route_write(view: &RoutingView, write: &OpenRequest) -> WriteDecision {
     let Some(group) = view.cluster.groups().get(write.request().group) else { return WriteDecision::Wait };
     let set = group.replica_set();
     let primary = set.writable_primary().and_then(|id| Some(Member { id, server: view.cluster.server(id)? }));
     match primary {
         Some(primary) => route_to_primary(view, write, set, primary),
-        None => ask_for_primary(view, write, set),
+        None => find_primary(view, write, set),
     }
 }
 
@@ -55,19 +56,20 @@
     if !is_possible {
         return WriteDecision::Wait;
     }
-    let server = position_check(view, write, set, primary.id).unwrap_or(primary.id);
+    let server = position_probe_target(view, write, set, primary.id).unwrap_or(primary.id);
     let timeout_secs = view.attempt_timeout_secs(write, primary.server);
     WriteDecision::Send(PlannedAttempt { server, timeout_secs })
 }
 
-/// The replica that a fresh write visits first: it declines the write and reports its position.
-fn position_check(
+/// Returns the replica that a write without earlier attempts is sent to first. The replica declines the write
+/// and reports its position.
+fn position_probe_target(
     view: &RoutingView,
     write: &OpenRequest,
     set: &ReplicaSet,
     primary: ServerId,
 ) -> Option<ServerId> {
-    let has_attempts = write.is_fresh() && write.arrival().max_attempts > MIN_ATTEMPTS_LEFT_TO_ASK;
+    let has_attempts = write.is_unsent() && write.arrival().max_attempts > MIN_ATTEMPTS_FOR_INQUIRY;
     if !has_attempts || set.phase() != Phase::Steady {
         return None;
     }
@@ -81,22 +83,23 @@
     write_probe_target(replicas, demand, view.now, may_send, write.request().id.0)
 }
 
-/// One write at a time asks the members in the order of ids; after a round the next one waits.
-fn ask_for_primary(view: &RoutingView, write: &OpenRequest, set: &ReplicaSet) -> WriteDecision {
+/// Sends one write at a time to the members in the order of their ids. After a full round the next write
+/// waits for a pause.
+fn find_primary(view: &RoutingView, write: &OpenRequest, set: &ReplicaSet) -> WriteDecision {
     let max_attempts = write.arrival().max_attempts;
-    let has_attempts = write.attempts_sent() + MIN_ATTEMPTS_LEFT_TO_ASK <= max_attempts;
+    let has_attempts = write.attempts_sent() + MIN_ATTEMPTS_FOR_INQUIRY <= max_attempts;
     if !set.may_ask_for_primary(view.now) || !has_attempts {
         return WriteDecision::Wait;
     }
     let group = write.request().group;
-    let is_able = |member: &Member| {
+    let can_receive = |member: &Member| {
         member.server.has_capacity(view.now) && view.is_eligible(write, member.id, member.server)
     };
-    let able = view.cluster.members(group).filter(is_able);
+    let available = view.cluster.members(group).filter(can_receive);
     let candidate = |member: Member| InquiryCandidate {
         server: member.id,
         silence_secs: member.server.silence_secs(view.now),
     };
-    let members = able.map(candidate).collect();
-    WriteDecision::AskMembers(PrimaryQuery { group, members, timeout_secs: write.secs_left(view.now) })
+    let members = available.map(candidate).collect();
+    WriteDecision::FindPrimary(PrimaryQuery { group, members, timeout_secs: write.secs_left(view.now) })
 }
