--- a/core/src/routing/attempt_result.rs
+++ b/core/src/routing/attempt_result.rs
@@ -1,56 +1,58 @@
-//! The end of an attempt, with what the engine knows of the attempt itself.
+//! The end of an attempt, together with what the engine recorded when the attempt was sent.
 //!
-//! [`completion`](super::completion) computes it, and all parts that learn from it read it.
+//! The module [`completion`](super::completion) creates a [`Completion`]; all components that process the end
+//! of an attempt read it.
 
 use crate::api::{AttemptNumber, ClassId, Consistency, Outcome, RequestId, ServerId};
 
-use super::tenant_meter::FaultOwner;
+use super::tenant_meter::ErrorSource;
 
 /// The end of an attempt.
 pub(super) struct Completion {
-    /// Its request.
+    /// Request of the attempt.
     pub request: RequestId,
-    /// Its number.
+    /// Number of the attempt within its request.
     pub attempt: AttemptNumber,
-    /// Its server.
+    /// Server that the attempt was sent to.
     pub server: ServerId,
-    /// Its request's class.
+    /// Class of the request.
     pub class: ClassId,
-    /// The consistency that the class needs.
+    /// Consistency that the class requires.
     pub consistency: Consistency,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// When it was sent, in seconds on the engine's clock.
+    /// Time at which the attempt was sent, in seconds on the engine's clock.
     pub sent_at: f64,
-    /// Seconds that it took, without those for which this process was paused.
+    /// Duration of the attempt in seconds, without the time for which this process was paused.
     pub took_secs: f64,
     /// Mean response time of the class before this attempt, in seconds.
-    pub usual_secs: f64,
-    /// Who caused the outcome.
-    pub fault_owner: FaultOwner,
-    /// The role that the response shows.
+    pub mean_secs: f64,
+    /// Whether the server or the tenant caused the outcome.
+    pub error_source: ErrorSource,
+    /// Whether the server is the primary according to the response; `None` if the response does not show it.
     pub is_primary: Option<bool>,
 }
 
 impl Completion {
-    /// Whether it was served.
+    /// Returns whether the attempt was served.
     pub fn is_success(&self) -> bool {
         self.outcome == Outcome::Success
     }
 
-    /// Whether its request is a write.
+    /// Returns whether the request is a write.
     pub fn is_write(&self) -> bool {
         self.consistency == Consistency::Write
     }
 
-    /// Whether it shows how long the server takes. A timeout does so if it is longer than usual.
+    /// Returns whether the duration counts as a response time. The duration of a timeout counts only if it is
+    /// longer than the mean.
     pub fn shows_response_time(&self) -> bool {
-        self.is_success() || (self.outcome == Outcome::Timeout && self.took_secs > self.usual_secs)
+        self.is_success() || (self.outcome == Outcome::Timeout && self.took_secs > self.mean_secs)
     }
 
-    /// Whether its outcome counts in its server's error share.
+    /// Returns whether the outcome counts in the server's error share.
     pub fn counts_in_error_share(&self) -> bool {
         let is_neutral = matches!(self.outcome, Outcome::Cancelled | Outcome::NotSent | Outcome::Misdirected);
-        self.fault_owner == FaultOwner::Server && !is_neutral
+        self.error_source == ErrorSource::Server && !is_neutral
     }
 }
--- a/core/src/routing/completion.rs
+++ b/core/src/routing/completion.rs
@@ -1,8 +1,8 @@
-//! What the end of an attempt teaches.
+//! Processes the end of an attempt.
 //!
-//! The end of an attempt concerns its server, its class, its group, its session and its request. This module
-//! says in which order they learn of it. The usual response time that an attempt is compared with is the one
-//! before the attempt itself is counted.
+//! The end of an attempt updates the state of its server, class, group, session and request, in the order
+//! that this module defines. The attempt is compared with the mean response time of its class as it was
+//! before the attempt is counted.
 
 use crate::api::{Action, AttemptEnded, AttemptId, Consistency, LoadReport, Outcome, ServerStatus};
 use crate::primary_read_admission::PrimaryAttempt;
@@ -16,28 +16,28 @@
 use super::open_request::OpenRequest;
 use super::outlier_detection::CompletionContext;
 use super::server::{Server, StatusReport};
-use super::tenant_meter::FaultOwner;
+use super::tenant_meter::ErrorSource;
 use super::{RoutingEngine, ATTEMPT_EWMA};
 
-/// Seconds by which a commit position may be rounded up.
+/// Rounding error of a commit position in seconds: a server may round it up by this much.
 const POSITION_ROUNDING_SECS: f64 = 0.001;
 /// Longest time in seconds for which an abandoned attempt occupies its server.
 const MAX_RESERVATION_SECS: f64 = 2.0;
-/// Part of the latency objective within which a response counts as throughput.
+/// Share of the latency objective within which a response counts as throughput.
 const THROUGHPUT_OBJECTIVE_SHARE: f64 = 0.5;
-/// Least mean response time in seconds that a server's slowness is computed with.
-const MIN_USUAL_SECS: f64 = 1e-4;
-/// Least mean response time in seconds that a gossip message is computed with.
-const MIN_GOSSIP_USUAL_SECS: f64 = 1e-3;
+/// Lower bound of the mean response time in seconds, for computing a server's slowness.
+const MIN_MEAN_SECS: f64 = 1e-4;
+/// Lower bound of the mean response time in seconds, for computing the ratio in a gossip message.
+const MIN_GOSSIP_MEAN_SECS: f64 = 1e-3;
 
 impl RoutingEngine {
-    /// An attempt ended.
+    /// Processes the end of an attempt. Ignores the result of an attempt that is not in flight.
     pub(super) fn attempt_ended(&mut self, ended: AttemptEnded, actions: &mut Vec<Action>) {
         let id = AttemptId { request: ended.request, number: ended.attempt };
         if let Some(attempt) = self.in_flight.remove(id) {
             let status = ended.status.unwrap_or(ServerStatus { position: None, primary: None });
-            let end = self.completion(&ended, &attempt, status);
-            self.record_completion(&end, &attempt, status, ended.load_report, actions);
+            let completion = self.completion(&ended, &attempt, status);
+            self.record_completion(&completion, &attempt, status, ended.load_report, actions);
         }
         if ended.request_complete {
             self.requests.remove(&ended.request);
@@ -51,13 +51,13 @@
         status: ServerStatus,
     ) -> Completion {
         let consistency = self.settings.classes[attempt.class.0].consistency;
-        // A server that declines a write is not the primary, whatever it says of its role.
+        // A server that declines a write is not the primary, whatever role it reports.
         let declined_write = ended.outcome == Outcome::Misdirected && consistency == Consistency::Write;
         let is_primary = if declined_write { Some(false) } else { status.primary };
-        // A response found after a process pause counts without the pause.
-        let usual_secs = self.latencies.mean_secs(attempt.class);
+        // If the process was paused before this step, the pause is not part of the response time.
+        let mean_secs = self.latencies.mean_secs(attempt.class);
         let elapsed_secs = self.now - attempt.sent_at;
-        let took_secs = (elapsed_secs - self.timer.pause_secs()).max(elapsed_secs.min(usual_secs));
+        let took_secs = (elapsed_secs - self.timer.pause_secs()).max(elapsed_secs.min(mean_secs));
         let tenant = self.requests.get(&ended.request).and_then(|open| open.request().tenant);
         Completion {
             request: ended.request,
@@ -68,65 +68,70 @@
             outcome: ended.outcome,
             sent_at: attempt.sent_at,
             took_secs,
-            usual_secs,
-            fault_owner: self.tenants.attempt_ended(tenant, ended.outcome, self.now),
+            mean_secs,
+            error_source: self.tenants.attempt_ended(tenant, ended.outcome, self.now),
             is_primary,
         }
     }
 
     fn record_completion(
         &mut self,
-        end: &Completion,
+        completion: &Completion,
         attempt: &InFlightAttempt,
         status: ServerStatus,
         load_report: Option<LoadReport>,
         actions: &mut Vec<Action>,
     ) {
-        self.record_at_server(end, attempt.expected_secs, actions);
-        self.record_primary_lateness(end);
-        self.record_throughput(end);
-        if end.outcome.is_response() {
-            self.record_response(end, status);
+        self.record_at_server(completion, attempt.expected_secs, actions);
+        self.record_primary_lateness(completion);
+        self.record_throughput(completion);
+        if completion.outcome.is_response() {
+            self.record_response(completion, status);
         }
-        self.cluster.record_load_report(end.server, load_report, self.now);
-        self.record_session_write(end, attempt, status);
-        if end.is_write() {
-            self.write_ended(end, actions);
+        self.cluster.record_load_report(completion.server, load_report, self.now);
+        self.record_commit(completion, attempt, status);
+        if completion.is_write() {
+            self.write_ended(completion, actions);
         }
-        self.record_timeliness(end, actions);
-        let Some(open) = self.requests.get_mut(&end.request) else { return };
-        open.attempt_ended(end.attempt, end.server, end.outcome);
-        if end.fault_owner == FaultOwner::Tenant {
-            self.finish(end.request, None, actions);
+        self.record_timeliness(completion, actions);
+        let Some(open) = self.requests.get_mut(&completion.request) else { return };
+        open.attempt_ended(completion.attempt, completion.server, completion.outcome);
+        if completion.error_source == ErrorSource::Tenant {
+            self.finish(completion.request, None, actions);
         }
     }
 
-    /// What the end says of its server and of the way there.
-    fn record_at_server(&mut self, end: &Completion, expected_secs: f64, actions: &mut Vec<Action>) {
+    /// Records the load, response time, errors and outlier evidence of the server, and the response time of
+    /// the class.
+    fn record_at_server(&mut self, completion: &Completion, expected_secs: f64, actions: &mut Vec<Action>) {
         let now = self.now;
-        let is_steady_primary = self.cluster.is_steady_primary(end.server);
+        let is_steady_primary = self.cluster.is_steady_primary(completion.server);
         let is_watched_primary =
-            is_large_fleet(&self.settings) && self.cluster.led_group_mut(end.server).is_some();
+            is_large_fleet(&self.settings) && self.cluster.led_group_mut(completion.server).is_some();
         let primary_late_share = is_watched_primary.then(|| self.primary_reads.observed_late_share(now));
-        let Some(server) = self.cluster.server_mut(end.server) else { return };
-        // An abandoned attempt is often still executed, and occupies the server for as long again.
-        let is_abandoned = matches!(end.outcome, Outcome::Timeout | Outcome::Cancelled);
-        let expires_at = if is_abandoned { now + end.took_secs.min(MAX_RESERVATION_SECS) } else { now };
+        let Some(server) = self.cluster.server_mut(completion.server) else { return };
+        // The server often still executes an abandoned attempt, so the attempt is assumed to occupy the
+        // server for as long again.
+        let is_abandoned = matches!(completion.outcome, Outcome::Timeout | Outcome::Cancelled);
+        let expires_at =
+            if is_abandoned { now + completion.took_secs.min(MAX_RESERVATION_SECS) } else { now };
         server.attempt_ended(now, expires_at, expected_secs);
-        if end.shows_response_time() {
-            server.record_slowness(now, end.took_secs / end.usual_secs.max(MIN_USUAL_SECS));
+        if completion.shows_response_time() {
+            server.record_slowness(now, completion.took_secs / completion.mean_secs.max(MIN_MEAN_SECS));
             if server.is_up() {
-                self.latencies.record(end.class, end.took_secs);
-                let objective_secs = secs(self.settings.classes[end.class.0].latency_objective);
-                if end.is_success() && end.took_secs <= THROUGHPUT_OBJECTIVE_SHARE * objective_secs {
+                self.latencies.record(completion.class, completion.took_secs);
+                let objective_secs = secs(self.settings.classes[completion.class.0].latency_objective);
+                if completion.is_success()
+                    && completion.took_secs <= THROUGHPUT_OBJECTIVE_SHARE * objective_secs
+                {
                     server.record_completion_in_time();
                 } else {
                     server.record_late_completion();
                 }
             }
         }
-        if end.counts_in_error_share() {
-            match end.outcome {
+        if completion.counts_in_error_share() {
+            match completion.outcome {
                 Outcome::ServerError | Outcome::Rejected => server.record_error(now),
                 _ => server.record_no_error(now),
             }
@@ -134,67 +139,71 @@
         let context = CompletionContext {
             now,
             settings: &self.settings,
-            deviation_secs: self.latencies.deviation_secs(end.class),
+            deviation_secs: self.latencies.deviation_secs(completion.class),
             is_steady_primary,
             primary_late_share,
         };
-        self.outliers.attempt_ended(server, end, &context, actions);
+        self.outliers.attempt_ended(server, completion, &context, actions);
     }
 
-    fn record_primary_lateness(&mut self, end: &Completion) {
-        let Some(group) = self.cluster.led_group_mut(end.server) else { return };
-        let class = &self.settings.classes[end.class.0];
-        let attempt = PrimaryAttempt { class, elapsed_secs: end.took_secs, outcome: end.outcome };
+    fn record_primary_lateness(&mut self, completion: &Completion) {
+        let Some(group) = self.cluster.led_group_mut(completion.server) else { return };
+        let class = &self.settings.classes[completion.class.0];
+        let attempt =
+            PrimaryAttempt { class, elapsed_secs: completion.took_secs, outcome: completion.outcome };
         self.primary_reads.record(group.late_at_primary_mut(), self.now, &attempt, &ATTEMPT_EWMA);
     }
 
-    /// Counts a response of a server that has warmed up.
-    fn record_throughput(&mut self, end: &Completion) {
+    /// Counts a response of a server that has warmed up as throughput.
+    fn record_throughput(&mut self, completion: &Completion) {
         let is_warm = |server: &&Server| server.is_warm(self.now, &self.settings.rules);
-        let server = self.cluster.server(end.server).filter(|_| end.is_success()).filter(is_warm);
+        let server =
+            self.cluster.server(completion.server).filter(|_| completion.is_success()).filter(is_warm);
         let Some(group) = server.map(Server::group) else { return };
         let primary = self.cluster.primary_of_complete_group(group);
-        self.throughput.record_response(primary == Some(end.server));
-        self.costs.record_response(end.class.0, self.latencies.mean_secs(end.class), self.now);
+        self.throughput.record_response(primary == Some(completion.server));
+        self.costs.record_response(completion.class.0, self.latencies.mean_secs(completion.class), self.now);
     }
 
-    fn record_response(&mut self, end: &Completion, status: ServerStatus) {
+    fn record_response(&mut self, completion: &Completion, status: ServerStatus) {
         let response = ServerResponse {
-            server: end.server,
-            outcome: end.outcome,
-            sent_at: end.sent_at,
-            took_secs: end.took_secs,
+            server: completion.server,
+            outcome: completion.outcome,
+            sent_at: completion.sent_at,
+            took_secs: completion.took_secs,
         };
         self.cluster.response_received(response, self.now);
-        // A commit position is rounded up, and its server may not have got so far.
-        let rounding_secs = if end.is_success() && end.is_write() { POSITION_ROUNDING_SECS } else { 0.0 };
+        // The commit position of a write is rounded up, and the server may not have reached the rounded
+        // position.
+        let rounding_secs =
+            if completion.is_success() && completion.is_write() { POSITION_ROUNDING_SECS } else { 0.0 };
         let report = StatusReport {
             valid_at: self.now,
-            sent_at: Some(end.sent_at),
+            sent_at: Some(completion.sent_at),
             position: status.position.map(|position| secs(position) - rounding_secs),
-            is_primary: end.is_primary,
+            is_primary: completion.is_primary,
         };
-        self.cluster.record_status(end.server, report, self.now);
+        self.cluster.record_status(completion.server, report, self.now);
     }
 
-    fn record_session_write(&mut self, end: &Completion, attempt: &InFlightAttempt, status: ServerStatus) {
-        let session = attempt.session.as_ref().filter(|_| end.is_success());
+    fn record_commit(&mut self, completion: &Completion, attempt: &InFlightAttempt, status: ServerStatus) {
+        let session = attempt.session.as_ref().filter(|_| completion.is_success());
         if let Some((session, commit)) = session.zip(status.position) {
             self.sessions.record_write(session.clone(), secs(commit));
         }
     }
 
-    /// A write ended. If it is the first one served after a failover, the writes in flight at the former
-    /// primary get no response any more. Their clients are notified at once, since those writes may have been
-    /// executed.
-    fn write_ended(&mut self, end: &Completion, actions: &mut Vec<Action>) {
-        let Some(group) = self.cluster.group_of(end.server) else { return };
+    /// Records the end of a write. If the write is the first one served after a failover from a lost primary,
+    /// the writes in flight at the former primary will get no response. They may have been executed, so they
+    /// are ended and their clients are notified at once.
+    fn write_ended(&mut self, completion: &Completion, actions: &mut Vec<Action>) {
+        let Some(group) = self.cluster.group_of(completion.server) else { return };
         let set = self.cluster.groups_mut().get_or_create(group).replica_set_mut();
-        if !end.is_success() {
-            set.write_failed(end.sent_at);
+        if !completion.is_success() {
+            set.write_failed(completion.sent_at);
             return;
         }
-        let Some(former_primary) = set.write_served(end.server, end.sent_at) else { return };
+        let Some(former_primary) = set.write_served(completion.server, completion.sent_at) else { return };
         let view = self.view();
         let is_lost = |open: &&OpenRequest| view.is_write(open) && open.is_in_flight_at(former_primary);
         let lost: Vec<_> = self.requests.values().filter(is_lost).map(|open| open.request().id).collect();
@@ -204,27 +213,27 @@
         }
     }
 
-    /// Moves load shedding by whether the attempt was in time, and tells other instances.
-    fn record_timeliness(&mut self, end: &Completion, actions: &mut Vec<Action>) {
-        if !matches!(end.outcome, Outcome::Success | Outcome::Timeout | Outcome::Rejected) {
+    /// Adjusts load shedding by whether the attempt ended in time, and sends the result to other instances.
+    fn record_timeliness(&mut self, completion: &Completion, actions: &mut Vec<Action>) {
+        if !matches!(completion.outcome, Outcome::Success | Outcome::Timeout | Outcome::Rejected) {
             return;
         }
-        let objective_secs = secs(self.settings.classes[end.class.0].latency_objective);
-        let is_in_time = end.is_success() && end.took_secs <= objective_secs;
+        let objective_secs = secs(self.settings.classes[completion.class.0].latency_objective);
+        let is_in_time = completion.is_success() && completion.took_secs <= objective_secs;
         let message = GossipMessage {
-            server: end.server,
-            slowness_ratio: end.took_secs / end.usual_secs.max(MIN_GOSSIP_USUAL_SECS),
-            kind: if end.is_write() { GossipKind::Write } else { GossipKind::Read },
+            server: completion.server,
+            slowness_ratio: completion.took_secs / completion.mean_secs.max(MIN_GOSSIP_MEAN_SECS),
+            kind: if completion.is_write() { GossipKind::Write } else { GossipKind::Read },
             timeliness: if is_in_time { Timeliness::InTime } else { Timeliness::Late },
         };
         self.adjust_read_admission(&message);
-        if end.outcome != Outcome::Rejected {
+        if completion.outcome != Outcome::Rejected {
             message.broadcast(&self.settings, &mut self.rng, actions);
         }
     }
 
-    /// Another instance reported an attempt: it counts like an own one, except that it settles no role, no
-    /// position and no down state.
+    /// Processes a gossip message about an attempt of another instance. The message counts like an attempt of
+    /// this instance, but changes no role, replication position or down state.
     pub(super) fn gossip_received(&mut self, bytes: &[u8]) {
         let Some(message) = GossipMessage::decode(bytes) else { return };
         let Some(server) = self.cluster.server_mut(message.server) else { return };
--- a/core/src/routing/dispatch.rs
+++ b/core/src/routing/dispatch.rs
@@ -47,7 +47,7 @@
         let is_write = view.is_write(open);
         let buffering = if is_write { view.buffer_decision(open) } else { None };
         let recovery_secs = buffering.and_then(BufferDecision::retry_after_secs);
-        if recovery_secs.is_some() || !view.may_send(open) || view.is_hopeless(open) {
+        if recovery_secs.is_some() || !view.may_send(open) || view.cannot_finish_in_time(open) {
             self.cluster.groups_mut().get_or_create(group).request_expired(self.now);
             self.finish(id, recovery_secs, actions);
             return;
--- a/core/src/routing/read_routing.rs
+++ b/core/src/routing/read_routing.rs
@@ -198,7 +198,7 @@
         let mut available: Vec<_> =
             fresh.iter().copied().filter(|member| self.has_capacity(member)).collect();
         if available.len() > 1 {
-            available.retain(|member| self.read.failed_at() != Some(member.id));
+            available.retain(|member| self.read.last_failed_server() != Some(member.id));
         }
         let better = self.better_of_two(&mut available);
         let preferred =
--- a/core/src/routing/tenant_meter.rs
+++ b/core/src/routing/tenant_meter.rs
@@ -37,7 +37,7 @@
 
 /// Who caused the end of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum FaultOwner {
+pub(super) enum ErrorSource {
     /// The server, or the way to it.
     Server,
     /// The tenant, whose requests fail on every server.
@@ -67,9 +67,9 @@
     }
 
     /// An attempt of a tenant's request ended. Returns who caused it.
-    pub fn attempt_ended(&mut self, tenant: Option<TenantId>, outcome: Outcome, now: f64) -> FaultOwner {
+    pub fn attempt_ended(&mut self, tenant: Option<TenantId>, outcome: Outcome, now: f64) -> ErrorSource {
         let has_result = matches!(outcome, Outcome::Success | Outcome::ServerError);
-        let Some(tenant) = tenant.filter(|_| has_result) else { return FaultOwner::Server };
+        let Some(tenant) = tenant.filter(|_| has_result) else { return ErrorSource::Server };
         let is_error = f64::from(u8::from(outcome == Outcome::ServerError));
         self.meters[tenant.0].errors.record(now, is_error, &ATTEMPT_EWMA);
         let mut other_errors = 0.0;
@@ -81,9 +81,9 @@
         let max_share = (OWN_ERROR_FACTOR * other_errors / other_tenants).max(MIN_OWN_ERROR_SHARE);
         let own_share = self.meters[tenant.0].error_share(now);
         if outcome == Outcome::Success || own_share < max_share {
-            FaultOwner::Server
+            ErrorSource::Server
         } else {
-            FaultOwner::Tenant
+            ErrorSource::Tenant
         }
     }
 }
