--- a/core/src/routing/completion.rs
+++ b/core/src/routing/completion.rs
@@ -151,7 +151,7 @@
         let class = &self.settings.classes[completion.class.0];
         let attempt =
             PrimaryAttempt { class, elapsed_secs: completion.took_secs, outcome: completion.outcome };
-        self.primary_reads.record(group.late_at_primary_mut(), self.now, &attempt, &ATTEMPT_EWMA);
+        self.primary_reads.record(group.primary_late_share_mut(), self.now, &attempt, &ATTEMPT_EWMA);
     }
 
     /// Counts a response of a server that has warmed up as throughput.
--- a/core/src/routing/eligibility.rs
+++ b/core/src/routing/eligibility.rs
@@ -69,7 +69,7 @@
         let Some(group) = self.cluster.groups().get(request.request().group) else { return true };
         let classes = &self.settings.classes;
         let class = self.class(request);
-        self.primary_reads.admits(group.late_at_primary(), self.now, class, classes, &super::ATTEMPT_EWMA)
+        self.primary_reads.admits(group.primary_late_share(), self.now, class, classes, &super::ATTEMPT_EWMA)
     }
 
     /// Returns whether only the primary could serve a read and has no capacity for it.
--- a/core/src/routing/final_answer.rs
+++ b/core/src/routing/final_answer.rs
@@ -1,15 +1,15 @@
-//! The final answer to a request that got no response.
+//! The final answer to a request that was not served.
 
 use crate::api::{Action, Settings};
 use crate::failover::{retry_after_hint, RetrySafety};
 
 use super::open_request::OpenRequest;
 
-/// Part of the longest retry-after for requests whose late responses still count.
+/// Retry-after of requests whose late responses still count, as a share of the longest retry-after.
 const LATE_RETRY_SHARE: f64 = 0.5;
 
-/// Rejects a request where a retry is harmless, and fails it otherwise. `recovery_secs` is the time after
-/// which its group is expected to take writes again.
+/// Rejects a request if it is safe to retry, and fails it otherwise. `recovery_secs` is the time after which
+/// the request's group is expected to take writes again, if it takes none now.
 pub(super) fn final_answer(request: &OpenRequest, recovery_secs: Option<f64>, settings: &Settings) -> Action {
     let id = request.request().id;
     let class = &settings.classes[request.request().class.0];
@@ -17,7 +17,7 @@
         return Action::Fail { request: id };
     }
     let limits = &settings.limits;
-    // An early retry is of no use where a late response counts nothing.
+    // A late response of this class has no value, so an early retry is of no use.
     let usual_share = if class.late_weight > 0.0 { LATE_RETRY_SHARE } else { 1.0 };
     let usual = limits.max_retry_after.mul_f64(usual_share);
     let hint = recovery_secs.map_or(usual, |secs| retry_after_hint(secs, limits.max_retry_after));
--- a/core/src/routing/gossip.rs
+++ b/core/src/routing/gossip.rs
@@ -1,8 +1,9 @@
-//! What proxy instances tell each other of the attempts that they saw.
+//! Messages about attempts that proxy instances send each other.
 //!
-//! In a large fleet each instance sees too little of a server or group that all of them load. So each end of
-//! an attempt is sent to a few random instances, as many as the price of gossip permits. What a message says
-//! never takes a server down and settles no role and no position, because one side alone may see a fault.
+//! In a large fleet all instances send requests to the same servers and groups, but each instance sees only a
+//! few attempts. So the result of each attempt is sent to a few random instances, as many as the price of
+//! gossip permits. A message never marks a server as down and changes no role or replication position,
+//! because the fault may be visible to the sender alone.
 
 use rand::Rng;
 
@@ -10,22 +11,22 @@
 
 use super::fleet::is_large_fleet;
 
-/// Share of the service that messages may cost for each request.
+/// Upper bound of the cost of the messages about one attempt, as a share of the service.
 const MAX_COST_SHARE: f64 = 0.002;
-/// Largest number of instances that are notified of one attempt.
+/// Largest number of messages about one attempt.
 const MAX_RECIPIENTS: f64 = 8.0;
-/// Length in bytes that the price of gossip refers to.
+/// Message length in bytes that the price of gossip refers to.
 const PRICED_BYTES: f64 = 256.0;
-/// Least price that is divided by.
+/// Lower bound of the price as a divisor.
 const MIN_PRICE: f64 = 1e-9;
-/// Encoded steps of one in a slowness ratio.
+/// Steps per unit in the encoded slowness ratio.
 const RATIO_STEPS: f64 = 8.0;
 /// Flag of a message about a read.
 const FLAG_READ: u8 = 1;
-/// Flag of a message about an attempt that ended within its latency objective.
+/// Flag of a message about an attempt that succeeded within its latency objective.
 const FLAG_IN_TIME: u8 = 2;
 
-/// What kind of request an attempt served, as far as other instances use it.
+/// Whether the attempt's request is a write or a read. Load shedding counts only reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum GossipKind {
     /// A write.
@@ -34,30 +35,31 @@
     Read,
 }
 
-/// Whether an attempt ended within its latency objective.
+/// Whether an attempt succeeded within its latency objective.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Timeliness {
-    /// It succeeded within the objective.
+    /// The attempt succeeded within the latency objective.
     InTime,
-    /// It was late or failed.
+    /// The attempt ended late or failed.
     Late,
 }
 
-/// What one instance tells another of an attempt.
+/// Result of one attempt, as one instance sends it to another.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct GossipMessage {
-    /// The attempt's server.
+    /// Server of the attempt.
     pub server: ServerId,
-    /// Its response time as a multiple of the usual time of its class.
+    /// Duration of the attempt as a multiple of the mean response time of its class.
     pub slowness_ratio: f64,
-    /// What it served.
+    /// Kind of the attempt's request.
     pub kind: GossipKind,
-    /// Whether it was in time.
+    /// Whether the attempt succeeded in time.
     pub timeliness: Timeliness,
 }
 
 impl GossipMessage {
-    /// The server's id in little-endian order, the ratio in eighths, the flags.
+    /// Encodes the server's id in little-endian order (4 bytes), the ratio in eighths (1 byte) and the flags
+    /// (1 byte).
     fn encode(&self) -> Vec<u8> {
         let mut flags = 0;
         if self.kind == GossipKind::Read {
@@ -71,7 +73,7 @@
         bytes
     }
 
-    /// `None` for bytes that no instance would send.
+    /// Decodes a message. Returns `None` if the length is wrong.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let &[a, b, c, d, ratio, flags] = bytes else { return None };
         let kind = if flags & FLAG_READ != 0 { GossipKind::Read } else { GossipKind::Write };
@@ -84,7 +86,7 @@
         })
     }
 
-    /// Sends the message to some random instances, where gossip is permitted and of use.
+    /// Sends the message to random instances, if the settings permit gossip and the fleet is large.
     pub fn broadcast(&self, settings: &Settings, rng: &mut impl Rng, actions: &mut Vec<Action>) {
         if !(settings.limits.allow_gossip && is_large_fleet(settings)) {
             return;
--- a/core/src/routing/group.rs
+++ b/core/src/routing/group.rs
@@ -1,7 +1,7 @@
-//! The replica sets and what waits for them.
+//! The groups of servers and the requests that wait for them.
 //!
-//! Owns, for each group, its members in the order of their ids, the state of its failovers, its load shedding
-//! and the requests that wait for it.
+//! Owns, for each group, its members in the order of their ids, its failover state, its load shedding and the
+//! number of its queued requests.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 use super::read_admission::GroupAdmission;
 
-/// Seconds for which a request that expired in the queue shows that the queue is too long.
+/// Time in seconds for which a group counts as congested after a request has expired in the queue.
 const CONGESTION_SECS: f64 = 1.0;
 
 /// A group of servers that hold the same data.
@@ -20,101 +20,101 @@
     members: Vec<ServerId>,
     replica_set: ReplicaSet,
     admission: GroupAdmission,
-    late_at_primary: Ewma,
+    primary_late_share: Ewma,
     queued: usize,
     queued_writes: usize,
     request_expired_at: f64,
 }
 
 impl Group {
-    /// Its members in the order of their ids.
+    /// Returns the members in the order of their ids.
     pub fn members(&self) -> &[ServerId] {
         &self.members
     }
 
-    /// Its primary, where one is known.
+    /// Returns the primary, if one is known.
     pub fn primary(&self) -> Option<ServerId> {
         self.replica_set.primary()
     }
 
-    /// Its primary and failovers.
+    /// Returns the primary and the failover state.
     pub fn replica_set(&self) -> &ReplicaSet {
         &self.replica_set
     }
 
-    /// Its primary and failovers, to be changed.
+    /// Returns the primary and the failover state for a change.
     pub fn replica_set_mut(&mut self) -> &mut ReplicaSet {
         &mut self.replica_set
     }
 
-    /// Its load shedding.
+    /// Returns the load shedding of reads.
     pub fn admission(&self) -> &GroupAdmission {
         &self.admission
     }
 
-    /// Its load shedding, to be changed.
+    /// Returns the load shedding of reads for a change.
     pub fn admission_mut(&mut self) -> &mut GroupAdmission {
         &mut self.admission
     }
 
-    /// Share of its primary's responses that came late.
-    pub fn late_at_primary(&self) -> &Ewma {
-        &self.late_at_primary
+    /// Returns the share of late responses of the primary.
+    pub fn primary_late_share(&self) -> &Ewma {
+        &self.primary_late_share
     }
 
-    /// Share of its primary's responses that came late, to be changed.
-    pub fn late_at_primary_mut(&mut self) -> &mut Ewma {
-        &mut self.late_at_primary
+    /// Returns the share of late responses of the primary for a change.
+    pub fn primary_late_share_mut(&mut self) -> &mut Ewma {
+        &mut self.primary_late_share
     }
 
-    /// Requests that wait for one of its servers.
+    /// Returns the number of requests that wait for a server of the group.
     pub fn queued(&self) -> usize {
         self.queued
     }
 
-    /// Writes among them.
+    /// Returns the number of writes among the queued requests.
     pub fn queued_writes(&self) -> usize {
         self.queued_writes
     }
 
-    /// Counts the queue anew.
+    /// Resets the number of queued requests to 0.
     pub fn reset_queue(&mut self) {
         self.queued = 0;
         self.queued_writes = 0;
     }
 
-    /// Counts a read that waits.
+    /// Counts a queued read.
     pub fn count_queued_read(&mut self) {
         self.queued += 1;
     }
 
-    /// Counts a write that waits.
+    /// Counts a queued write.
     pub fn count_queued_write(&mut self) {
         self.queued += 1;
         self.queued_writes += 1;
     }
 
-    /// A request expired in the queue.
+    /// Records that a request expired in the queue.
     pub fn request_expired(&mut self, now: f64) {
         self.request_expired_at = now;
     }
 
-    /// Whether a request expired in the queue a moment ago.
+    /// Returns whether a request expired in the queue less than [`CONGESTION_SECS`] ago.
     pub fn is_congested(&self, now: f64) -> bool {
         now - self.request_expired_at < CONGESTION_SECS
     }
 
-    /// Forgets its members.
+    /// Removes all members.
     pub fn clear_members(&mut self) {
         self.members.clear();
     }
 
-    /// Adds a member; to be called in the order of ids.
+    /// Adds a member. Members must be added in the order of their ids.
     pub fn add_member(&mut self, server: ServerId) {
         self.members.push(server);
     }
 
-    /// Forgets the failover state of servers that are no members.
+    /// Discards the failover state of servers that are no longer members.
     pub fn retain_members(&mut self, now: f64) {
         let members = &self.members;
         self.replica_set.retain_members(now, |server| members.contains(&server));
@@ -128,37 +128,37 @@
 }
 
 impl GroupTable {
-    /// A group, where it is known.
+    /// Returns a group, if it is known.
     pub fn get(&self, id: GroupId) -> Option<&Group> {
         self.groups.get(&id)
     }
 
-    /// A group, where it is known, to be changed.
+    /// Returns a group for a change, if it is known.
     pub fn get_mut(&mut self, id: GroupId) -> Option<&mut Group> {
         self.groups.get_mut(&id)
     }
 
-    /// A group, which is created if it is new.
+    /// Returns a group, and creates it if it is new.
     pub fn get_or_create(&mut self, id: GroupId) -> &mut Group {
         self.groups.entry(id).or_default()
     }
 
-    /// All groups in the order of their ids.
+    /// Returns all groups in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (GroupId, &Group)> {
         self.groups.iter().map(|(id, group)| (*id, group))
     }
 
-    /// All groups in the order of their ids, to be changed.
+    /// Returns all groups with their ids for a change, in the order of the ids.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (GroupId, &mut Group)> {
         self.groups.iter_mut().map(|(id, group)| (*id, group))
     }
 
-    /// All groups in the order of their ids, to be changed.
+    /// Returns all groups for a change, in the order of their ids.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Group> {
         self.groups.values_mut()
     }
 
-    /// A server takes no new attempts; it still drains.
+    /// Records that a server drains and takes no new attempts.
     pub fn server_draining(&mut self, server: ServerId, now: f64) {
         self.values_mut().for_each(|group| group.replica_set.server_draining(server, now));
     }
--- a/core/src/routing/latency_estimates.rs
+++ b/core/src/routing/latency_estimates.rs
@@ -1,31 +1,31 @@
 //! The expected response time of each class of requests.
 //!
-//! Owns one estimate per class. Timeouts count as well: an estimate that only quick responses enter would
-//! lower the timeouts, which would lower the estimate again.
+//! Owns one estimate per class. Timeouts are counted as well. Otherwise only quick responses would enter the
+//! estimate, which would lower the timeouts, which would lower the estimate further.
 
 use crate::api::{Class, ClassId};
 use crate::latency_estimate::LatencyEstimate;
 
-/// Weight of one response.
+/// Weight of one response in the moving averages.
 const RESPONSE_WEIGHT: f64 = 0.03;
-/// A single response counts as at most this many times the mean: a few costly requests don't speak for their
-/// class.
+/// Upper bound of a single response time, as a multiple of the mean. A few expensive requests are not
+/// representative of their class.
 const MAX_RATIO_TO_MEAN: f64 = 6.0;
-/// Least mean in seconds that is divided by.
+/// Lower bound of the mean in seconds as a divisor.
 const MIN_MEAN_SECS: f64 = 1e-3;
 
-/// The estimates of all classes.
+/// Response time estimates of all classes.
 pub(super) struct LatencyEstimates {
     classes: Vec<LatencyEstimate>,
 }
 
 impl LatencyEstimates {
-    /// Estimates by the classes' latency objectives.
+    /// Creates initial estimates from the latency objectives of the classes.
     pub fn new(classes: &[Class]) -> Self {
         Self { classes: classes.iter().map(LatencyEstimate::initial).collect() }
     }
 
-    /// A class, known or new, begins anew.
+    /// Resets the estimate of an existing class, or adds a new class.
     pub fn reset_class(&mut self, index: usize, class: &Class) {
         match self.classes.get_mut(index) {
             Some(estimate) => *estimate = LatencyEstimate::initial(class),
@@ -33,33 +33,34 @@
         }
     }
 
-    /// The estimate of a class.
+    /// Returns the estimate of a class.
     pub fn class(&self, class: ClassId) -> &LatencyEstimate {
         &self.classes[class.0]
     }
 
-    /// Mean response time of a class in seconds.
+    /// Returns the mean response time of a class in seconds.
     pub fn mean_secs(&self, class: ClassId) -> f64 {
         self.classes[class.0].mean
     }
 
-    /// Mean response time of a class in seconds, large enough to divide by.
+    /// Returns the mean response time of a class in seconds, with a lower bound that makes it safe as a
+    /// divisor.
     pub fn divisor_secs(&self, class: ClassId) -> f64 {
         self.mean_secs(class).max(MIN_MEAN_SECS)
     }
 
-    /// Mean deviation of a class's response times in seconds.
+    /// Returns the mean deviation of a class's response times in seconds.
     pub fn deviation_secs(&self, class: ClassId) -> f64 {
         self.classes[class.0].deviation
     }
 
-    /// The mean response time of the slowest class, in seconds.
+    /// Returns the mean response time of the slowest class in seconds; `None` without classes.
     pub fn slowest_mean_secs(&self) -> Option<f64> {
         let slowest = self.classes.iter().max_by(|a, b| a.mean.total_cmp(&b.mean));
         slowest.map(|estimate| estimate.mean)
     }
 
-    /// An attempt took so many seconds.
+    /// Records the duration of an attempt in seconds.
     pub fn record(&mut self, class: ClassId, took_secs: f64) {
         let estimate = &mut self.classes[class.0];
         let mean = estimate.mean;
--- a/core/src/routing/read_routing.rs
+++ b/core/src/routing/read_routing.rs
@@ -17,7 +17,7 @@
 use super::fleet::is_large_fleet;
 use super::group::Group;
 use super::open_request::OpenRequest;
-use super::position_probe::{read_probe_decision, ProbeDecision, ReadProbe};
+use super::position_probe::{read_probe_decision, ProbeDecision, ReadProbeContext};
 use super::server::{DownState, Server, TrialPolicy};
 use super::view::{PlannedAttempt, RoutingView};
 
@@ -294,14 +294,14 @@
     fn position_check(&self, has_fresh_replica: bool) -> ProbeDecision {
         let members = self.view.cluster.members(self.read.request().group);
         let replicas = members.filter(|member| self.is_replica_for_read(member) && self.has_capacity(member));
-        let probe = ReadProbe {
+        let context = ReadProbeContext {
             settings: self.view.settings,
             has_fresh_replica,
-            has_checked_already: self.read.has_checked_position(),
+            has_checked_position: self.read.has_checked_position(),
             session_floor: self.view.session_floor,
             now: self.view.now,
-            turn: self.draws.first,
+            selector: self.draws.first,
         };
-        read_probe_decision(replicas, &probe)
+        read_probe_decision(replicas, &context)
     }
 }
--- a/core/src/routing/retry_budget.rs
+++ b/core/src/routing/retry_budget.rs
@@ -1,34 +1,34 @@
-//! Bounds retries to a share of the requests, so that retries can't multiply an overload.
+//! Limits retries to a share of the requests, so that retries can't multiply an overload.
 //!
-//! Owns the tokens: each request adds a part of one, each retry takes one.
+//! Owns the token bucket: each request adds a fraction of a token, and each retry takes one token.
 
-/// Retries that one request adds to the budget.
+/// Tokens that one request adds to the budget.
 const RETRIES_PER_REQUEST: f64 = 0.2;
-/// Largest budget of all instances together.
+/// Upper bound of the budgets of all instances together, in retries. Each instance may hold at least one.
 const MAX_RETRY_BURST: f64 = 20.0;
 
-/// A proxy instance's retry budget.
+/// Retry budget of one proxy instance.
 pub(super) struct RetryBudget {
     tokens: f64,
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(instance_count: u32) -> Self {
         Self { tokens: max_tokens(instance_count) }
     }
 
-    /// A request arrived.
+    /// Adds the tokens of one request.
     pub fn request_arrived(&mut self, instance_count: u32) {
         self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(max_tokens(instance_count));
     }
 
-    /// Whether one more retry is within the budget.
+    /// Returns whether one more retry is within the budget.
     pub fn allows_retry(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// A request that may have been executed is sent again.
+    /// Takes the token for a retry of a request that may have been executed.
     pub fn spend(&mut self) {
         self.tokens -= 1.0;
     }
--- a/core/src/routing/snapshot.rs
+++ b/core/src/routing/snapshot.rs
@@ -1,6 +1,6 @@
-//! Takes and restores the state that passes between two processes of one proxy instance.
+//! Takes and restores the state that is handed over between two processes of one proxy instance.
 //!
-//! Times in a snapshot are seconds on the engine's clock. A restored time counts only if it is finite and
+//! Times in a snapshot are seconds on the engine's clock. A restored time is used only if it is finite and
 //! lies in the past.
 
 use crate::api::{ServerId, ServerSnapshot, Settings, StateSnapshot};
@@ -9,7 +9,7 @@
 use super::cluster::{Cluster, Member};
 use super::server::{DownCause, Server, StatusReport};
 
-/// All that another process of this proxy instance must know.
+/// Returns the state that another process of this proxy instance needs.
 pub(super) fn take(cluster: &Cluster, sessions: &SessionTokenStore, now: f64) -> StateSnapshot {
     let tokens = sessions.snapshot();
     StateSnapshot {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Takes over what another process knew.
+/// Restores the state of another process.
 pub(super) fn restore(
     snapshot: StateSnapshot,
     cluster: &mut Cluster,
@@ -56,16 +56,16 @@
     }
 }
 
-/// A time that is finite and lies in the past.
-fn past(time: f64, now: f64) -> Option<f64> {
+/// Returns a time if it is finite and lies in the past.
+fn valid_past_time(time: f64, now: f64) -> Option<f64> {
     Some(time).filter(|time| time.is_finite() && *time > 0.0 && *time <= now)
 }
 
 fn restore_status(snapshot: &ServerSnapshot, cluster: &mut Cluster, now: f64) {
-    let Some(valid_at) = past(snapshot.last_response, now) else { return };
+    let Some(valid_at) = valid_past_time(snapshot.last_response, now) else { return };
     let was_replica = snapshot.replica_at.is_some();
     let is_primary = (snapshot.primary || was_replica).then_some(snapshot.primary);
-    let position = snapshot.position.and_then(|position| past(position, now));
+    let position = snapshot.position.and_then(|position| valid_past_time(position, now));
     let report = StatusReport { valid_at, sent_at: None, position, is_primary };
     cluster.record_status(ServerId(snapshot.server), report, now);
 }
@@ -73,7 +73,7 @@
 fn restore_server(snapshot: &ServerSnapshot, cluster: &mut Cluster, settings: &Settings, now: f64) {
     let id = ServerId(snapshot.server);
     let Some(server) = cluster.server_mut(id) else { return };
-    if let Some(started_at) = snapshot.started.and_then(|started_at| past(started_at, now)) {
+    if let Some(started_at) = snapshot.started.and_then(|started_at| valid_past_time(started_at, now)) {
         server.warm_up_mut().observe_start(started_at);
     }
     if !server.is_warm(now, &settings.rules) {
@@ -90,7 +90,8 @@
 }
 
 fn restore_down(snapshot: &ServerSnapshot, server: &mut Server, now: f64) {
-    let Some((since, was_dead)) = snapshot.down.filter(|(since, _)| past(*since, now).is_some()) else {
+    let Some((since, was_dead)) = snapshot.down.filter(|(since, _)| valid_past_time(*since, now).is_some())
+    else {
         return;
     };
     let cause = if was_dead { DownCause::Dead } else { DownCause::Unresponsive };
--- a/core/src/routing/tenant_meter.rs
+++ b/core/src/routing/tenant_meter.rs
@@ -1,20 +1,20 @@
-//! What each tenant sends and how many of its requests fail.
+//! Request rate and error share of each tenant.
 //!
-//! Owns a rate and an error share per tenant. Where the errors of one tenant are many times those of the
-//! others, they count as the tenant's own: its servers are not blamed and its requests are not retried.
+//! If the error share of one tenant is many times that of the others, the errors count as the tenant's own:
+//! the servers are not blamed, and the tenant's failed requests are not retried.
 
 use crate::api::{Outcome, Settings, TenantId};
 use crate::ewma::Ewma;
 
 use super::ATTEMPT_EWMA;
 
-/// Seconds over which a tenant's request rate is averaged.
+/// Time constant in seconds of a tenant's average request rate.
 const RATE_WINDOW_SECS: f64 = 2.0;
-/// Least error share that counts as a tenant's own.
+/// Error share below which errors never count as the tenant's own.
 const MIN_OWN_ERROR_SHARE: f64 = 0.15;
-/// Multiple of the other tenants' error share that counts as a tenant's own.
+/// Multiple of the other tenants' mean error share from which on errors count as the tenant's own.
 const OWN_ERROR_FACTOR: f64 = 4.0;
-/// Weight of the other tenants' count before any of them is added.
+/// Added to the number of other tenants when their error shares are averaged, so that the divisor is never 0.
 const PRIOR_TENANTS: f64 = 0.1;
 
 #[derive(Default, Clone)]
@@ -30,33 +30,33 @@
     }
 }
 
-/// The meters of all tenants.
+/// Request rates and error shares of all tenants.
 pub(super) struct TenantMeters {
     meters: Vec<TenantMeter>,
 }
 
-/// Who caused the end of an attempt.
+/// Cause of an attempt's outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ErrorSource {
-    /// The server, or the way to it.
+    /// The server, or the connection to it.
     Server,
     /// The tenant, whose requests fail on every server.
     Tenant,
 }
 
 impl TenantMeters {
-    /// Meters that have seen nothing.
+    /// Creates the meters of `tenant_count` tenants without any requests.
     pub fn new(tenant_count: usize) -> Self {
         Self { meters: vec![TenantMeter::default(); tenant_count] }
     }
 
-    /// There are this many tenants from now on.
+    /// Changes the number of tenants.
     pub fn resize(&mut self, tenant_count: usize) {
         self.meters.resize(tenant_count, TenantMeter::default());
     }
 
-    /// A request arrived. Returns whether its tenant exceeds its quota, as far as this instance's share of
-    /// the requests shows.
+    /// Records a request of a tenant. Returns whether the tenant exceeds its quota. The tenant's total rate
+    /// is estimated as the rate at this instance times the number of instances.
     pub fn request_arrived(&mut self, tenant: TenantId, now: f64, settings: &Settings) -> bool {
         let meter = &mut self.meters[tenant.0];
         let decay = (-(now - meter.last_request_at) / RATE_WINDOW_SECS).exp();
@@ -66,7 +66,7 @@
         total_rate > settings.tenants[tenant.0].quota_per_s
     }
 
-    /// An attempt of a tenant's request ended. Returns who caused it.
+    /// Records the end of an attempt of a tenant's request. Returns the cause of the outcome.
     pub fn attempt_ended(&mut self, tenant: Option<TenantId>, outcome: Outcome, now: f64) -> ErrorSource {
         let has_result = matches!(outcome, Outcome::Success | Outcome::ServerError);
         let Some(tenant) = tenant.filter(|_| has_result) else { return ErrorSource::Server };
--- a/core/src/routing/timer.rs
+++ b/core/src/routing/timer.rs
@@ -1,40 +1,41 @@
-//! When the engine is stepped next, and when it does its upkeep.
+//! Schedules the engine's steps and its periodic maintenance.
 //!
-//! Owns the step timer, of which at most one is pending, and the time of the last upkeep. Times are seconds
-//! on the engine's clock.
+//! Owns the step timer, of which at most one is pending, and the time of the last maintenance. Times are
+//! seconds on the engine's clock.
 
 use std::time::Duration;
 
 use crate::api::{Action, Settings, TimerId};
 use crate::time::secs;
 
-/// Seconds between two upkeeps.
+/// Interval between two maintenance runs in seconds.
 const MAINTENANCE_INTERVAL_SECS: f64 = 0.05;
-/// Longest time in seconds that one upkeep accounts for.
+/// Upper bound of the elapsed time in seconds that one maintenance run accounts for.
 const MAX_MAINTENANCE_SECS: f64 = 1.0;
-/// Seconds between steps while no request is open.
+/// Interval between steps in seconds while no request is open.
 const IDLE_STEP_INTERVAL_SECS: f64 = 0.2;
-/// Shortest interval in seconds that the steps of queued requests are computed with.
+/// Lower bound in seconds of the shortest step interval, for computing the interval while requests are
+/// queued.
 const MIN_QUEUE_STEP_SECS: f64 = 0.005;
-/// Steps of queued requests come after this many of the shortest intervals.
+/// Interval between steps while requests are queued, as a multiple of the shortest step interval.
 const QUEUE_STEP_FACTOR: f64 = 2.0;
-/// A pending timer is replaced if it is due later than wanted by more than this, in seconds.
+/// Tolerance in seconds: a pending timer is replaced if it is due later than needed by more than this.
 const TIMER_TOLERANCE_SECS: f64 = 0.001;
-/// Delay in seconds of a timer from which on the process counts as paused.
+/// Delay of a timer in seconds above which the process counts as paused.
 const MIN_PAUSE_SECS: f64 = 0.1;
 
-/// What the interval until the next step depends on.
+/// State of the open requests, which determines the interval until the next step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Activity {
     /// No request is open.
     Idle,
     /// All open requests are in flight.
     InFlight,
-    /// A request waits for a server.
+    /// At least one request waits for a server.
     Queued,
 }
 
-/// The step timer.
+/// The timer for the next step.
 #[derive(Default)]
 pub(super) struct StepTimer {
     due_at: Option<f64>,
@@ -43,18 +44,18 @@
 }
 
 impl StepTimer {
-    /// A step begins. A timer that is overdue by far shows that the process was paused.
+    /// Records the start of a step. A timer that is long overdue shows that the process was paused.
     pub fn step_started(&mut self, now: f64) {
         let overdue_secs = self.due_at.map_or(0.0, |due_at| now - due_at);
         self.pause_secs = if overdue_secs > MIN_PAUSE_SECS { overdue_secs } else { 0.0 };
     }
 
-    /// Seconds for which the process was paused before this step.
+    /// Returns the seconds for which the process was paused before this step; 0 without a pause.
     pub fn pause_secs(&self) -> f64 {
         self.pause_secs
     }
 
-    /// A timer came due.
+    /// Records that a timer expired.
     pub fn fired(&mut self, id: TimerId) {
         if id.0 == self.last_id {
             self.due_at = None;
@@ -80,14 +81,14 @@
     }
 }
 
-/// The time of the last upkeep.
+/// Time of the last maintenance run.
 #[derive(Default)]
 pub(super) struct MaintenanceSchedule {
     last_at: f64,
 }
 
 impl MaintenanceSchedule {
-    /// Starts an upkeep where one is due. Returns the seconds that it accounts for.
+    /// Starts a maintenance run if one is due. Returns the elapsed seconds that the run accounts for.
     pub fn start_if_due(&mut self, now: f64) -> Option<f64> {
         let elapsed_secs = (now - self.last_at).min(MAX_MAINTENANCE_SECS);
         if elapsed_secs < MAINTENANCE_INTERVAL_SECS {
--- a/core/src/routing/view.rs
+++ b/core/src/routing/view.rs
@@ -1,6 +1,6 @@
-//! A read-only view of the engine's state that routing decisions are made from.
+//! A read-only view of the engine's state for routing decisions.
 //!
-//! A decision is a value: the engine applies it. Times are seconds on the engine's clock.
+//! A decision is returned as a value, which the engine applies. Times are seconds on the engine's clock.
 
 use crate::api::{Class, Consistency, Idempotency, ServerId, Settings};
 use crate::primary_read_admission::PrimaryReadAdmission;
@@ -13,63 +13,64 @@
 use super::retry_budget::RetryBudget;
 use super::server::Server;
 
-/// Weight of another zone's price in the expected response time.
+/// Factor of the cross-zone price in the expected response time.
 const CROSS_ZONE_WEIGHT: f64 = 2.0;
-/// A response counts as overdue after this many mean response times.
+/// Mean response times after which an unanswered attempt counts as overdue.
 const OVERDUE_RATIO: f64 = 2.0;
-/// Least success share that the expected response time is computed with.
+/// Lower bound of the success share from which the expected response time is computed.
 const MIN_SUCCESS_SHARE: f64 = 0.05;
-/// Power of the success share by which errors lengthen the expected response time.
+/// Exponent of the success share by which the expected response time is divided.
 const ERROR_EXPONENT: i32 = 3;
-/// An attempt is given up after the mean response time and this many deviations.
+/// Deviations above the mean response time after which an attempt times out.
 const TIMEOUT_DEVIATIONS: f64 = 6.0;
-/// Largest slowness of a server that lengthens its timeouts.
+/// Upper bound of the slowness by which an attempt's timeout is multiplied.
 const MAX_TIMEOUT_SLOWNESS: f64 = 3.0;
-/// Attempts after which a request waits until its deadline.
+/// Largest number of earlier attempts at which an attempt still times out before the deadline. Later attempts
+/// wait until the deadline.
 const MAX_TIMED_ATTEMPTS: u32 = 1;
 
 /// An attempt that is to be sent.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PlannedAttempt {
-    /// The server.
+    /// Server that the attempt is sent to.
     pub server: ServerId,
-    /// Seconds after which the attempt is given up.
+    /// Timeout of the attempt in seconds.
     pub timeout_secs: f64,
 }
 
-/// The state that decisions are made from.
+/// The state that routing decisions are computed from.
 #[derive(Clone, Copy)]
 pub(super) struct RoutingView<'e> {
-    /// The time.
+    /// Current time.
     pub now: f64,
-    /// The settings.
+    /// Settings of the engine.
     pub settings: &'e Settings,
     /// Servers and groups.
     pub cluster: &'e Cluster,
-    /// Response times.
+    /// Response times of the classes.
     pub latencies: &'e LatencyEstimates,
-    /// Work of each class.
+    /// Work per request of each class.
     pub costs: &'e RequestCosts,
-    /// Retries that may be sent.
+    /// Budget of retries that may be sent.
     pub retry_budget: &'e RetryBudget,
-    /// Lateness of primaries.
+    /// Shares of late responses of the primaries, by which reads are admitted there.
     pub primary_reads: &'e PrimaryReadAdmission,
     /// Position that reads of sessions without a token must see.
     pub session_floor: f64,
 }
 
 impl<'e> RoutingView<'e> {
-    /// The class of a request.
+    /// Returns the class of a request.
     pub fn class(&self, request: &OpenRequest) -> &'e Class {
         &self.settings.classes[request.request().class.0]
     }
 
-    /// Whether a request is a write.
+    /// Returns whether a request is a write.
     pub fn is_write(&self, request: &OpenRequest) -> bool {
         self.class(request).consistency == Consistency::Write
     }
 
-    /// The replication position that a request must see.
+    /// Returns the replication position that a request must see.
     pub fn required_position(&self, request: &OpenRequest) -> f64 {
         match self.class(request).consistency {
             Consistency::BoundedStaleness(max_age) => self.now - secs(max_age),
@@ -77,7 +78,8 @@
         }
     }
 
-    /// Seconds that one more request would take at a server, with the price of another zone.
+    /// Returns the expected response time of one more request at a server, in seconds. The price of a request
+    /// to another zone is included as time.
     pub fn expected_response_secs(&self, server: &Server, request: &OpenRequest) -> f64 {
         let mean = self.latencies.mean_secs(request.request().class);
         let capacity_share = server.warm_up().capacity_share(self.now, &self.settings.rules);
@@ -96,7 +98,9 @@
             + CROSS_ZONE_WEIGHT * zone_price * secs(self.class(request).latency_objective)
     }
 
-    /// Seconds after which a response of a server is so unlikely that the request had better go elsewhere.
+    /// Returns the timeout of an attempt in seconds. Beyond it, a response is so unlikely that the request is
+    /// better retried at another server. Where a retry is not possible, the timeout is the time until the
+    /// deadline.
     pub fn attempt_timeout_secs(&self, request: &OpenRequest, server: &Server) -> f64 {
         let secs_left = request.secs_left(self.now);
         let class = self.class(request);
--- a/core/src/routing/write_routing.rs
+++ b/core/src/routing/write_routing.rs
@@ -7,7 +7,7 @@
 
 use super::cluster::Member;
 use super::open_request::OpenRequest;
-use super::position_probe::{write_probe_target, PositionDemand};
+use super::position_probe::{write_probe_target, WriteProbePolicy};
 use super::view::{PlannedAttempt, RoutingView};
 
 /// Attempts that a write must have left to be sent to a member that may decline it.
@@ -73,14 +73,14 @@
     if !has_attempts || set.phase() != Phase::Steady {
         return None;
     }
-    let demand = PositionDemand::new(view.settings, view.now)?;
+    let policy = WriteProbePolicy::new(view.settings, view.now)?;
     let replicas = view.cluster.members(write.request().group).filter(|member| member.id != primary);
     let may_send = |member: Member| {
         !set.is_deposed(member.id)
             && member.server.has_capacity(view.now)
             && view.is_eligible(write, member.id, member.server)
     };
-    write_probe_target(replicas, demand, view.now, may_send, write.request().id.0)
+    write_probe_target(replicas, policy, view.now, may_send, write.request().id.0)
 }
 
 /// Sends one write at a time to the members in the order of their ids. After a full round the next write
