--- a/core/src/routing/arrival.rs
+++ b/core/src/routing/arrival.rs
@@ -21,14 +21,14 @@
             return;
         }
         let id = request.id;
-        let open = self.open_request(request);
-        let is_read = !self.view().is_write(&open);
-        let is_shed = is_read && !self.admits_read(&open.arrival().request);
-        self.cluster.groups_mut().get_or_create(open.request().group);
+        let open_request = self.open_request(request);
+        let is_read = !self.view().is_write(&open_request);
+        let is_shed = is_read && !self.admits_read(&open_request.arrival().request);
+        self.cluster.groups_mut().get_or_create(open_request.request().group);
         let view = self.view();
-        let is_rejected = (is_shed && !view.has_lightly_loaded_replica(&open))
-            || (is_read && is_large_fleet(&self.settings) && view.lacks_capacity_for_read(&open));
-        self.requests.insert(id, open);
+        let is_rejected = (is_shed && !view.has_lightly_loaded_replica(&open_request))
+            || (is_read && is_large_fleet(&self.settings) && view.lacks_capacity_for_read(&open_request));
+        self.requests.insert(id, open_request);
         if is_rejected {
             self.finish(id, None, actions);
         }
--- a/core/src/routing/completion.rs
+++ b/core/src/routing/completion.rs
@@ -36,7 +36,7 @@
         let id = AttemptId { request: ended.request, number: ended.attempt };
         if let Some(attempt) = self.in_flight.remove(id) {
             let status = ended.status.unwrap_or(ServerStatus { position: None, primary: None });
-            let completion = self.completion(&ended, &attempt, status);
+            let completion = self.build_completion(&ended, &attempt, status);
             self.record_completion(&completion, &attempt, status, ended.load_report, actions);
         }
         if ended.request_complete {
@@ -44,7 +44,7 @@
         }
     }
 
-    fn completion(
+    fn build_completion(
         &mut self,
         ended: &AttemptEnded,
         attempt: &InFlightAttempt,
@@ -58,7 +58,7 @@
         let mean_secs = self.latencies.mean_secs(attempt.class);
         let elapsed_secs = self.now - attempt.sent_at;
         let took_secs = (elapsed_secs - self.timer.pause_secs()).max(elapsed_secs.min(mean_secs));
-        let tenant = self.requests.get(&ended.request).and_then(|open| open.request().tenant);
+        let tenant = self.requests.get(&ended.request).and_then(|open_request| open_request.request().tenant);
         Completion {
             request: ended.request,
             attempt: ended.attempt,
@@ -82,7 +82,7 @@
         load_report: Option<LoadReport>,
         actions: &mut Vec<Action>,
     ) {
-        self.record_at_server(completion, attempt.expected_secs, actions);
+        self.update_server(completion, attempt.expected_secs, actions);
         self.record_primary_lateness(completion);
         self.record_throughput(completion);
         if completion.outcome.is_response() {
@@ -94,8 +94,8 @@
             self.write_ended(completion, actions);
         }
         self.record_timeliness(completion, actions);
-        let Some(open) = self.requests.get_mut(&completion.request) else { return };
-        open.attempt_ended(completion.attempt, completion.server, completion.outcome);
+        let Some(open_request) = self.requests.get_mut(&completion.request) else { return };
+        open_request.attempt_ended(completion.attempt, completion.server, completion.outcome);
         if completion.error_source == ErrorSource::Tenant {
             self.finish(completion.request, None, actions);
         }
@@ -103,7 +103,7 @@
 
     /// Records the load, response time, errors and outlier evidence of the server, and the response time of
     /// the class.
-    fn record_at_server(&mut self, completion: &Completion, expected_secs: f64, actions: &mut Vec<Action>) {
+    fn update_server(&mut self, completion: &Completion, expected_secs: f64, actions: &mut Vec<Action>) {
         let now = self.now;
         let is_steady_primary = self.cluster.is_steady_primary(completion.server);
         let is_watched_primary =
@@ -205,8 +205,10 @@
         }
         let Some(former_primary) = set.write_served(completion.server, completion.sent_at) else { return };
         let view = self.view();
-        let is_lost = |open: &&OpenRequest| view.is_write(open) && open.is_in_flight_at(former_primary);
-        let lost: Vec<_> = self.requests.values().filter(is_lost).map(|open| open.request().id).collect();
+        let is_lost =
+            |request: &&OpenRequest| view.is_write(request) && request.is_in_flight_at(former_primary);
+        let lost: Vec<_> =
+            self.requests.values().filter(is_lost).map(|request| request.request().id).collect();
         for request in lost {
             self.cancel_attempts(request, actions);
             self.finish(request, None, actions);
--- a/core/src/routing/dispatch.rs
+++ b/core/src/routing/dispatch.rs
@@ -31,8 +31,8 @@
     /// Sends the queued requests that can be sent, in the order of the queue.
     pub(super) fn dispatch(&mut self, actions: &mut Vec<Action>) {
         let view = self.view();
-        let waiting = self.requests.values().filter(|open| open.is_dispatchable());
-        let mut ranks: Vec<QueueRank> = waiting.map(|open| view.queue_rank(open)).collect();
+        let waiting = self.requests.values().filter(|open_request| open_request.is_dispatchable());
+        let mut ranks: Vec<QueueRank> = waiting.map(|open_request| view.queue_rank(open_request)).collect();
         ranks.sort_by(QueueRank::compare);
         let mut usage = QueueUsage::default();
         for rank in ranks {
@@ -41,14 +41,15 @@
     }
 
     fn dispatch_request(&mut self, id: RequestId, usage: &mut QueueUsage, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get(&id) else { return };
+        let Some(open_request) = self.requests.get(&id) else { return };
         let view = self.view();
-        let group = open.request().group;
-        let is_write = view.is_write(open);
-        let buffering = if is_write { view.buffer_decision(open) } else { None };
+        let group = open_request.request().group;
+        let is_write = view.is_write(open_request);
+        let buffering = if is_write { view.buffer_decision(open_request) } else { None };
         let recovery_secs = buffering.and_then(BufferDecision::retry_after_secs);
-        if recovery_secs.is_some() || !view.may_send(open) || view.cannot_finish_in_time(open) {
-            self.cluster.groups_mut().get_or_create(group).request_expired(self.now);
+        if recovery_secs.is_some() || !view.may_send(open_request) || view.cannot_finish_in_time(open_request)
+        {
+            self.cluster.groups_mut().get_or_create(group).request_dropped(self.now);
             self.finish(id, recovery_secs, actions);
             return;
         }
@@ -67,8 +68,8 @@
         usage: &mut QueueUsage,
         actions: &mut Vec<Action>,
     ) {
-        let Some(open) = self.requests.get(&id) else { return };
-        let group = open.request().group;
+        let Some(open_request) = self.requests.get(&id) else { return };
+        let group = open_request.request().group;
         let length = usage.lengths.entry(group).or_default();
         if buffering.is_none() {
             *length += 1.0;
@@ -76,7 +77,7 @@
         let available = self.cluster.members(group).filter(|member| !member.server.is_closed());
         let limits: f64 = available.map(|member| member.server.concurrency_limit()).sum();
         let max_length = QUEUE_LENGTH_FACTOR * limits.max(INITIAL_LIMIT);
-        let statement_bytes = open.request().statement_bytes;
+        let statement_bytes = open_request.request().statement_bytes;
         let fits_buffer =
             buffering.is_none() || usage.buffer.try_reserve(group, statement_bytes, &self.settings.failover);
         if *length > max_length || !fits_buffer {
@@ -120,17 +121,17 @@
     /// Sends an attempt to a server.
     fn forward(&mut self, id: RequestId, planned: PlannedAttempt, actions: &mut Vec<Action>) {
         let now = self.now;
-        let Some(open) = self.requests.get_mut(&id) else { return };
+        let Some(open_request) = self.requests.get_mut(&id) else { return };
         let Some(server) = self.cluster.server_mut(planned.server) else { return };
-        let class = open.request().class;
+        let class = open_request.request().class;
         let expected_secs = self.latencies.mean_secs(class);
         server.attempt_sent(now, expected_secs, self.costs.cost(class.0), &self.settings.rules);
-        if open.first_possible_execution().is_some() {
+        if open_request.first_possible_execution().is_some() {
             self.retry_budget.spend();
         }
-        let number = open.attempt_sent(planned.server, now);
+        let number = open_request.attempt_sent(planned.server, now);
         let is_write = self.settings.classes[class.0].consistency == Consistency::Write;
-        if let Some(group) = self.cluster.groups_mut().get_mut(open.request().group) {
+        if let Some(group) = self.cluster.groups_mut().get_mut(open_request.request().group) {
             let set = group.replica_set_mut();
             if is_write {
                 set.write_sent(planned.server, now);
@@ -139,7 +140,7 @@
             }
         }
         let tracks_session = is_write && self.settings.session_tokens == SessionTokens::Tracked;
-        let session = open.request().session.clone().filter(|_| tracks_session);
+        let session = open_request.request().session.clone().filter(|_| tracks_session);
         let attempt = InFlightAttempt { server: planned.server, class, session, sent_at: now, expected_secs };
         self.in_flight.insert(AttemptId { request: id, number }, attempt);
         let timeout = Duration::from_secs_f64(planned.timeout_secs.max(MIN_ATTEMPT_TIMEOUT_SECS));
@@ -149,8 +150,8 @@
     /// Gives the final answer to a request. `recovery_secs` is the time after which the request's group is
     /// expected to take writes again, if it takes none now.
     pub(super) fn finish(&mut self, id: RequestId, recovery_secs: Option<f64>, actions: &mut Vec<Action>) {
-        if let Some(open) = self.requests.remove(&id) {
-            actions.push(final_answer(&open, recovery_secs, &self.settings));
+        if let Some(open_request) = self.requests.remove(&id) {
+            actions.push(final_answer(&open_request, recovery_secs, &self.settings));
         }
     }
 
--- a/core/src/routing/eligibility.rs
+++ b/core/src/routing/eligibility.rs
@@ -52,8 +52,8 @@
         server.is_warm(self.now, &self.settings.rules) || server.warm_up().budget() >= cost
     }
 
-    /// Returns whether a server has the data that a request must see. Always true for writes, and if replicas
-    /// decline reads that need newer data: then the proxy need not check.
+    /// Returns whether a server has the data that a request must see. Always true for writes. Also true if
+    /// replicas decline reads that need newer data, because the proxy need not check then.
     fn is_fresh_enough(&self, request: &OpenRequest, id: ServerId, server: &Server) -> bool {
         if self.settings.stale_read_policy != StaleReadPolicy::AnswerStale || self.is_write(request) {
             return true;
--- a/core/src/routing/group.rs
+++ b/core/src/routing/group.rs
@@ -11,7 +11,7 @@
 
 use super::read_admission::GroupAdmission;
 
-/// Time in seconds for which a group counts as congested after a request has expired in the queue.
+/// Time in seconds for which a group counts as congested after a request was dropped from its queue.
 const CONGESTION_SECS: f64 = 1.0;
 
 /// A group of servers that hold the same data.
@@ -23,7 +23,7 @@
     primary_late_share: Ewma,
     queued: usize,
     queued_writes: usize,
-    request_expired_at: f64,
+    last_dropped_at: f64,
 }
 
 impl Group {
@@ -42,7 +42,7 @@
         &self.replica_set
     }
 
-    /// Returns the primary and the failover state for a change.
+    /// Returns a mutable reference to the primary and the failover state.
     pub fn replica_set_mut(&mut self) -> &mut ReplicaSet {
         &mut self.replica_set
     }
@@ -52,7 +52,7 @@
         &self.admission
     }
 
-    /// Returns the load shedding of reads for a change.
+    /// Returns a mutable reference to the load shedding of reads.
     pub fn admission_mut(&mut self) -> &mut GroupAdmission {
         &mut self.admission
     }
@@ -62,7 +62,7 @@
         &self.primary_late_share
     }
 
-    /// Returns the share of late responses of the primary for a change.
+    /// Returns a mutable reference to the share of late responses of the primary.
     pub fn primary_late_share_mut(&mut self) -> &mut Ewma {
         &mut self.primary_late_share
     }
@@ -78,7 +78,7 @@
     }
 
     /// Resets the number of queued requests to 0.
-    pub fn reset_queue(&mut self) {
+    pub fn reset_queued_counts(&mut self) {
         self.queued = 0;
         self.queued_writes = 0;
     }
@@ -94,14 +94,15 @@
         self.queued_writes += 1;
     }
 
-    /// Records that a request expired in the queue.
-    pub fn request_expired(&mut self, now: f64) {
-        self.request_expired_at = now;
+    /// Records that a request was dropped from the queue, because it must not be sent again or can't be
+    /// answered in time.
+    pub fn request_dropped(&mut self, now: f64) {
+        self.last_dropped_at = now;
     }
 
-    /// Returns whether a request expired in the queue less than [`CONGESTION_SECS`] ago.
+    /// Returns whether a request was dropped from the queue less than `CONGESTION_SECS` ago.
     pub fn is_congested(&self, now: f64) -> bool {
-        now - self.request_expired_at < CONGESTION_SECS
+        now - self.last_dropped_at < CONGESTION_SECS
     }
 
     /// Removes all members.
@@ -133,7 +134,7 @@
         self.groups.get(&id)
     }
 
-    /// Returns a group for a change, if it is known.
+    /// Returns a mutable reference to a group, if the group is known.
     pub fn get_mut(&mut self, id: GroupId) -> Option<&mut Group> {
         self.groups.get_mut(&id)
     }
@@ -148,12 +149,12 @@
         self.groups.iter().map(|(id, group)| (*id, group))
     }
 
-    /// Returns all groups with their ids for a change, in the order of the ids.
+    /// Returns mutable references to all groups with their ids, in the order of the ids.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (GroupId, &mut Group)> {
         self.groups.iter_mut().map(|(id, group)| (*id, group))
     }
 
-    /// Returns all groups for a change, in the order of their ids.
+    /// Returns mutable references to all groups in the order of their ids.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Group> {
         self.groups.values_mut()
     }
--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -174,8 +174,8 @@
             Event::Request(request) => self.request_arrived(request, actions),
             Event::AttemptEnded(ended) => self.attempt_ended(ended, actions),
             Event::StreamStarted { request, .. } => {
-                if let Some(open) = self.requests.get_mut(&request) {
-                    open.stream_started();
+                if let Some(open_request) = self.requests.get_mut(&request) {
+                    open_request.stream_started();
                 }
             }
             Event::HealthChecked { server, ok, load_report } => self.health_checked(server, ok, load_report),
@@ -259,10 +259,10 @@
 
     /// Counts the queued requests of each group.
     fn count_queued_requests(&mut self) {
-        self.cluster.groups_mut().values_mut().for_each(|group| group.reset_queue());
-        for open in self.requests.values().filter(|open| open.is_queued()) {
-            let group = self.cluster.groups_mut().get_or_create(open.request().group);
-            match self.settings.classes[open.request().class.0].consistency {
+        self.cluster.groups_mut().values_mut().for_each(|group| group.reset_queued_counts());
+        for open_request in self.requests.values().filter(|open_request| open_request.is_queued()) {
+            let group = self.cluster.groups_mut().get_or_create(open_request.request().group);
+            match self.settings.classes[open_request.request().class.0].consistency {
                 Consistency::Write => group.count_queued_write(),
                 _ => group.count_queued_read(),
             }
--- a/core/src/routing/outlier_detection.rs
+++ b/core/src/routing/outlier_detection.rs
@@ -89,8 +89,8 @@
 /// Detects servers that don't respond.
 #[derive(Default)]
 pub(super) struct OutlierDetector {
-    lost: Ewma,
-    refused: Ewma,
+    lost_share: Ewma,
+    refused_share: Ewma,
 }
 
 impl OutlierDetector {
@@ -110,10 +110,12 @@
             }
             _ => false,
         };
-        let lost_share =
-            self.lost.estimate(now, USUAL_LOST_SHARE, &ATTEMPT_EWMA).clamp(USUAL_LOST_SHARE, MAX_LOST_SHARE);
+        let lost_share = self
+            .lost_share
+            .estimate(now, USUAL_LOST_SHARE, &ATTEMPT_EWMA)
+            .clamp(USUAL_LOST_SHARE, MAX_LOST_SHARE);
         if is_lost || completion.outcome.is_response() {
-            self.lost.record(now, f64::from(u8::from(is_lost)), &ATTEMPT_EWMA);
+            self.lost_share.record(now, f64::from(u8::from(is_lost)), &ATTEMPT_EWMA);
         }
         self.record_connection(server, completion, context, actions);
         if completion.outcome.is_response() {
@@ -153,12 +155,12 @@
         let refused_within_secs = REFUSAL_TIMEOUT_SHARE * secs(settings.limits.connect_timeout);
         if completion.outcome.is_response() {
             let was_short = server.refused_within(now, MIN_RESTART_SECS);
-            self.refused.record(now, f64::from(u8::from(was_short)), &ATTEMPT_EWMA);
+            self.refused_share.record(now, f64::from(u8::from(was_short)), &ATTEMPT_EWMA);
         } else if completion.outcome == Outcome::ConnectFailed && completion.took_secs < refused_within_secs {
             server.connection_refused(now);
         }
         let is_idle = server.load().in_flight() < 1.0;
-        let refused_share = self.refused.estimate(now, 0.0, &ATTEMPT_EWMA);
+        let refused_share = self.refused_share.estimate(now, 0.0, &ATTEMPT_EWMA);
         if is_idle && is_large_fleet(settings) && refused_share > MAX_REFUSED_SHARE {
             actions.push(Action::CloseIdle { server: completion.server });
         }
--- a/core/src/routing/read_routing.rs
+++ b/core/src/routing/read_routing.rs
@@ -85,7 +85,7 @@
     /// Whether replicas decline reads that need newer data. If so, the router may estimate a replica's
     /// position, because a wrong estimate is noticed.
     replicas_check_staleness: bool,
-    /// Eligible members that respond.
+    /// Eligible members that are up.
     up: Vec<Member<'v>>,
     /// Eligible members that are down.
     down: Vec<Member<'v>>,
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Returns a trial of a server that is down, if one is due. Only an idempotent read without earlier
-    /// attempts may be a trial. If no eligible member is up, any idempotent read may be one.
+    /// Returns a trial of a server that is down, if one is due. An idempotent read without earlier attempts
+    /// may be a trial. If no eligible member is up, any idempotent read may be one.
     fn trial(&self) -> Option<PlannedAttempt> {
         if self.class.idempotency != Idempotency::Idempotent {
             return None;
@@ -164,7 +164,7 @@
         self.class.consistency != Consistency::Linearizable && !self.is_primary(member)
     }
 
-    /// Returns the eligible replicas that respond.
+    /// Returns the eligible replicas that are up.
     fn replicas(&self) -> impl Iterator<Item = Member<'v>> + '_ {
         self.up.iter().copied().filter(|member| self.is_replica_for_read(member))
     }
--- a/core/src/routing/write_routing.rs
+++ b/core/src/routing/write_routing.rs
@@ -19,11 +19,11 @@
     Wait,
     /// The write is sent to a server.
     Send(PlannedAttempt),
-    /// The write is sent to one of the members to find the primary.
+    /// The write may be sent to one of the members to find the primary.
     FindPrimary(PrimaryQuery),
 }
 
-/// A write that may be sent to a member to find the primary.
+/// The data for sending a write to a member to find the primary.
 pub(super) struct PrimaryQuery {
     /// Group of the write.
     pub group: GroupId,
@@ -83,8 +83,8 @@
     write_probe_target(replicas, policy, view.now, may_send, write.request().id.0)
 }
 
-/// Sends one write at a time to the members in the order of their ids. After a full round the next write
-/// waits for a pause.
+/// Decides whether the write is sent to a member to find the primary. One write at a time is sent to the
+/// members in the order of their ids. After a full round the next write waits for a pause.
 fn find_primary(view: &RoutingView, write: &OpenRequest, set: &ReplicaSet) -> WriteDecision {
     let max_attempts = write.arrival().max_attempts;
     let has_attempts = write.attempts_sent() + MIN_ATTEMPTS_FOR_INQUIRY <= max_attempts;
