--- a/core/src/routing/arrival.rs
+++ b/core/src/routing/arrival.rs
@@ -1,7 +1,8 @@
 //! Admits requests or rejects them on arrival.
 //!
-//! A read is rejected at once where load shedding excludes it, or where only a primary without capacity could
-//! serve it. What depends on the arrival alone, such as the position that a read must see, is computed here.
+//! A read is rejected at once if load shedding excludes it, or if only a primary without capacity could serve
+//! it. Values that depend only on the arrival are computed here, such as the replication position that a read
+//! must see.
 
 use rand::Rng;
 
@@ -13,20 +14,21 @@
 use super::RoutingEngine;
 
 impl RoutingEngine {
-    /// A request arrived.
+    /// Records a new request, and rejects it if it is not admitted. Ignores a request whose id is already
+    /// open.
     pub(super) fn request_arrived(&mut self, request: Request, actions: &mut Vec<Action>) {
         if self.requests.contains_key(&request.id) {
             return;
         }
         let id = request.id;
-        let open = self.open_request(request);
-        let is_read = !self.view().is_write(&open);
-        let is_shed = is_read && !self.admits_read(&open.arrival().request);
-        self.cluster.groups_mut().get_or_create(open.request().group);
+        let open_request = self.open_request(request);
+        let is_read = !self.view().is_write(&open_request);
+        let is_shed = is_read && !self.admits_read(&open_request.arrival().request);
+        self.cluster.groups_mut().get_or_create(open_request.request().group);
         let view = self.view();
-        let is_rejected = (is_shed && !view.has_lightly_loaded_replica(&open))
-            || (is_read && is_large_fleet(&self.settings) && view.lacks_capacity_for_read(&open));
-        self.requests.insert(id, open);
+        let is_rejected = (is_shed && !view.has_lightly_loaded_replica(&open_request))
+            || (is_read && is_large_fleet(&self.settings) && view.lacks_capacity_for_read(&open_request));
+        self.requests.insert(id, open_request);
         if is_rejected {
             self.finish(id, None, actions);
         }
@@ -52,7 +54,7 @@
         })
     }
 
-    /// The replication position that a causal or linearizable read must see; 0 for other requests.
+    /// Returns the replication position that a causal or linearizable read must see; 0 for other requests.
     fn required_position(&self, request: &Request) -> f64 {
         let consistency = self.settings.classes[request.class.0].consistency;
         match (consistency, self.settings.session_tokens) {
@@ -67,7 +69,7 @@
         }
     }
 
-    /// Whether load shedding admits a read.
+    /// Returns whether load shedding admits a read.
     fn admits_read(&mut self, read: &Request) -> bool {
         let group = self.cluster.groups().get(read.group);
         let admitted_share = group.map_or(1.0, |group| group.admission().admitted_share());
