--- a/core/src/concurrency_limit.rs
+++ b/core/src/concurrency_limit.rs
@@ -1,15 +1,16 @@
-//! The adaptive concurrency limit of one server: how many attempts this proxy instance may have in flight
-//! there.
+//! Adaptive concurrency limit of one server: the number of attempts that this proxy instance may have in
+//! flight there.
 //!
-//! The limit is set once a period from a parabola that is fitted to throughput over concurrency. Only
-//! responses in time count as throughput. The caller counts the attempts in flight; this module owns the
+//! The limit is set at the end of each measurement period, from a parabola that is fitted to throughput over
+//! concurrency. Only completions in time count as throughput: successful responses within a share of the
+//! latency objective, which the caller sets. The caller counts the attempts in flight; this module owns the
 //! limit, the fit and the observations of the current period. Times are seconds on the engine's clock.
 
 use std::collections::BTreeMap;
 
 use crate::throughput_fit::ThroughputFit;
 
-/// Initial limit over all proxy instances, in attempts: a few for each core of a small server.
+/// Initial limit, in attempts of all proxy instances together: a few for each core of a small server.
 pub(crate) const INITIAL_LIMIT: f64 = 16.0;
 /// Lower bound of the limit, in attempts.
 pub(crate) const MIN_LIMIT: f64 = 2.0;
@@ -17,58 +18,62 @@
 const MAX_LIMIT: f64 = 64.0;
 /// Completions after which a period ends, if it has lasted for [`MIN_PERIOD_SECS`].
 const MIN_PERIOD_COMPLETIONS: f64 = 20.0;
-/// Least duration of a period, unless requests wait for a server at its limit.
+/// Minimum duration of a period, in seconds, unless requests wait for a server at its limit.
 const MIN_PERIOD_SECS: f64 = 1.0;
-/// Duration after which a period ends in any case.
+/// Duration, in seconds, after which a period always ends.
 const MAX_PERIOD_SECS: f64 = 4.0;
-/// Completions after which a period ends early while requests wait for a server at its limit.
+/// Completions after which a period ends early if requests wait for a server at its limit.
 const MIN_SATURATED_COMPLETIONS: f64 = 4.0;
-/// Periods over which the highest concurrency is taken: a single quiet period does not lower the limit.
+/// Number of periods over which the peak concurrency is taken, so that one quiet period does not lower the
+/// limit.
 const PEAK_PERIODS: usize = 8;
-/// Weight that earlier observations keep in the fit with each period.
+/// Factor by which the weight of earlier observations in the fit decreases with each period.
 const FORGETTING_FACTOR: f64 = 0.95;
-/// Weight of a period in the mean throughput of its concurrency level.
+/// Weight of the newest period in the mean throughput of its concurrency level.
 const LEVEL_GAIN: f64 = 0.3;
 /// Share of completions in time below which the limit counts as too high.
 const MIN_IN_TIME_SHARE: f64 = 0.7;
-/// Factor that bounds the limit when too few completions were in time.
+/// Bound of the target limit, as a multiple of the current limit, if the share of completions in time is
+/// below [`MIN_IN_TIME_SHARE`].
 const OVERLOAD_FACTOR: f64 = 0.75;
-/// Concurrency levels that must have been observed before the fit is used.
+/// Number of concurrency levels that must have been observed before the fit is used.
 const MIN_LEVELS: usize = 4;
-/// Shortest period that a rate is computed over, in seconds.
+/// Lower bound of the period that a throughput is computed over, in seconds. It prevents a division by zero.
 const MIN_RATE_PERIOD_SECS: f64 = 1e-3;
-/// Waiting requests at which the limit moves half of the way to its target.
+/// Number of waiting requests at which the limit moves half of the way to its target.
 const HALF_STEP_WAITING: f64 = 2.0;
 
-/// A server's concurrency limit and what was observed in the current period.
+/// Concurrency limit of a server and the observations of the current period.
 #[derive(Default)]
 pub(crate) struct ConcurrencyLimit {
-    /// The limit, in attempts.
+    /// Limit, in attempts in flight.
     pub limit: f64,
-    /// The highest number of attempts in flight in this period.
+    /// Highest number of attempts in flight in this period.
     pub peak_in_flight: f64,
-    /// Whether this period may be learned from. It may not if the server was silent, failing or warming up.
+    /// Whether the fit may use this period. The caller clears this if the server was silent, failing or
+    /// warming up.
     pub is_period_valid: bool,
-    /// Peaks of the last periods, newest first.
+    /// `peak_in_flight` of the last periods, newest first.
     recent_peaks: Vec<f64>,
     period_started_at: f64,
     completed: f64,
     completed_in_time: f64,
-    /// The limit falls to this by one attempt with each completion.
+    /// Target to which the limit decreases by one attempt with each completion. `None` if the limit is not
+    /// decreasing.
     shrink_target: Option<f64>,
     fit: ThroughputFit,
-    /// Mean throughput by concurrency.
+    /// Mean throughput, in responses a second, by concurrency level.
     throughput_by_level: BTreeMap<u32, f64>,
 }
 
 impl ConcurrencyLimit {
-    /// The initial limit. `share` is the share of the server's work that comes from this proxy instance.
+    /// Creates the initial limit. `share` is the share of the server's load that this proxy instance sends.
     pub fn new(now: f64, share: f64) -> Self {
         Self::with_limit(now, (INITIAL_LIMIT * share).clamp(MIN_LIMIT, INITIAL_LIMIT / 2.0))
     }
 
-    /// A limit that was restored from another process. It is clamped to the bounds; a value that is not
-    /// finite becomes the lower bound.
+    /// Restores a limit from another process. The value is clamped to the bounds; a value that is not finite
+    /// becomes the lower bound.
     pub fn with_limit(now: f64, limit: f64) -> Self {
         let limit = if limit.is_finite() { limit } else { MIN_LIMIT };
         let limit = limit.clamp(MIN_LIMIT, MAX_LIMIT);
@@ -81,7 +86,7 @@
         }
     }
 
-    /// Records a completed attempt; `in_time` if it met its class's latency objective.
+    /// Records a completed attempt. `in_time` says whether it counts as throughput.
     pub fn record_completion(&mut self, in_time: bool) {
         self.completed += 1.0;
         self.completed_in_time += f64::from(u8::from(in_time));
@@ -90,15 +95,15 @@
         }
     }
 
-    /// Ends the period if it is long enough, and sets the limit from it. `in_flight` is the number of
-    /// attempts in flight, `waiting` the number of requests that wait for the server.
+    /// Ends the period if it is long enough, and sets the limit from its observations. `in_flight` is the
+    /// number of attempts in flight, `waiting` the number of requests that wait for the server.
     pub fn end_period_if_due(&mut self, now: f64, in_flight: f64, waiting: f64) {
         let period_secs = now - self.period_started_at;
         if !self.is_period_over(period_secs, waiting) {
             return;
         }
         if self.is_period_valid && self.completed > 0.0 {
-            self.learn_period(period_secs);
+            self.record_period(period_secs);
             self.adjust_limit(waiting);
         }
         self.period_started_at = now;
@@ -115,7 +120,7 @@
             || (period_secs >= MIN_PERIOD_SECS && self.completed >= MIN_PERIOD_COMPLETIONS)
     }
 
-    fn learn_period(&mut self, period_secs: f64) {
+    fn record_period(&mut self, period_secs: f64) {
         let concurrency = self.peak_in_flight;
         let throughput = self.completed_in_time / period_secs.max(MIN_RATE_PERIOD_SECS);
         self.fit.record(concurrency, throughput, FORGETTING_FACTOR);
@@ -140,7 +145,8 @@
         self.limit = self.limit.clamp(MIN_LIMIT, MAX_LIMIT);
     }
 
-    /// The concurrency with the highest throughput, or one attempt more while that is still unknown.
+    /// Returns the concurrency with the highest throughput. While the fit has no peak, this is the best
+    /// observed level, or, if requests wait, one attempt more than that level and the limit.
     fn target_limit(&self, waiting: f64) -> f64 {
         let target = self.fitted_peak().unwrap_or_else(|| {
             let best_level = self.best_level();
@@ -151,7 +157,7 @@
             }
         });
         let target = target.clamp(MIN_LIMIT, MAX_LIMIT);
-        // When most completions are late, the throughput has no peak left to find.
+        // If many completions are late, the throughput over concurrency has no usable peak.
         let is_overloaded = self.completed_in_time < MIN_IN_TIME_SHARE * self.completed;
         let target = if is_overloaded { target.min(self.limit * OVERLOAD_FACTOR) } else { target };
         target.max(MIN_LIMIT)
@@ -161,7 +167,7 @@
         self.fit.vertex().filter(|_| self.throughput_by_level.len() >= MIN_LEVELS)
     }
 
-    /// The observed concurrency with the highest mean throughput.
+    /// Returns the observed concurrency level with the highest mean throughput.
     fn best_level(&self) -> f64 {
         let best = self.throughput_by_level.iter().max_by(|left, right| left.1.total_cmp(right.1));
         best.map_or(self.peak_in_flight, |(level, _)| f64::from(*level))
--- a/core/src/discovery_schedule.rs
+++ b/core/src/discovery_schedule.rs
@@ -1,79 +1,84 @@
 //! Schedules this proxy instance's calls to the discovery service.
 //!
 //! All proxy instances share one discovery service, which answers calls one after another. A call that waits
-//! too long fails, but its work is still done. So when more calls arrive than the service can answer, every
-//! waiting call fails, and the retries keep the queue long. The instances don't know of each other's calls.
-//! Each one therefore calls at a random time within a window that is long enough for the calls of all.
+//! too long in the service's queue times out, but the service still processes it. If calls arrive faster than
+//! the service answers them, all queued calls time out, and their retries keep the queue long. The instances
+//! don't see each other's calls. Each instance therefore calls at a random time within a window that is long
+//! enough for one call of every instance.
 //!
-//! The length of the window follows from the call rate that the service is taken to sustain. That rate is
-//! halved when a call fails after a wait, and rises by a step when a call is answered at once: additive
-//! increase and multiplicative decrease of a shared resource by users who can't communicate (Chiu and Jain
-//! 1989), with slotted random access. A call that fails at once shows nothing of the queue.
+//! The length of the window is derived from the call rate that the service is assumed to sustain. That rate
+//! is halved when a call fails after a wait in the queue, and is increased by a constant when a call is
+//! answered at once: additive increase and multiplicative decrease, for a resource shared by users that can't
+//! communicate (Chiu and Jain 1989), combined with slotted random access. A call that fails at once gives no
+//! information about the queue, so the rate stays as it is.
 //!
-//! An instance that holds an endpoint list has to learn of changes in time. It shortens the window to that
-//! end until a call has failed after a wait. An instance without a list keeps to the window.
+//! An instance that has an endpoint list must receive its changes in time, so the instance uses a shorter
+//! window until a call fails after a wait in the queue. An instance without a list always uses the full
+//! window.
 //!
-//! Owns the times of the calls and the assumed rate. Times are seconds on the engine's clock.
+//! This module owns the times of the calls and the assumed rate. Times are seconds on the engine's clock.
 
 use crate::api::Settings;
 use crate::time::secs;
 
-/// Simultaneous calls that the service answers in time. A fleet of no more instances spreads no calls.
+/// Number of simultaneous calls that the service answers in time. A fleet of at most so many instances does
+/// not spread its calls.
 const MAX_BURST_CALLS: f64 = 20.0;
-/// Calls a second, of all instances, that the service is assumed to sustain at first.
+/// Initial value of the assumed rate, in calls a second of all instances.
 const INITIAL_RATE: f64 = 12.5;
 /// Lower bound of the assumed rate, in calls a second.
 const MIN_RATE: f64 = INITIAL_RATE * (1.0 / 64.0);
 /// Upper bound of the assumed rate, in calls a second.
 const MAX_RATE: f64 = INITIAL_RATE * 16.0;
-/// Additive increase of the assumed rate for a call that is answered at once, in calls a second.
+/// Additive increase of the assumed rate when a call is answered at once, in calls a second.
 const RATE_STEP: f64 = 2.5;
-/// Divisor of the assumed rate for a call that fails after a wait.
+/// Divisor of the assumed rate when a call fails after a wait in the queue.
 const RATE_DECREASE: f64 = 2.0;
-/// A call that is answered within this time did not wait for others.
+/// A call that is answered within this time, in seconds, did not wait in the queue.
 const MAX_IMMEDIATE_SECS: f64 = 0.15;
-/// A call that fails after this time has waited for others.
+/// A call that fails after at least this time, in seconds, has waited in the queue.
 const MIN_QUEUED_SECS: f64 = 0.5;
-/// Upper bound of the window, however large the fleet is.
+/// Upper bound of the window in a fleet of any size, in seconds.
 const MAX_WINDOW_SECS: f64 = 300.0;
-/// Upper bound of the window of an instance that holds a list, as a share of the poll interval.
+/// Upper bound of the window of an instance that has a list, as a share of the poll interval.
 const MAX_WINDOW_SHARE: f64 = 0.8;
-/// The random factor of the time until a retry lies between this and this plus 1.
+/// Lower bound of the random factor of the time until a retry. The upper bound is higher by 1.
 const MIN_JITTER: f64 = 0.5;
-/// The first backoff after a failure. It doubles with each further one.
+/// Backoff after the first failure, in seconds. It doubles with each further failure.
 const INITIAL_BACKOFF_SECS: f64 = 0.5;
 /// Upper bound of the backoff, as a share of the poll interval.
 const MAX_BACKOFF_SHARE: f64 = 0.25;
-/// An instance counts as informed of a change this long after discovery can be reached again.
+/// Time after the return of the discovery service by which an instance must have received an update, in
+/// seconds.
 const NOTIFICATION_DEADLINE_SECS: f64 = 6.0;
-/// Upper bound of the backoff, as a share of the notification deadline. Two calls with backoff and jitter fit
-/// into the deadline, because one may fail just when the service returns.
+/// Upper bound of the backoff, as a share of the notification deadline. Two calls with backoff and jitter
+/// must fit into the deadline, because the first call may fail just as the service returns.
 const MAX_BACKOFF_DEADLINE_SHARE: f64 = 0.25;
-/// A call without any result is repeated after this share of the poll interval.
+/// Time after which a call without a result is repeated, as a share of the poll interval.
 const CALL_TIMEOUT_SHARE: f64 = 0.5;
-/// Failures beyond this number do not increase the backoff.
+/// Number of consecutive failures beyond which the backoff does not increase.
 const MAX_FAILURES: i32 = 16;
 
-/// The schedule of one proxy instance's calls.
+/// Schedule of the calls of one proxy instance.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct DiscoverySchedule {
     is_subscribed: bool,
-    /// Whether the instance holds a list, be it a cached one.
+    /// Whether the instance has an endpoint list, received or cached.
     has_list: bool,
-    /// When the call in progress was made.
+    /// Start of the call in progress. `None` if there is none.
     call_started_at: Option<f64>,
     next_call_at: Option<f64>,
     failures: i32,
-    /// Whether the last window was shorter than the calls of all instances need.
+    /// Whether the last window was too short for the calls of all instances.
     is_window_shortened: bool,
-    /// Calls a second, of all instances, that the service is assumed to sustain.
+    /// Rate that the service is assumed to sustain, in calls a second of all instances.
     rate: f64,
 }
 
-/// The time over which the calls of all instances are spread.
+/// Time window over which the calls of all instances are spread.
 struct CallWindow {
     secs: f64,
-    /// Whether the calls of all instances need more time.
+    /// Whether the window is too short for the calls of all instances.
     is_shortened: bool,
 }
 
@@ -92,7 +97,7 @@
 }
 
 impl DiscoverySchedule {
-    /// Discovery sent an endpoint list or a change to it.
+    /// Records that discovery sent an endpoint list or a change of it.
     pub fn update_received(&mut self, now: f64) {
         let call_started_at = self.call_started_at.take();
         if call_started_at.is_some_and(|started_at| now - started_at < MAX_IMMEDIATE_SECS) {
@@ -103,22 +108,24 @@
         self.failures = 0;
     }
 
-    /// An endpoint list was loaded from a cache or from another process.
+    /// Records that an endpoint list was loaded from a cache or from another process.
     pub fn list_cached(&mut self) {
         self.is_subscribed = false;
         self.has_list = true;
     }
 
-    /// A call failed, or the subscription ended. `random` gives random numbers from 0 to 1.
+    /// Records that a call failed or that the subscription ended, and schedules the next call. `random`
+    /// returns random numbers from 0 to 1.
     pub fn call_failed(&mut self, now: f64, settings: &Settings, mut random: impl FnMut() -> f64) {
         let call_started_at = self.call_started_at.take();
         let was_queued = call_started_at.is_some_and(|started_at| now - started_at >= MIN_QUEUED_SECS);
-        // With a shortened window more calls arrive than the service sustains, so failures are expected.
+        // With a shortened window, calls arrive faster than the service answers them: a failure is expected
+        // and says nothing about the rate.
         if was_queued && !self.is_window_shortened {
             self.rate = (self.rate / RATE_DECREASE).max(MIN_RATE);
         }
         let window = self.window(settings, was_queued);
-        // Even with the greatest jitter, a call is made within a shortened window.
+        // Divides by the highest jitter, so that the call always falls within the shortened window.
         let interval_secs = if window.is_shortened { window.secs / (MIN_JITTER + 1.0) } else { window.secs };
         let delay_secs = self.backoff_secs(settings).max(interval_secs);
         self.is_window_shortened = window.is_shortened;
@@ -134,8 +141,8 @@
         backoff_secs.min(max_secs).max(INITIAL_BACKOFF_SECS)
     }
 
-    /// Whether a call is due. If so, the caller makes it at once. The first call comes after a random part of
-    /// the window.
+    /// Returns whether a call is due. If so, the caller must make it at once. The first call is due at a
+    /// random time within the window.
     pub fn is_call_due(&mut self, now: f64, settings: &Settings, random: impl FnOnce() -> f64) -> bool {
         if self.is_subscribed {
             return false;
@@ -153,8 +160,9 @@
         is_due
     }
 
-    /// The window for the next call. It is not shortened after a call that `was_queued`: a failed call counts
-    /// as a poll for longer, and calls that fail inform no instance.
+    /// Returns the window for the next call. After a call that `was_queued`, the window is not shortened: a
+    /// failed call still counts as a poll, so the next poll is required later, and a shorter window would
+    /// only cause more calls that fail and deliver no update.
     fn window(&self, settings: &Settings, was_queued: bool) -> CallWindow {
         let spread_calls = (f64::from(settings.instance_count) - MAX_BURST_CALLS).max(0.0);
         let needed_secs = (spread_calls / self.rate).min(MAX_WINDOW_SECS);
--- a/core/src/graceful_shutdown.rs
+++ b/core/src/graceful_shutdown.rs
@@ -1,78 +1,81 @@
-//! Controls the graceful shutdown of a process: how long connections, the listener and requests go on.
+//! Controls the graceful shutdown of a process: how long client connections, the listener and requests stay
+//! open.
 //!
-//! Owns the phases from the start of the shutdown to the end of the process, and the number of client
-//! connections. Times are those of one clock. Three guarantees hold:
+//! This module owns the phases from the start of the shutdown to the end of the process, and the number of
+//! client connections. All times are on one clock. Three guarantees hold:
 //!
-//! - Responses are not held back.
-//! - A connection from which something was read is closed only after it was answered.
+//! - The shutdown never delays a response.
+//! - A connection on which a request was read is closed only after the request was answered.
 //! - The process ends before the platform kills it.
 //!
-//! A connection can't be closed without a race: a request that is in flight when its connection closes is
-//! repeated once, on a new connection. So connections are closed first, and the listener stays open for the
-//! clients that return. A session is sticky to its proxy instance while that runs, and the load balancer
-//! takes a second or more to notice the shutdown. A client whose connection is closed before that has no
-//! other instance to go to, so connections are kept open for half of the time that there is.
+//! Closing an idle connection is a race with the client: a request that arrives while its connection closes
+//! is lost, and the client repeats it once, on a new connection. Connections are therefore closed first, and
+//! the listener stays open for the clients that reconnect. The load balancer keeps a session on one proxy
+//! instance while that instance runs, and takes a second or more to notice the shutdown. Until then, a client
+//! whose connection was closed can't reach another instance, so connections stay open for half of the time
+//! until the deadline.
 
 use std::time::Duration;
 
-/// Time after the start of the shutdown in which the load balancer still sends new connections.
+/// Time after the start of the shutdown for which the load balancer still sends new connections.
 pub const NOTICE_PERIOD: Duration = Duration::from_millis(450);
-/// Share of the time until the deadline for which connections are kept open.
+/// Share of the time until the deadline for which idle connections are kept open.
 const KEEP_OPEN_SHARE: f64 = 0.5;
-/// Time after a connection was closed within which a client whose request was in flight returns.
-pub const RETURN_GRACE_PERIOD: Duration = Duration::from_millis(250);
-/// Time that a new connection has for its first request.
+/// Time after the close of a connection within which a client whose request was in flight reconnects.
+pub const RECONNECT_GRACE_PERIOD: Duration = Duration::from_millis(250);
+/// Time within which the first request must arrive on a new connection.
 pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Upper bound of the longest request deadline that the shutdown waits for.
+/// Upper bound of the request deadline that the shutdown waits for.
 const MAX_REQUEST_DEADLINE: Duration = Duration::from_secs(3);
-/// Time after the last request deadline in which final responses are written.
+/// Time after the last request deadline that is left to write the final responses.
 const FINAL_WRITE_PERIOD: Duration = Duration::from_millis(150);
-/// Time before the deadline at which the last requests have ended.
+/// Margin before the deadline by which the last requests have ended.
 const REQUEST_MARGIN: Duration = Duration::from_millis(50);
 
-/// The phase of a graceful shutdown.
+/// Phase of a graceful shutdown. The order of the variants is the order of the phases.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ShutdownPhase {
     /// Connections are served as before.
     Notice,
-    /// Connections are closed once they are idle. New ones are accepted for one request each.
+    /// Connections are closed once they are idle. New connections are accepted for one request each.
     Draining,
-    /// The listener is to be closed. Connections in its queue are accepted for one request each.
+    /// The listener must be closed. Connections in its queue are accepted for one request each.
     ListenerClosing,
     /// The shutdown is complete, or its deadline has passed.
     Complete,
 }
 
-/// The state of a connection without a request in flight.
+/// State of a connection without a request in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IdleState {
     /// The client has sent no request yet.
     NoRequestYet,
-    /// All requests were answered.
+    /// At least one request was read, and all requests were answered.
     BetweenRequests,
-    /// A part of a message has arrived.
+    /// A message has arrived in part.
     PartialMessage,
 }
 
-/// The graceful shutdown of one process.
+/// Graceful shutdown of one process.
 #[derive(Debug, Clone)]
 pub struct GracefulShutdown {
     started_at: Duration,
-    /// When idle connections begin to be closed.
+    /// Time from which idle connections are closed.
     draining_at: Duration,
     deadline: Duration,
     connections: usize,
     last_closed_at: Duration,
-    /// Whether a successor has the listener's queue and takes over connections.
+    /// Whether a successor has taken over the listener's queue and accepts new connections.
     is_handed_over: bool,
     /// Whether the listener is closed and its queue is empty.
     is_listener_closed: bool,
 }
 
 impl GracefulShutdown {
-    /// Starts the shutdown at `started_at` with so many client connections. `longest_deadline` is the longest
-    /// request deadline of a class. `paused` is how long the process was paused just before: the signal may
-    /// have waited for as long, so the time to the draining phase is shorter by that.
+    /// Starts the shutdown at `started_at`. `connections` is the number of open client connections,
+    /// `longest_deadline` the longest request deadline of all classes. `paused` is the duration of a pause of
+    /// the process just before `started_at`: the signal may have been pending for as long, so the draining
+    /// phase begins earlier by that duration.
     pub fn new(
         started_at: Duration,
         longest_deadline: Duration,
@@ -92,40 +95,40 @@
         }
     }
 
-    /// When the shutdown ends at the latest.
+    /// Returns the latest time at which the shutdown ends.
     pub fn deadline(&self) -> Duration {
         self.deadline
     }
 
-    /// A connection was accepted.
+    /// Records that a connection was accepted.
     pub fn connection_opened(&mut self) {
         self.connections += 1;
     }
 
-    /// A connection was closed.
+    /// Records that a connection was closed at `now`.
     pub fn connection_closed(&mut self, now: Duration) {
         self.connections = self.connections.saturating_sub(1);
         self.last_closed_at = now;
     }
 
-    /// Sets whether a successor has the listener's queue and takes over connections.
+    /// Sets whether a successor has taken over the listener's queue and accepts new connections.
     pub fn set_handed_over(&mut self, is_handed_over: bool) {
         self.is_handed_over = is_handed_over;
     }
 
-    /// The listener was closed, and its queue is empty.
+    /// Records that the listener was closed and that its queue is empty.
     pub fn listener_closed(&mut self) {
         self.is_listener_closed = true;
     }
 
-    /// The phase at `now`.
+    /// Returns the phase at `now`.
     pub fn phase(&self, now: Duration) -> ShutdownPhase {
         let has_no_connections = self.connections == 0;
         if now >= self.deadline || (self.is_listener_closed && has_no_connections) {
             ShutdownPhase::Complete
         } else if self.is_handed_over
             || self.is_listener_closed
-            || (has_no_connections && now >= self.returns_end_at())
+            || (has_no_connections && now >= self.reconnects_end_at())
         {
             ShutdownPhase::ListenerClosing
         } else if now < self.draining_at {
@@ -135,18 +138,20 @@
         }
     }
 
-    /// When the phase changes next if no other event occurs.
+    /// Returns the next time after `now` at which the phase may change without a further event, or the
+    /// deadline if there is none.
     pub fn next_transition(&self, now: Duration) -> Duration {
-        let times = [self.draining_at, self.returns_end_at(), self.deadline];
+        let times = [self.draining_at, self.reconnects_end_at(), self.deadline];
         times.into_iter().filter(|at| *at > now).min().unwrap_or(self.deadline)
     }
 
-    /// Until when a connection in this state, which was accepted at `accepted_at`, is kept open. After that
-    /// it is closed once nothing unread is left on it. None if the shutdown sets no bound.
+    /// Returns the time until which a connection in this state, accepted at `accepted_at`, is kept open.
+    /// After that time the caller closes the connection as soon as all received data has been read. `None` if
+    /// the shutdown sets no bound.
     pub fn idle_deadline(&self, state: IdleState, accepted_at: Duration) -> Option<Duration> {
         match state {
             IdleState::PartialMessage => None,
-            // The successor takes over connections without a request as well.
+            // The client can reconnect to the successor, even if it has sent no request yet.
             _ if self.is_handed_over => Some(self.started_at),
             IdleState::BetweenRequests => Some(self.draining_at),
             IdleState::NoRequestYet => {
@@ -155,15 +160,15 @@
         }
     }
 
-    /// The time that a request which arrives at `now` may take, out of the `wanted` time: it has to end
-    /// before the process does.
-    pub fn request_time_left(&self, now: Duration, wanted: Duration) -> Duration {
-        wanted.min((self.deadline - REQUEST_MARGIN).saturating_sub(now))
+    /// Returns the time limit of a request that arrives at `now`: `timeout`, shortened so that the request
+    /// ends before the process.
+    pub fn request_time_left(&self, now: Duration, timeout: Duration) -> Duration {
+        timeout.min((self.deadline - REQUEST_MARGIN).saturating_sub(now))
     }
 
-    /// When no client returns any more, unless a connection is opened before.
-    fn returns_end_at(&self) -> Duration {
+    /// Returns the time after which no client reconnects, unless another connection is closed before.
+    fn reconnects_end_at(&self) -> Duration {
         let notice_period = NOTICE_PERIOD.min(self.draining_at - self.started_at);
-        self.last_closed_at.max(self.started_at + notice_period) + RETURN_GRACE_PERIOD
+        self.last_closed_at.max(self.started_at + notice_period) + RECONNECT_GRACE_PERIOD
     }
 }
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,8 +1,9 @@
-//! The routing engine of pipittack: every decision of the proxy, without I/O.
+//! Routing engine of pipittack: makes every decision of the proxy, without I/O.
 //!
-//! A caller feeds what it observed, with the time, to [`RoutingEngine::step`] and carries out the actions
-//! that come back. The types of that exchange are in [`api`]. Nothing in here may do I/O, read a clock, start
-//! a thread or wait: `clippy.toml` lists what that rules out, and CI fails where it is used.
+//! The caller passes events and the current time to [`RoutingEngine::step`] and executes the actions that it
+//! emits. The types of events and actions are in [`api`]. Code in this crate must not do I/O, read a clock,
+//! start a thread or block: `clippy.toml` lists the disallowed methods and types, and CI fails if they are
+//! used.
 #![forbid(unsafe_code)]
 #![deny(clippy::disallowed_methods, clippy::disallowed_types)]
 
--- a/core/src/session_tokens.rs
+++ b/core/src/session_tokens.rs
@@ -1,55 +1,57 @@
-//! Stores the session tokens of sessions whose reads don't carry one.
+//! Stores session tokens for clients whose reads don't carry one.
 //!
-//! A session's read must see what the session has written. The token is the commit position of the session's
-//! last write. It is stored until every server has passed it.
+//! A read of a session must see the session's writes. The session token is the commit position of the
+//! session's last write. It is stored until every server has applied that position.
 //!
-//! Memory is bounded, so tokens are dropped, but the guarantee is kept: dropping a token raises the *session
-//! floor*, and a session without a token counts as having written at the floor. So a server that was absent
-//! while the others passed a token (a new one, or one that returns) serves no session read before it reports
-//! a position beyond the floor. The floor of a process begins at its start, because earlier writes are
-//! unknown. While another process of this proxy instance serves and can't be reached, any session may have
-//! written a moment ago.
+//! Memory is bounded, so tokens are evicted, but the guarantee still holds: the eviction of a token raises
+//! the *session floor*, and a session without a token counts as having written at the floor. A server that
+//! was absent while the others passed a token (a new server, or one that returns to service) therefore serves
+//! no session read before it reports a position beyond the floor. Initially the floor is the start of the
+//! process, because earlier writes are unknown. While another process of this proxy instance serves clients
+//! but can't be reached, any session may just have written, so every session read must see all writes up to
+//! its arrival.
 //!
-//! Owns the tokens and the floor. Invariants: the floor never falls, unless a restored floor replaces the
-//! start of the process, and the size of the tokens stays within its limit. Positions are commit times, in
-//! seconds on the engine's clock.
+//! This module owns the tokens and the floor. Invariants: the floor never falls, except when a restored floor
+//! replaces the start of the process, and the size of the tokens stays within its limit. Positions are commit
+//! times, in seconds on the engine's clock.
 
 use std::collections::btree_map::Entry;
 use std::collections::BTreeMap;
 
 /// Upper bound of the size of all tokens, in bytes.
 const MAX_BYTES: usize = 2 << 20;
-/// Size that a token counts for beside its session's name, in bytes.
+/// Assumed size of a token without the name of its session, in bytes.
 const TOKEN_BYTES: usize = 64;
 
-/// The session tokens and the session floor.
+/// Session tokens and the session floor.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct SessionTokenStore {
-    /// The position of each session's last write.
+    /// Commit position of the last write of each session.
     tokens: BTreeMap<String, f64>,
     bytes: usize,
-    /// When this process began to serve; zero if it has restored another process's floor.
+    /// Time at which this process began to serve; 0 after the floor of another process was restored. `None`
+    /// before the process serves.
     started_at: Option<f64>,
     floor: f64,
     is_peer_unreachable: bool,
 }
 
-/// The state that another process of the proxy instance needs.
+/// State that is passed to another process of the proxy instance.
 pub(crate) struct SessionTokenSnapshot<Tokens> {
-    /// The session floor.
+    /// Session floor.
     pub floor: f64,
-    /// The sessions with a token above the floor, and the tokens.
+    /// Sessions with a token above the floor, and their tokens.
     pub tokens: Tokens,
 }
 
 impl SessionTokenStore {
-    /// The process begins to serve. Later calls have no effect.
+    /// Records that the process begins to serve. Later calls have no effect.
     pub fn start(&mut self, now: f64) {
         self.started_at.get_or_insert(now);
     }
 
-    /// A session's write was acknowledged with this commit position. Tokens never fall; a position that is
-    /// not finite is ignored.
+    /// Records the commit position of an acknowledged write of a session. A token never falls. A position
+    /// that is not finite is ignored.
     pub fn record_write(&mut self, session: String, position: f64) {
         if !position.is_finite() {
             return;
@@ -66,22 +68,23 @@
             }
         }
         if self.bytes > MAX_BYTES {
-            self.forget_older_half();
+            self.evict_older_half();
         }
     }
 
-    /// The position that a read which arrived at `now` must see.
+    /// Returns the position that a server must have applied to serve a read that arrived at `now`. `session`
+    /// is `None` if the read belongs to no known session.
     pub fn required_position(&self, session: Option<&str>, now: f64) -> f64 {
         if self.is_peer_unreachable {
             return now;
         }
         let token = session.and_then(|session| self.tokens.get(session)).copied().unwrap_or(0.0);
-        // A floor in the future stands for all writes up to now.
+        // A floor in the future requires all writes up to `now`.
         token.max(self.floor().min(now))
     }
 
-    /// Drops the tokens up to a position that every server has passed, and raises the floor to the highest of
-    /// them, for servers that are added later.
+    /// Evicts the tokens up to a position, and raises the floor to the highest evicted token. If every server
+    /// has applied the position, the floor matters only for servers that are added later.
     pub fn forget_up_to(&mut self, position: f64) {
         let mut floor = self.floor;
         let mut bytes = self.bytes;
@@ -97,7 +100,7 @@
         self.bytes = bytes;
     }
 
-    fn forget_older_half(&mut self) {
+    fn evict_older_half(&mut self) {
         let mut positions: Vec<f64> = self.tokens.values().copied().collect();
         let middle = positions.len() / 2;
         let (_, median, _) = positions.select_nth_unstable_by(middle, f64::total_cmp);
@@ -105,16 +108,17 @@
         self.forget_up_to(median);
     }
 
-    /// Restores another process's floor in place of this process's start. Without a floor, any session may
-    /// have written until `now`.
+    /// Restores the floor of another process in place of the start of this process. Without a floor, any
+    /// session may have written until `now`, so the floor becomes `now`.
     pub fn restore(&mut self, floor: Option<f64>, now: f64) {
         let floor = floor.filter(|floor| floor.is_finite()).unwrap_or(now).min(now);
         self.started_at = Some(0.0);
         self.floor = self.floor.max(floor);
     }
 
-    /// Sets whether another process serves that can't be reached. What it has acknowledged in the meantime
-    /// stays unknown, so the floor rises to `now` when that ends.
+    /// Sets whether another process of this proxy instance serves clients but can't be reached. The writes
+    /// that it acknowledged in the meantime remain unknown, so the floor rises to `now` at the end of that
+    /// state.
     pub fn set_peer_unreachable(&mut self, is_unreachable: bool, now: f64) {
         let was_unreachable = std::mem::replace(&mut self.is_peer_unreachable, is_unreachable);
         if was_unreachable {
@@ -122,17 +126,17 @@
         }
     }
 
-    /// Until this time, another process may serve whose writes are unknown.
+    /// Raises the floor to `until`. Another process, whose writes are unknown, may serve clients until then.
     pub fn distrust_until(&mut self, until: f64) {
         self.floor = self.floor.max(until);
     }
 
-    /// The session floor: the position that a session without a token must see.
+    /// Returns the session floor: the position that a read of a session without a token must see.
     pub fn floor(&self) -> f64 {
         self.floor.max(self.started_at.unwrap_or(0.0))
     }
 
-    /// The state that another process of this proxy instance needs.
+    /// Returns the state to pass to another process of this proxy instance.
     pub fn snapshot(&self) -> SessionTokenSnapshot<impl Iterator<Item = (&str, f64)>> {
         let floor = self.floor();
         let above_floor = self.tokens.iter().filter(move |(_, token)| **token > floor);
@@ -141,7 +145,7 @@
     }
 }
 
-/// The size that a session's token counts for.
+/// Returns the size that counts for the token of a session, in bytes.
 fn token_bytes(session: &str) -> usize {
     session.len() + TOKEN_BYTES
 }
--- a/core/src/throughput_fit.rs
+++ b/core/src/throughput_fit.rs
@@ -1,19 +1,20 @@
 //! Fits a parabola to throughput over concurrency by recursive least squares with exponential forgetting.
 
-/// Upper bound of the variances, which prevents covariance wind-up while the concurrency is constant.
+/// Upper bound of each variance. It prevents covariance wind-up while the concurrency is constant.
 const MAX_VARIANCE: f64 = 1e6;
-/// Lower bound of the variances, which keeps the fit able to change.
+/// Lower bound of each variance. It keeps the fit able to adapt.
 const MIN_VARIANCE: f64 = 1e-9;
 /// Variance of each coefficient before the first observation.
 const INITIAL_VARIANCE: f64 = 1e3;
-/// Divisor of the concurrency, so that the regressors are of similar size.
+/// Divisor of the concurrency, which gives the regressors similar magnitudes.
 const CONCURRENCY_SCALE: f64 = 10.0;
-/// Divisor of the squared concurrency.
+/// Divisor of the squared concurrency, for the same reason.
 const SQUARED_SCALE: f64 = CONCURRENCY_SCALE * CONCURRENCY_SCALE;
-/// A quadratic coefficient above this counts as no peak.
+/// Upper bound of the quadratic coefficient of a parabola with a peak.
 const MAX_QUADRATIC_COEFFICIENT: f64 = -1e-9;
 
-/// The coefficients of a + b x + c x² and their covariance, where x is the scaled concurrency.
+/// Coefficients of a + b x + c x² and their covariance, where x is the concurrency divided by
+/// `CONCURRENCY_SCALE`.
 #[derive(Debug)]
 pub struct ThroughputFit {
     coefficients: [f64; 3],
@@ -31,8 +32,8 @@
 }
 
 impl ThroughputFit {
-    /// Learns that `concurrency` requests in flight gave `throughput`. `forgetting_factor` is the weight that
-    /// earlier observations keep.
+    /// Records the `throughput` that was observed with `concurrency` attempts in flight. The weight of
+    /// earlier observations is multiplied by `forgetting_factor`.
     pub fn record(&mut self, concurrency: f64, throughput: f64, forgetting_factor: f64) {
         let regressors = [1.0, concurrency / CONCURRENCY_SCALE, concurrency * concurrency / SQUARED_SCALE];
         let projection: [f64; 3] = std::array::from_fn(|row| dot(&self.covariance[row], &regressors));
@@ -49,7 +50,8 @@
         }
     }
 
-    /// The concurrency with the highest throughput, if the parabola has a peak at a positive concurrency.
+    /// Returns the concurrency with the highest throughput, or `None` if the parabola has no peak at a
+    /// positive concurrency.
     pub fn vertex(&self) -> Option<f64> {
         let [_, linear, quadratic] = self.coefficients;
         let has_peak = quadratic < MAX_QUADRATIC_COEFFICIENT && linear > 0.0;
--- a/core/src/time.rs
+++ b/core/src/time.rs
@@ -1,4 +1,4 @@
-//! Conversion of durations: the engine counts time in seconds.
+//! Conversion of durations to seconds, the engine's unit of time.
 
 use std::time::Duration;
 
