--- a/core/tests/graceful_shutdown.rs
+++ b/core/tests/graceful_shutdown.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use pipittack_core::graceful_shutdown::{
-    GracefulShutdown, IdleState, ShutdownPhase, FIRST_REQUEST_TIMEOUT, NOTICE_PERIOD, RETURN_GRACE_PERIOD,
+    GracefulShutdown, IdleState, ShutdownPhase, FIRST_REQUEST_TIMEOUT, NOTICE_PERIOD, RECONNECT_GRACE_PERIOD,
 };
 
 /// The longest request deadline of a class.
@@ -210,7 +210,7 @@
 /// Moments around those at which the phases change.
 fn moments() -> Vec<u64> {
     let notice = SHUTDOWN_MS + NOTICE_PERIOD.as_millis() as u64;
-    let return_grace = RETURN_GRACE_PERIOD.as_millis() as u64;
+    let return_grace = RECONNECT_GRACE_PERIOD.as_millis() as u64;
     let first_request_timeout = FIRST_REQUEST_TIMEOUT.as_millis() as u64;
     let transitions = [
         SHUTDOWN_MS,
@@ -285,7 +285,7 @@
 #[test]
 fn a_process_without_clients_ends_after_the_return_grace_period() {
     let ended_at = simulate(&[], false).ended_at;
-    assert_eq!(ms(ended_at), ms(SHUTDOWN_MS) + NOTICE_PERIOD + RETURN_GRACE_PERIOD);
+    assert_eq!(ms(ended_at), ms(SHUTDOWN_MS) + NOTICE_PERIOD + RECONNECT_GRACE_PERIOD);
 }
 
 /// A new connection has time for its first request, and does not delay the shutdown beyond that.
@@ -300,11 +300,11 @@
     };
     let result = simulate(&[silent], false);
     assert_eq!(result.clients, [ClientResult::default()]);
-    assert_eq!(ms(result.ended_at), ms(DRAINING_MS) + RETURN_GRACE_PERIOD);
+    assert_eq!(ms(result.ended_at), ms(DRAINING_MS) + RECONNECT_GRACE_PERIOD);
     let late = Client { connects_at: DRAINING_MS - 100, ..silent };
     assert_eq!(
         ms(simulate(&[silent, late], false).ended_at),
-        ms(DRAINING_MS - 100) + FIRST_REQUEST_TIMEOUT + RETURN_GRACE_PERIOD
+        ms(DRAINING_MS - 100) + FIRST_REQUEST_TIMEOUT + RECONNECT_GRACE_PERIOD
     );
 }
 
