--- a/core/tests/common/mod.rs
+++ b/core/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A small cluster to test the routing engine with: one group, whose primary is server 1 and whose replicas are
-//! servers 2 and 3.
-#![allow(dead_code, unused_imports)] // each test crate uses a part of this
+//! Test harness of the routing engine with a small cluster: one group, whose primary is server 1 and whose
+//! replicas are servers 2 and 3.
+#![allow(dead_code, unused_imports)] // no test crate uses all of this module
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,18 +8,18 @@
 use pipittack_core::api::*;
 use pipittack_core::RoutingEngine;
 
-/// Reads with a bound on staleness.
+/// Reads with a staleness bound of 1 s.
 pub const BOUNDED_READ: ClassId = ClassId(0);
-/// Reads that see the writes of their session.
+/// Reads that must see the writes of their session.
 pub const SESSION_READ: ClassId = ClassId(1);
-/// Writes with an idempotency key.
+/// Writes with an idempotency key, which may be retried.
 pub const KEYED_WRITE: ClassId = ClassId(2);
 /// Writes that must not be executed twice.
 pub const UNIQUE_WRITE: ClassId = ClassId(3);
 /// Reads that any member may serve.
 pub const EVENTUAL_READ: ClassId = ClassId(4);
 
-// Former names, which tests/driver.rs and core/tests/failover.rs still use.
+// Aliases. tests/driver.rs uses some of them.
 pub const LOOK: ClassId = BOUNDED_READ;
 pub const OWN: ClassId = SESSION_READ;
 pub const POST: ClassId = KEYED_WRITE;
@@ -30,14 +30,14 @@
 pub use forwarded_to as targets;
 pub use rejection_count as refusals;
 
-/// The server that is the primary at first.
+/// Primary at the start of a test.
 pub const PRIMARY: ServerId = ServerId(1);
 
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Settings of the only instance of a fleet.
+/// Returns the settings of a fleet with one proxy instance.
 pub fn settings() -> Settings {
     Settings {
         instance_index: 0,
@@ -66,7 +66,7 @@
     }
 }
 
-/// Settings of one instance of a large fleet.
+/// Returns the settings of one instance of a large fleet.
 pub fn large_fleet_settings() -> Settings {
     Settings { instance_count: 100, ..settings() }
 }
@@ -119,7 +119,7 @@
     }
 }
 
-/// An entry of the endpoint list.
+/// Returns an endpoint of group 1.
 pub fn endpoint(server: u32, listed_primary: bool) -> Endpoint {
     Endpoint {
         server: ServerId(server),
@@ -133,12 +133,12 @@
     }
 }
 
-/// The endpoint list of the cluster.
+/// Returns the endpoint list of the cluster.
 pub fn endpoint_list() -> Vec<Endpoint> {
     vec![endpoint(1, true), endpoint(2, false), endpoint(3, false)]
 }
 
-/// An attempt that the engine has forwarded.
+/// Attempt that the engine has forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SentAttempt {
     pub request: RequestId,
@@ -146,35 +146,35 @@
     pub server: ServerId,
 }
 
-/// An engine under test, its clock and its attempts in flight.
-pub struct Bench {
+/// Engine under test, with its clock and its attempts in flight.
+pub struct Harness {
     pub engine: RoutingEngine,
     pub now: Duration,
-    /// Attempts in flight, in the order of sending.
-    pub sent: Vec<SentAttempt>,
-    /// The class of each request.
+    /// Attempts in flight, oldest first.
+    pub in_flight: Vec<SentAttempt>,
+    /// Class of each request.
     pub classes: BTreeMap<RequestId, ClassId>,
     last_request: u64,
     attempt_counts: BTreeMap<RequestId, u32>,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(settings: Settings) -> Self {
         Self::seeded(settings, 7)
     }
 
     pub fn seeded(settings: Settings, seed: u64) -> Self {
         let engine = RoutingEngine::new(settings, seed).expect("valid settings");
-        let mut bench = Self {
+        let mut harness = Self {
             engine,
             now: ms(100_000),
-            sent: Vec::new(),
+            in_flight: Vec::new(),
             classes: BTreeMap::new(),
             last_request: 0,
             attempt_counts: BTreeMap::new(),
         };
-        bench.step(vec![Event::Endpoints(EndpointUpdate::Cached(endpoint_list()))]);
-        bench
+        harness.step(vec![Event::Endpoints(EndpointUpdate::Cached(endpoint_list()))]);
+        harness
     }
 
     pub fn step(&mut self, events: Vec<Event>) -> Vec<Action> {
@@ -183,21 +183,21 @@
         for action in &actions {
             if let Action::Forward { request, server, .. } = action {
                 let count = self.attempt_counts.entry(*request).or_default();
-                self.sent.push(SentAttempt { request: *request, number: *count, server: *server });
+                self.in_flight.push(SentAttempt { request: *request, number: *count, server: *server });
                 *count += 1;
             }
         }
         actions
     }
 
-    /// Lets time pass, then steps the engine without an event.
-    pub fn pass(&mut self, time: Duration) -> Vec<Action> {
+    /// Advances the clock by `time`, then steps the engine without an event.
+    pub fn advance(&mut self, time: Duration) -> Vec<Action> {
         self.now += time;
         self.step(Vec::new())
     }
 
-    /// A new request of a class.
-    pub fn request(&mut self, class: ClassId) -> Request {
+    /// Returns a new request of a class.
+    pub fn new_request(&mut self, class: ClassId) -> Request {
         self.last_request += 1;
         self.classes.insert(RequestId(self.last_request), class);
         Request {
@@ -214,20 +214,20 @@
         }
     }
 
-    /// Lets a request of a class arrive.
-    pub fn call(&mut self, class: ClassId) -> Vec<Action> {
-        let request = self.request(class);
+    /// Submits a new request of a class to the engine.
+    pub fn submit(&mut self, class: ClassId) -> Vec<Action> {
+        let request = self.new_request(class);
         self.step(vec![Event::Request(request)])
     }
 
     /// Ends the oldest attempt in flight; see [`Self::end_attempt`].
-    pub fn end(&mut self, outcome: Outcome, is_primary: Option<bool>, lag: Duration) -> Vec<Action> {
-        let attempt = self.sent.remove(0);
+    pub fn end_oldest(&mut self, outcome: Outcome, is_primary: Option<bool>, lag: Duration) -> Vec<Action> {
+        let attempt = self.in_flight.remove(0);
         self.end_attempt(attempt, outcome, is_primary, lag)
     }
 
-    /// Ends an attempt. `is_primary` is the role that the response reports, and `lag` how far its position is
-    /// behind.
+    /// Ends an attempt. `is_primary` is the role that the response reports, or `None` if the response reports
+    /// no status. `lag` is the replication lag of the reported position.
     pub fn end_attempt(
         &mut self,
         attempt: SentAttempt,
@@ -249,19 +249,19 @@
         })])
     }
 
-    /// The former name of [`Self::report_all`], which core/tests/failover.rs still uses.
+    /// Alias of [`Self::report_all`], which no test uses.
     pub fn hear_all(&mut self, lag: Duration) {
         self.report_all(lag);
     }
 
-    /// Lets every member report its position, the replicas with this lag.
+    /// Makes every member report its position, the replicas with this lag.
     pub fn report_all(&mut self, lag: Duration) {
         for _ in 0..60 {
-            self.call(EVENTUAL_READ);
+            self.submit(EVENTUAL_READ);
             self.now += ms(10);
-            while let Some(attempt) = self.sent.first().copied() {
+            while let Some(attempt) = self.in_flight.first().copied() {
                 let is_primary = attempt.server == PRIMARY;
-                self.end(Outcome::Success, Some(is_primary), if is_primary { ms(0) } else { lag });
+                self.end_oldest(Outcome::Success, Some(is_primary), if is_primary { ms(0) } else { lag });
             }
         }
         for server in [2, 3] {
@@ -274,7 +274,7 @@
     }
 }
 
-/// The servers that requests are forwarded to.
+/// Returns the servers that requests are forwarded to.
 pub fn forwarded_to(actions: &[Action]) -> Vec<u32> {
     let server = |action: &Action| match action {
         Action::Forward { server, .. } => Some(server.0),
@@ -291,7 +291,7 @@
     actions.iter().filter(|action| matches!(action, Action::Fail { .. })).count()
 }
 
-/// The timeout of the first attempt that is forwarded.
+/// Returns the timeout of the first attempt that is forwarded, or `None` if none is.
 pub fn first_timeout(actions: &[Action]) -> Option<Duration> {
     actions.iter().find_map(|action| match action {
         Action::Forward { timeout, .. } => Some(*timeout),
@@ -299,7 +299,7 @@
     })
 }
 
-/// Whether a log line says that a server stopped responding.
+/// Returns whether a log line says that a server stopped responding.
 pub fn is_reported_down(actions: &[Action]) -> bool {
     actions.iter().any(|action| matches!(action, Action::Log(text) if text.contains("stopped responding")))
 }
--- a/core/tests/fleet/discovery.rs
+++ b/core/tests/fleet/discovery.rs
@@ -1,4 +1,4 @@
-//! How a large fleet watches discovery.
+//! Tests of the watches that a large fleet opens at the discovery service.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 use crate::common::*;
 use crate::load::*;
 
-/// Work of discovery for one call.
+/// Service time of one call at the discovery service.
 const CALL_WORK: Duration = Duration::from_millis(65);
 /// Time after which a call fails.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Time of one step of the simulation in ms.
+/// Duration of one step of the simulation, in ms.
 const STEP_MS: u64 = 10;
 /// The step at which all watches break, 12 s after the start.
 const BREAK_STEP: u64 = 1200;
 /// Largest fleet whose instances all open their watches at once.
 const MAX_IMMEDIATE_WATCHES: u32 = 20;
 
-/// The end of a call.
+/// Result of a call.
 struct Answer {
     due: Duration,
     instance: usize,
     is_in_time: bool,
 }
 
-/// Discovery with one queue. A call that times out is worked on all the same.
+/// Discovery service with one queue. It also processes calls that have timed out.
 #[derive(Default)]
 struct DiscoveryServer {
     free_at: Duration,
@@ -40,37 +40,37 @@
         self.answers.push(Answer { due, instance, is_in_time });
     }
 
-    /// Takes the answers that an instance gets by now.
+    /// Removes and returns the answers that are due for an instance at `now`.
     fn take_due(&mut self, now: Duration, instance: usize) -> Vec<Answer> {
         self.answers.extract_if(.., |answer| answer.due <= now && answer.instance == instance).collect()
     }
 }
 
-/// What came of the watches of a fleet.
+/// Results of the watches of a fleet.
 struct WatchResult {
-    /// When the last instance had its first update, in ms.
+    /// Time until the last instance received its first update, in ms.
     first_ms: u64,
-    /// When the last instance had an update again after all watches broke, in ms.
+    /// Time from the break of all watches until the last instance received another update, in ms.
     again_ms: u64,
     failed_calls: usize,
 }
 
-/// Starts all instances at once, 12 s after which all watches break.
-fn watch_all(instances: u32) -> WatchResult {
+/// Starts all instances at once. All watches break 12 s later.
+fn simulate_watches(instances: u32) -> WatchResult {
     let settings = Settings { instance_count: instances, discovery: DiscoveryMode::Subscribe, ..settings() };
     let mut fleet = fleet(&settings);
     let mut discovery = DiscoveryServer::default();
     let start = ms(100_000);
     let mut updated_ms = vec![[None; 2]; fleet.len()];
     let mut failed_calls = 0;
-    // The first step of each instance, which `fleet` has taken, may have opened a watch.
+    // The first step of each instance, in `fleet`, may have opened a watch.
     let is_immediate = instances <= MAX_IMMEDIATE_WATCHES;
     let mut callers: Vec<usize> = if is_immediate { (0..fleet.len()).collect() } else { Vec::new() };
     for step in 0..2400u64 {
         let now = start + ms(step * STEP_MS);
         callers.drain(..).for_each(|instance| discovery.call(now, instance));
-        for (instance, bench) in fleet.iter_mut().enumerate() {
-            bench.now = now;
+        for (instance, harness) in fleet.iter_mut().enumerate() {
+            harness.now = now;
             let mut events = Vec::new();
             if step == BREAK_STEP {
                 events.push(Event::Endpoints(EndpointUpdate::Failed));
@@ -85,29 +85,29 @@
                     events.push(Event::Endpoints(EndpointUpdate::Failed));
                 }
             }
-            if bench.step(events).contains(&Action::Watch { on: true }) {
+            if harness.step(events).contains(&Action::Watch { on: true }) {
                 callers.push(instance);
             }
         }
     }
     let last_ms = |phase: usize| {
-        let times = updated_ms.iter().map(|times| times[phase].expect("all get an update in the end"));
+        let times = updated_ms.iter().map(|times| times[phase].expect("every instance gets an update"));
         times.max().unwrap_or(0)
     };
     WatchResult { first_ms: last_ms(0), again_ms: last_ms(1) - BREAK_STEP * STEP_MS, failed_calls }
 }
 
-/// The retries of calls that time out would keep the queue of discovery long.
+/// Guards against retries of timed-out calls that keep the queue of the discovery service long.
 #[test]
 fn a_fleet_that_starts_or_loses_its_watches_at_once_does_not_overload_discovery() {
-    let WatchResult { first_ms, again_ms, failed_calls } = watch_all(100);
+    let WatchResult { first_ms, again_ms, failed_calls } = simulate_watches(100);
     assert!(
         first_ms < 9_000 && again_ms < 10_500 && failed_calls <= 10,
-        "{first_ms} ms, {again_ms} ms, {failed_calls} failed"
+        "{first_ms} ms until the first update, {again_ms} ms after the break, {failed_calls} calls failed"
     );
-    let WatchResult { first_ms, again_ms, failed_calls } = watch_all(4);
+    let WatchResult { first_ms, again_ms, failed_calls } = simulate_watches(4);
     assert!(
         first_ms < 300 && again_ms < 1_100 && failed_calls == 0,
-        "{first_ms} ms, {again_ms} ms, {failed_calls} failed"
+        "{first_ms} ms until the first update, {again_ms} ms after the break, {failed_calls} calls failed"
     );
 }
--- a/core/tests/fleet/load.rs
+++ b/core/tests/fleet/load.rs
@@ -1,10 +1,11 @@
-//! The instances of a fleet and their pseudo-random load.
+//! Instances of a fleet and their pseudo-random load.
 
 use pipittack_core::api::*;
 
 use crate::common::*;
 
-/// The share of requests in each class, in percent; the rest are reads with a staleness bound.
+/// Shares of the classes in the requests, in percent. The remaining requests are reads with a staleness
+/// bound.
 #[derive(Clone, Copy)]
 pub struct ClassMix {
     pub writes: u64,
@@ -12,7 +13,7 @@
 }
 
 impl ClassMix {
-    /// The class of the `n`th request.
+    /// Returns the class of the `n`th request.
     pub fn class(self, n: u64) -> ClassId {
         match pseudo_random(n, 100) {
             percent if percent < self.writes => UNIQUE_WRITE,
@@ -22,19 +23,19 @@
     }
 }
 
-/// The instances of a fleet, each with its own seed, that have cached the same three servers.
-pub fn fleet(settings: &Settings) -> Vec<Bench> {
+/// Returns the instances of a fleet, each with its own seed and the same cached list of three servers.
+pub fn fleet(settings: &Settings) -> Vec<Harness> {
     let instance =
-        |index| Bench::seeded(Settings { instance_index: index, ..settings.clone() }, u64::from(index));
+        |index| Harness::seeded(Settings { instance_index: index, ..settings.clone() }, u64::from(index));
     (0..settings.instance_count).map(instance).collect()
 }
 
-/// The `n`th of a fixed sequence of pseudo-random numbers below a limit (Knuth's multiplicative hash).
+/// Returns the `n`th number below `limit` of a fixed pseudo-random sequence (Knuth's multiplicative hash).
 pub fn pseudo_random(n: u64, limit: u64) -> u64 {
     (n.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) % limit
 }
 
-/// 1 where a condition holds, to be added to a count.
+/// Returns 1 if the condition holds, otherwise 0.
 pub fn one_if(condition: bool) -> f64 {
     f64::from(u8::from(condition))
 }
--- a/core/tests/fleet/main.rs
+++ b/core/tests/fleet/main.rs
@@ -1,4 +1,5 @@
-//! What a large fleet does together: a hundred instances, and what one server gets from all of them.
+//! Tests of large fleets: the effects of about a hundred proxy instances together on one server or on the
+//! discovery service.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/core/tests/fleet/robustness.rs
+++ b/core/tests/fleet/robustness.rs
@@ -1,4 +1,4 @@
-//! Large fleets with dead servers, and endpoint lists of any size.
+//! Tests of large fleets with dead servers, and of endpoint lists of any size.
 
 use std::collections::BTreeSet;
 
@@ -7,32 +7,36 @@
 
 use crate::common::*;
 
-/// Connections that a dead server refuses do not show that connections are scarce.
+/// Connections that a dead server refuses do not show that servers have reached their connection limits.
 #[test]
 fn connections_to_healthy_servers_stay_open_when_others_die() {
-    let mut bench = Bench::new(large_fleet_settings());
-    bench.report_all(ms(10));
+    let mut harness = Harness::new(large_fleet_settings());
+    harness.report_all(ms(10));
     let mut served = 0;
     for _ in 0..40 {
-        let mut actions = bench.call(EVENTUAL_READ);
-        bench.now += ms(20);
-        while !bench.sent.is_empty() {
-            let is_dead = bench.sent[0].server == ServerId(3);
+        let mut actions = harness.submit(EVENTUAL_READ);
+        harness.now += ms(20);
+        while !harness.in_flight.is_empty() {
+            let is_dead = harness.in_flight[0].server == ServerId(3);
             let outcome = if is_dead { Outcome::ConnectFailed } else { Outcome::Success };
             served += u32::from(!is_dead);
-            actions.extend(bench.end(outcome, Some(false).filter(|_| !is_dead), ms(10)));
+            actions.extend(harness.end_oldest(outcome, Some(false).filter(|_| !is_dead), ms(10)));
         }
         let closes_other =
             |action: &Action| matches!(action, Action::CloseIdle { server } if *server != ServerId(3));
-        assert!(!actions.iter().any(closes_other), "a dead server says nothing of the others: {actions:?}");
+        assert!(
+            !actions.iter().any(closes_other),
+            "a dead server must not close connections to other servers: {actions:?}"
+        );
     }
     assert!(served >= 40, "{served} served");
 }
 
-/// Steps between two endpoint updates.
+/// Number of steps between two endpoint updates.
 const UPDATE_STEPS: u64 = 100;
 
-/// Updates with each entry twice, of which half are removed later, and some of groups that no request names.
+/// Returns updates with each endpoint twice, of which half are removed later. Some are of groups that no
+/// request belongs to.
 fn endpoint_updates(server_count: u32) -> Vec<EndpointUpdate> {
     let group = |server: u32| GroupId(u64::from(server / 4));
     let list: Vec<_> = (0..server_count)
@@ -55,22 +59,22 @@
     ]
 }
 
-/// What an instance did with the updates and some requests.
+/// Results of an instance that received the updates and some requests.
 #[derive(Default)]
 struct InstanceRun {
-    /// Requests without a final answer.
+    /// Requests without a final answer yet.
     open: BTreeSet<RequestId>,
     has_opened_watch: bool,
 }
 
 impl InstanceRun {
     fn run(settings: Settings, server_count: u32) -> Self {
-        let mut bench = Bench::new(settings.clone());
-        bench.engine = RoutingEngine::new(settings, 3).expect("valid");
+        let mut harness = Harness::new(settings.clone());
+        harness.engine = RoutingEngine::new(settings, 3).expect("valid");
         let updates = endpoint_updates(server_count);
         let mut run = Self::default();
         for step in 0..1500u64 {
-            bench.now += ms(10);
+            harness.now += ms(10);
             let mut events = Vec::new();
             if step % UPDATE_STEPS == 0 {
                 let update = updates.get((step / UPDATE_STEPS) as usize);
@@ -79,28 +83,28 @@
             if step < 700 && step % 5 == 0 {
                 let classes = [BOUNDED_READ, SESSION_READ, UNIQUE_WRITE, EVENTUAL_READ];
                 let class = classes[(step / 5 % 4) as usize];
-                let request = Request { group: GroupId(1 + step % 60), ..bench.request(class) };
+                let request = Request { group: GroupId(1 + step % 60), ..harness.new_request(class) };
                 run.open.insert(request.id);
                 events.push(Event::Request(request));
             }
-            let mut actions = bench.step(events);
-            actions.extend(run.end_attempts(&mut bench));
+            let mut actions = harness.step(events);
+            actions.extend(run.end_attempts(&mut harness));
             run.observe(&actions);
         }
         run
     }
 
-    /// Ends all attempts in flight: a third of the servers refuse connections.
-    fn end_attempts(&mut self, bench: &mut Bench) -> Vec<Action> {
+    /// Ends all attempts in flight. A third of the servers refuse connections.
+    fn end_attempts(&mut self, harness: &mut Harness) -> Vec<Action> {
         let mut actions = Vec::new();
-        while let Some(SentAttempt { request, server, .. }) = bench.sent.first().copied() {
+        while let Some(SentAttempt { request, server, .. }) = harness.in_flight.first().copied() {
             let is_dead = server.0 % 3 == 0;
             let outcome = if is_dead { Outcome::ConnectFailed } else { Outcome::Success };
             if !is_dead {
                 self.open.remove(&request);
             }
             let is_primary = Some(server.0 % 4 == 0).filter(|_| !is_dead);
-            actions.extend(bench.end(outcome, is_primary, ms(5)));
+            actions.extend(harness.end_oldest(outcome, is_primary, ms(5)));
         }
         actions
     }
--- a/core/tests/fleet/warm_up.rs
+++ b/core/tests/fleet/warm_up.rs
@@ -1,4 +1,4 @@
-//! What a server that has just started gets from all instances together.
+//! Tests of the load that all instances together put on a server that has just started.
 
 use std::time::Duration;
 
@@ -7,36 +7,36 @@
 use crate::common::*;
 use crate::load::*;
 
-/// The server that takes over from the primary.
-const SUCCESSOR: ServerId = ServerId(4);
-/// When it takes over, in ms.
+/// Server that replaces the primary.
+const NEW_PRIMARY: ServerId = ServerId(4);
+/// Time of the replacement, in ms after the start.
 const CHANGE_MS: u64 = 30_000;
 
-/// The primary drains, and a server that has just started takes its place.
-fn primary_replaced(now: Duration) -> Event {
+/// Returns the endpoint update in which the primary drains and a server that has just started replaces it.
+fn primary_replacement(now: Duration) -> Event {
     let old = Endpoint { state: EndpointState::Draining, ..endpoint(1, false) };
-    let new = Endpoint { started_at: Some(now - ms(500)), ..endpoint(SUCCESSOR.0, true) };
+    let new = Endpoint { started_at: Some(now - ms(500)), ..endpoint(NEW_PRIMARY.0, true) };
     Event::Endpoints(EndpointUpdate::Changes(vec![old, new]))
 }
 
 fn primary_at(time_ms: u64) -> ServerId {
     if time_ms >= CHANGE_MS {
-        SUCCESSOR
+        NEW_PRIMARY
     } else {
         PRIMARY
     }
 }
 
-/// What the new primary did in each second after the change.
-struct SuccessorLoad {
+/// Load of the new primary in each second after the change.
+struct NewPrimaryLoad {
     attempts: Vec<usize>,
-    /// Share of the writes that it served.
+    /// Share of the writes that the new primary served.
     served_writes: Vec<f64>,
 }
 
-/// A hundred instances send a group 40 writes and 60 reads a second. After 30 s a server that has just started
-/// becomes the primary.
-fn successor_load() -> SuccessorLoad {
+/// Simulates a hundred instances that send a group 40 writes and 60 reads a second. After 30 s a server that
+/// has just started becomes the primary.
+fn new_primary_load() -> NewPrimaryLoad {
     let mut fleet = fleet(&large_fleet_settings());
     let mix = ClassMix { writes: 40, eventual_reads: 10 };
     let mut attempts = vec![0; 12];
@@ -48,76 +48,76 @@
         let second = (time_ms.saturating_sub(CHANGE_MS) / 1000) as usize;
         let caller = pseudo_random(3 * step, 100) as usize;
         let class = mix.class(3 * step + 1);
-        for (index, bench) in fleet.iter_mut().enumerate() {
-            bench.now += ms(10);
+        for (index, harness) in fleet.iter_mut().enumerate() {
+            harness.now += ms(10);
             let mut events = Vec::new();
             if time_ms == CHANGE_MS {
-                events.push(primary_replaced(bench.now));
+                events.push(primary_replacement(harness.now));
             }
             if index == caller {
-                events.push(Event::Request(bench.request(class)));
+                events.push(Event::Request(harness.new_request(class)));
                 writes[second] += one_if(has_changed && class == UNIQUE_WRITE);
             }
-            bench.step(events);
-            while let Some(attempt) = bench.sent.first().copied() {
+            harness.step(events);
+            while let Some(attempt) = harness.in_flight.first().copied() {
                 let is_primary = attempt.server == primary_at(time_ms);
-                attempts[second] += usize::from(has_changed && attempt.server == SUCCESSOR);
-                // The first request that a replica gets is a write that asks for its position.
-                let is_write = bench.classes.get(&attempt.request) == Some(&UNIQUE_WRITE);
+                attempts[second] += usize::from(has_changed && attempt.server == NEW_PRIMARY);
+                // The first request to a replica is a write that asks for its position.
+                let is_write = harness.classes.get(&attempt.request) == Some(&UNIQUE_WRITE);
                 let is_declined = is_write && !is_primary;
                 let outcome = if is_declined { Outcome::Misdirected } else { Outcome::Success };
                 served[second] += one_if(has_changed && is_write && is_primary);
-                bench.end(outcome, Some(is_primary), if is_primary { ms(0) } else { ms(10) });
+                harness.end_oldest(outcome, Some(is_primary), if is_primary { ms(0) } else { ms(10) });
             }
         }
     }
     let served_writes = served.iter().zip(writes).map(|(served, writes)| served / writes.max(1.0)).collect();
-    SuccessorLoad { attempts, served_writes }
+    NewPrimaryLoad { attempts, served_writes }
 }
 
 #[test]
 fn all_instances_together_use_the_capacity_of_a_warming_primary_and_not_much_more() {
-    let SuccessorLoad { attempts, served_writes } = successor_load();
+    let NewPrimaryLoad { attempts, served_writes } = new_primary_load();
     let rules = large_fleet_settings().rules;
     for (second, attempts) in attempts.iter().enumerate() {
-        // A warm primary gets 70 requests a second and more.
+        // A warm primary gets at least 70 requests a second.
         let capacity = 70.0 * rules.min_capacity_share(0.5 + second as f64);
         assert!(
             *attempts as f64 <= rules.overload_factor * capacity,
             "{attempts} in second {second}, with capacity {capacity}"
         );
     }
-    let late: f64 = served_writes[5..].iter().sum::<f64>() / served_writes[5..].len() as f64;
-    assert!(late > 0.8, "{late} of the writes served after 5 s; {served_writes:?}, {attempts:?}");
-    // This fails if an instance may accumulate a budget of one request only: others then wait for what it
-    // doesn't use.
-    let early: f64 = served_writes[3..6].iter().sum::<f64>() / 3.0;
+    let late_share: f64 = served_writes[5..].iter().sum::<f64>() / served_writes[5..].len() as f64;
+    assert!(late_share > 0.8, "{late_share} of the writes served after 5 s; {served_writes:?}, {attempts:?}");
+    // Guards against instances that may accumulate a budget of only one request: the budget that some
+    // instances don't use is then lost, while requests wait at others.
+    let early_share: f64 = served_writes[3..6].iter().sum::<f64>() / 3.0;
     assert!(
-        early > 0.85,
-        "{early} of the writes served in the fourth to sixth second; {served_writes:?}, {attempts:?}"
+        early_share > 0.85,
+        "{early_share} of the writes served in the fourth to sixth second; {served_writes:?}, {attempts:?}"
     );
 }
 
-/// An attempt of one instance that a server works on.
+/// Attempt of one instance that a server is processing.
 struct AttemptInService {
     done_ms: u64,
     instance: usize,
     attempt: SentAttempt,
 }
 
-/// What a burst sent to the two primaries.
+/// Load that the burst simulation puts on the two primaries.
 #[derive(Default)]
 struct BurstLoad {
-    /// When the new primary got each of its attempts, in ms.
-    at_successor_ms: Vec<u64>,
-    /// Attempts at the old primary in the last 10 s before the change.
+    /// Times of the attempts at the new primary, in ms.
+    at_new_primary_ms: Vec<u64>,
+    /// Number of attempts at the old primary in the last 10 s before the change.
     at_warm_primary: u32,
 }
 
-/// The instances of a fleet and a group whose primary is replaced. For 5 s the new primary gets hardly any request,
-/// so that all instances accumulate their budgets. Then three times the usual load comes at once.
+/// Simulation of a fleet and of a group whose primary is replaced. For 5 s the new primary gets hardly any
+/// requests, so all instances accumulate their budgets. Then a burst of six times the previous load follows.
 struct BurstSimulation {
-    fleet: Vec<Bench>,
+    fleet: Vec<Harness>,
     in_service: Vec<AttemptInService>,
     load: BurstLoad,
     random_index: u64,
@@ -139,7 +139,7 @@
         simulation.load
     }
 
-    /// How many requests each instance gets.
+    /// Returns how many requests each instance gets in this step.
     fn choose_callers(&mut self, time_ms: u64) -> Vec<usize> {
         let count = if Self::BURST_MS.contains(&time_ms) { 3 } else { (time_ms / 10 + 1) % 2 };
         let mut calls = vec![0; self.fleet.len()];
@@ -151,19 +151,19 @@
     }
 
     fn step_instance(&mut self, instance: usize, calls: usize, time_ms: u64) {
-        let bench = &mut self.fleet[instance];
-        bench.now += ms(10);
+        let harness = &mut self.fleet[instance];
+        harness.now += ms(10);
         let mut events = Vec::new();
         if time_ms == CHANGE_MS {
-            events.push(primary_replaced(bench.now));
+            events.push(primary_replacement(harness.now));
         }
         let is_busy = time_ms < CHANGE_MS || Self::BURST_MS.contains(&time_ms);
         let mix = ClassMix { writes: if is_busy { 70 } else { 3 }, eventual_reads: 20 };
         for _ in 0..calls {
             self.random_index += 1;
-            events.push(Event::Request(bench.request(mix.class(3 * self.random_index + 1))));
+            events.push(Event::Request(harness.new_request(mix.class(3 * self.random_index + 1))));
         }
-        bench.step(events);
+        harness.step(events);
         self.end_attempts(instance, time_ms);
         self.start_attempts(instance, time_ms);
     }
@@ -172,18 +172,18 @@
         let is_done = |end: &AttemptInService| end.done_ms <= time_ms && end.instance == instance;
         while let Some(index) = self.in_service.iter().position(is_done) {
             let attempt = self.in_service.swap_remove(index).attempt;
-            let bench = &mut self.fleet[instance];
+            let harness = &mut self.fleet[instance];
             let is_primary = attempt.server == primary_at(time_ms);
-            let is_declined = bench.classes[&attempt.request] == UNIQUE_WRITE && !is_primary;
+            let is_declined = harness.classes[&attempt.request] == UNIQUE_WRITE && !is_primary;
             let outcome = if is_declined { Outcome::Misdirected } else { Outcome::Success };
-            bench.end_attempt(attempt, outcome, Some(is_primary), ms(if is_primary { 0 } else { 10 }));
+            harness.end_attempt(attempt, outcome, Some(is_primary), ms(if is_primary { 0 } else { 10 }));
         }
     }
 
     fn start_attempts(&mut self, instance: usize, time_ms: u64) {
-        for attempt in std::mem::take(&mut self.fleet[instance].sent) {
-            if attempt.server == SUCCESSOR {
-                self.load.at_successor_ms.push(time_ms);
+        for attempt in std::mem::take(&mut self.fleet[instance].in_flight) {
+            if attempt.server == NEW_PRIMARY {
+                self.load.at_new_primary_ms.push(time_ms);
             }
             let is_measured = (20_000..CHANGE_MS).contains(&time_ms);
             self.load.at_warm_primary += u32::from(attempt.server == PRIMARY && is_measured);
@@ -192,17 +192,17 @@
     }
 }
 
-/// The most that the new primary gets within the overload duration, as a share of what the rules permit then. The
-/// bound allows for chance: N + 2 √N + 2.
+/// Returns the maximum number of attempts at the new primary within any overload duration, as a share of the
+/// number that the rules permit. To allow for random variation, a permitted number N counts as N + 2 √N + 2.
 fn max_overload_share(instances: u32, overload_factor: f64) -> f64 {
     let mut settings = Settings { instance_count: instances, ..settings() };
     settings.rules.overload_factor = overload_factor;
-    let BurstLoad { at_successor_ms, at_warm_primary } = BurstSimulation::run(&settings);
-    // A warm primary is used at seven tenths.
+    let BurstLoad { at_new_primary_ms, at_warm_primary } = BurstSimulation::run(&settings);
+    // The utilization of the warm primary is assumed to be 70 %.
     let capacity = f64::from(at_warm_primary) / 10.0 / 0.7;
     let window_ms = settings.rules.overload_duration.as_millis() as u64;
-    let shares = at_successor_ms.iter().enumerate().map(|(index, from_ms)| {
-        let count = at_successor_ms[index..].iter().take_while(|at| **at < from_ms + window_ms).count();
+    let shares = at_new_primary_ms.iter().enumerate().map(|(index, from_ms)| {
+        let count = at_new_primary_ms[index..].iter().take_while(|at| **at < from_ms + window_ms).count();
         let capacity_share = settings.rules.min_capacity_share(0.5 + (from_ms - CHANGE_MS) as f64 / 1e3);
         let permitted =
             overload_factor * capacity_share * capacity * settings.rules.overload_duration.as_secs_f64();
--- a/core/tests/routing/main.rs
+++ b/core/tests/routing/main.rs
@@ -1,4 +1,5 @@
-//! The routing engine through its public interface: routing, retries and outlier detection.
+//! Tests of the routing engine through its public interface: routing, queueing, retries, warm-up and outlier
+//! detection.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/core/tests/routing/queueing.rs
+++ b/core/tests/routing/queueing.rs
@@ -1,52 +1,56 @@
-//! The queue, load shedding and final answers.
+//! Tests of the queue, of load shedding and of final answers.
 
 use pipittack_core::api::*;
 
 use crate::common::*;
 
-/// The youngest reads are forwarded first there, so an old one would hardly be forwarded.
+/// In a congested group the youngest reads are forwarded first, so an older read is unlikely to be forwarded.
 #[test]
-fn a_queued_read_of_a_congested_group_is_rejected_by_half_its_time() {
-    let mut bench = Bench::new(settings());
-    bench.report_all(ms(10));
-    while (0..5).any(|_| !forwarded_to(&bench.call(BOUNDED_READ)).is_empty()) {}
-    bench.pass(ms(600)); // the queued reads expire, so that the group counts as congested
-    assert_eq!(forwarded_to(&bench.call(BOUNDED_READ)), [1], "a canary read tests the silent primary");
-    let short_lived = Request { time_left: ms(600), ..bench.request(BOUNDED_READ) };
-    assert_eq!(rejection_count(&bench.step(vec![Event::Request(short_lived)])), 0);
-    assert_eq!(rejection_count(&bench.pass(ms(240))), 0);
-    assert_eq!(forwarded_to(&bench.call(BOUNDED_READ)), [0; 0], "this one waits for the next canary");
-    assert_eq!(rejection_count(&bench.pass(ms(60))), 1);
+fn a_queued_read_of_a_congested_group_is_rejected_by_half_its_time_left() {
+    let mut harness = Harness::new(settings());
+    harness.report_all(ms(10));
+    while (0..5).any(|_| !forwarded_to(&harness.submit(BOUNDED_READ)).is_empty()) {}
+    harness.advance(ms(600)); // the queued reads expire, so the group counts as congested
+    assert_eq!(forwarded_to(&harness.submit(BOUNDED_READ)), [1], "a canary read tests the silent primary");
+    let short_lived = Request { time_left: ms(600), ..harness.new_request(BOUNDED_READ) };
+    assert_eq!(rejection_count(&harness.step(vec![Event::Request(short_lived)])), 0);
+    assert_eq!(rejection_count(&harness.advance(ms(240))), 0);
+    assert_eq!(
+        forwarded_to(&harness.submit(BOUNDED_READ)),
+        [0; 0],
+        "the read waits until the next canary read may be sent"
+    );
+    assert_eq!(rejection_count(&harness.advance(ms(60))), 1);
 }
 
 #[test]
 fn a_full_queue_rejects_at_once_with_a_retry_after() {
-    let mut bench = Bench::new(settings());
-    bench.report_all(ms(10));
-    let actions: Vec<Action> = (0..400).flat_map(|_| bench.call(BOUNDED_READ)).collect();
+    let mut harness = Harness::new(settings());
+    harness.report_all(ms(10));
+    let actions: Vec<Action> = (0..400).flat_map(|_| harness.submit(BOUNDED_READ)).collect();
     assert!(rejection_count(&actions) > 100);
     let has_retry_after = |action: &Action| matches!(action, Action::Reject { retry_after: Some(_), .. });
     assert!(actions.iter().any(has_retry_after));
 }
 
 #[test]
-fn every_request_gets_one_final_answer_where_no_server_responds() {
-    let mut bench = Bench::new(settings());
+fn every_request_gets_one_final_answer_if_no_server_responds() {
+    let mut harness = Harness::new(settings());
     let mut answer_count = 0;
     for class in [BOUNDED_READ, SESSION_READ, KEYED_WRITE, UNIQUE_WRITE, EVENTUAL_READ].repeat(20) {
-        let actions = bench.call(class);
+        let actions = harness.submit(class);
         answer_count += rejection_count(&actions) + failure_count(&actions);
     }
     for _ in 0..201 {
-        bench.now += ms(10);
-        let in_flight: Vec<_> = std::mem::take(&mut bench.sent);
-        let mut actions = bench.step(Vec::new());
+        harness.now += ms(10);
+        let in_flight: Vec<_> = std::mem::take(&mut harness.in_flight);
+        let mut actions = harness.step(Vec::new());
         for attempt in in_flight {
-            // Timeouts end at the deadline.
-            if bench.now >= ms(102_000) {
-                actions.extend(bench.end_attempt(attempt, Outcome::Timeout, None, ms(0)));
+            // An attempt times out at the deadline of its request.
+            if harness.now >= ms(102_000) {
+                actions.extend(harness.end_attempt(attempt, Outcome::Timeout, None, ms(0)));
             } else {
-                bench.sent.push(attempt);
+                harness.in_flight.push(attempt);
             }
         }
         answer_count += rejection_count(&actions) + failure_count(&actions);
@@ -56,36 +60,40 @@
 
 #[test]
 fn a_class_whose_mean_exceeds_its_objective_is_still_forwarded() {
-    let mut bench = Bench::new(settings());
-    bench.report_all(ms(10));
+    let mut harness = Harness::new(settings());
+    harness.report_all(ms(10));
     for _ in 0..200 {
-        bench.call(EVENTUAL_READ);
-        bench.now += ms(1500);
-        while !bench.sent.is_empty() {
-            bench.end(Outcome::Success, Some(false), ms(1500));
+        harness.submit(EVENTUAL_READ);
+        harness.now += ms(1500);
+        while !harness.in_flight.is_empty() {
+            harness.end_oldest(Outcome::Success, Some(false), ms(1500));
         }
     }
-    assert_eq!(forwarded_to(&bench.call(EVENTUAL_READ)).len(), 1);
+    assert_eq!(forwarded_to(&harness.submit(EVENTUAL_READ)).len(), 1);
 }
 
-/// In the order of arrival each one would be served just too late.
+/// In order of arrival, every queued read would be served just after its deadline.
 #[test]
 fn the_youngest_read_of_a_congested_group_is_forwarded_first() {
-    let mut bench = Bench::new(settings());
-    bench.report_all(ms(10));
-    while !forwarded_to(&bench.call(EVENTUAL_READ)).is_empty() {}
-    bench.call(EVENTUAL_READ);
-    bench.now += ms(250);
-    bench.call(EVENTUAL_READ);
-    let expired = bench.pass(ms(245)); // the first two reads expire
+    let mut harness = Harness::new(settings());
+    harness.report_all(ms(10));
+    while !forwarded_to(&harness.submit(EVENTUAL_READ)).is_empty() {}
+    harness.submit(EVENTUAL_READ);
+    harness.now += ms(250);
+    harness.submit(EVENTUAL_READ);
+    let expired = harness.advance(ms(245)); // the first two reads expire
     assert_eq!(rejection_count(&expired), 2, "{expired:?}");
     for _ in 0..3 {
-        bench.now += ms(10);
-        bench.call(EVENTUAL_READ);
+        harness.now += ms(10);
+        harness.submit(EVENTUAL_READ);
     }
-    let youngest = bench.request(EVENTUAL_READ).id.0 - 1;
-    let attempt = *bench.sent.iter().find(|attempt| attempt.server == ServerId(2)).expect("busy");
-    let freed = bench.end_attempt(attempt, Outcome::Success, Some(false), ms(10));
+    let youngest = harness.new_request(EVENTUAL_READ).id.0 - 1;
+    let attempt = *harness
+        .in_flight
+        .iter()
+        .find(|attempt| attempt.server == ServerId(2))
+        .expect("server 2 has an attempt in flight");
+    let freed = harness.end_attempt(attempt, Outcome::Success, Some(false), ms(10));
     let sent = freed.iter().find_map(|action| match action {
         Action::Forward { request, .. } => Some(request.0),
         _ => None,
@@ -93,20 +101,21 @@
     assert_eq!(sent, Some(youngest));
 }
 
-/// How many of 40 reads are rejected at once after some reads that were late, each by `late_steps` of 50 ms.
+/// Returns how many of 40 reads are rejected at once after `reads` reads that took `late_steps` times 50 ms
+/// each.
 fn rejected_after_late_reads(settings: Settings, reads: usize, late_steps: usize) -> usize {
-    let mut bench = Bench::new(settings);
-    bench.report_all(ms(10));
+    let mut harness = Harness::new(settings);
+    harness.report_all(ms(10));
     for _ in 0..reads {
-        bench.call(EVENTUAL_READ);
+        harness.submit(EVENTUAL_READ);
         for _ in 0..late_steps {
-            bench.pass(ms(50));
+            harness.advance(ms(50));
         }
-        while !bench.sent.is_empty() {
-            bench.end(Outcome::Success, Some(false), ms(10));
+        while !harness.in_flight.is_empty() {
+            harness.end_oldest(Outcome::Success, Some(false), ms(10));
         }
     }
-    (0..40).map(|_| rejection_count(&bench.call(EVENTUAL_READ))).sum()
+    (0..40).map(|_| rejection_count(&harness.submit(EVENTUAL_READ))).sum()
 }
 
 #[test]
@@ -118,71 +127,72 @@
     assert!(in_large_fleet >= 10 && alone == 0, "{in_large_fleet} with 100 instances, {alone} with one");
 }
 
-/// All servers of an overloaded group are slow; their responses must not be left out as those of faulty ones.
+/// All servers of an overloaded group are slow. Their late responses must count, and not be ignored as
+/// responses of faulty servers are.
 #[test]
 fn late_responses_of_slow_servers_count_for_load_shedding() {
     let rejected = rejected_after_late_reads(large_fleet_settings(), 30, 38);
     assert!(rejected >= 28, "{rejected} of 40 rejected");
 }
 
-/// Its client can then retry while there is time.
+/// The client then has time to retry.
 #[test]
-fn a_write_without_a_primary_is_rejected_by_half_its_time_with_a_retry_after() {
-    let mut bench = Bench::new(settings());
+fn a_write_without_a_primary_is_rejected_by_half_its_time_left_with_a_retry_after() {
+    let mut harness = Harness::new(settings());
     for _ in 0..20 {
-        bench.call(KEYED_WRITE);
-        while !bench.sent.is_empty() {
-            bench.end(Outcome::ConnectFailed, None, ms(0));
+        harness.submit(KEYED_WRITE);
+        while !harness.in_flight.is_empty() {
+            harness.end_oldest(Outcome::ConnectFailed, None, ms(0));
         }
-        bench.now += ms(200);
+        harness.now += ms(200);
     }
-    let write = bench.request(KEYED_WRITE);
+    let write = harness.new_request(KEYED_WRITE);
     let id = write.id;
-    assert!(forwarded_to(&bench.step(vec![Event::Request(write)])).is_empty());
-    let mut hint = None;
+    assert!(forwarded_to(&harness.step(vec![Event::Request(write)])).is_empty());
+    let mut retry_delay = None;
     let mut waited = ms(0);
-    while hint.is_none() && waited < ms(2000) {
+    while retry_delay.is_none() && waited < ms(2000) {
         waited += ms(20);
-        for action in bench.pass(ms(20)) {
+        for action in harness.advance(ms(20)) {
             match action {
-                Action::Reject { request, retry_after } if request == id => hint = retry_after,
+                Action::Reject { request, retry_after } if request == id => retry_delay = retry_after,
                 Action::Forward { .. } => {
-                    bench.end(Outcome::ConnectFailed, None, ms(0));
+                    harness.end_oldest(Outcome::ConnectFailed, None, ms(0));
                 }
                 _ => {}
             }
         }
     }
     assert!(waited < ms(1000) && waited > ms(500), "{waited:?}");
-    assert!(hint.is_some_and(|hint| hint > ms(0)));
+    assert!(retry_delay.is_some_and(|retry_delay| retry_delay > ms(0)));
 }
 
 #[test]
 fn a_write_stays_queued_while_its_responsive_primary_is_at_capacity() {
-    let mut bench = Bench::new(settings());
-    while !forwarded_to(&bench.call(KEYED_WRITE)).is_empty() {}
+    let mut harness = Harness::new(settings());
+    while !forwarded_to(&harness.submit(KEYED_WRITE)).is_empty() {}
     for _ in 0..12 {
-        let position = Some(bench.now);
+        let position = Some(harness.now);
         let report = Some(LoadReport { position, primary: Some(true), ..LoadReport::default() });
         let mut actions =
-            bench.step(vec![Event::HealthChecked { server: PRIMARY, ok: true, load_report: report }]);
-        actions.extend(bench.pass(ms(100)));
+            harness.step(vec![Event::HealthChecked { server: PRIMARY, ok: true, load_report: report }]);
+        actions.extend(harness.advance(ms(100)));
         assert_eq!((rejection_count(&actions), failure_count(&actions)), (0, 0));
     }
 }
 
 #[test]
 fn a_write_queued_for_a_silent_primary_is_rejected_before_its_deadline() {
-    let mut bench = Bench::new(settings());
-    while !forwarded_to(&bench.call(KEYED_WRITE)).is_empty() {}
-    let actions: Vec<_> = (0..12).flat_map(|_| bench.pass(ms(100))).collect();
+    let mut harness = Harness::new(settings());
+    while !forwarded_to(&harness.submit(KEYED_WRITE)).is_empty() {}
+    let actions: Vec<_> = (0..12).flat_map(|_| harness.advance(ms(100))).collect();
     assert_eq!(
         forwarded_to(&actions),
         [2],
-        "it asks another member which server is the primary: {actions:?}"
+        "the write asks another member which server is the primary: {actions:?}"
     );
-    let inquiry = bench.sent.pop().expect("it was sent");
-    let mut actions = bench.end_attempt(inquiry, Outcome::ConnectFailed, None, ms(0));
-    actions.extend((0..3).flat_map(|_| bench.pass(ms(100))));
+    let inquiry = harness.in_flight.pop().expect("the inquiry is in flight");
+    let mut actions = harness.end_attempt(inquiry, Outcome::ConnectFailed, None, ms(0));
+    actions.extend((0..3).flat_map(|_| harness.advance(ms(100))));
     assert_eq!((rejection_count(&actions), failure_count(&actions)), (1, 0), "{actions:?}");
 }
--- a/core/tests/routing/retries.rs
+++ b/core/tests/routing/retries.rs
@@ -1,4 +1,4 @@
-//! Retries, timeouts and who is blamed for a failure.
+//! Tests of retries, of timeouts and of the attribution of failures.
 
 use pipittack_core::api::*;
 
@@ -6,26 +6,26 @@
 
 #[test]
 fn a_non_idempotent_write_fails_after_a_reset_and_is_not_retried() {
-    let mut bench = Bench::new(settings());
-    bench.report_all(ms(10));
-    bench.call(UNIQUE_WRITE);
-    let after = bench.end(Outcome::Reset, None, ms(0));
+    let mut harness = Harness::new(settings());
+    harness.report_all(ms(10));
+    harness.submit(UNIQUE_WRITE);
+    let after = harness.end_oldest(Outcome::Reset, None, ms(0));
     assert_eq!((forwarded_to(&after).len(), failure_count(&after), rejection_count(&after)), (0, 1, 0));
 }
 
 #[test]
 fn a_request_that_was_never_executed_is_rejected_and_not_failed() {
-    let mut bench = Bench::new(settings());
-    bench.report_all(ms(10));
-    bench.call(UNIQUE_WRITE);
-    bench.end(Outcome::Misdirected, Some(false), ms(0)); // it is retried elsewhere, or waits
+    let mut harness = Harness::new(settings());
+    harness.report_all(ms(10));
+    harness.submit(UNIQUE_WRITE);
+    harness.end_oldest(Outcome::Misdirected, Some(false), ms(0)); // the write is retried at another member or queued
     let mut actions = Vec::new();
     for _ in 0..250 {
-        bench.now += ms(10);
-        let attempt = bench.sent.pop();
+        harness.now += ms(10);
+        let attempt = harness.in_flight.pop();
         actions.extend(match attempt {
-            Some(attempt) => bench.end_attempt(attempt, Outcome::Misdirected, Some(false), ms(0)),
-            None => bench.step(Vec::new()),
+            Some(attempt) => harness.end_attempt(attempt, Outcome::Misdirected, Some(false), ms(0)),
+            None => harness.step(Vec::new()),
         });
     }
     assert_eq!((rejection_count(&actions), failure_count(&actions)), (1, 0));
@@ -33,105 +33,106 @@
 
 #[test]
 fn a_write_with_a_key_is_retried_within_the_key_window_and_fails_after_it() {
-    let mut bench = Bench::new(settings());
-    bench.report_all(ms(10));
-    bench.call(KEYED_WRITE);
-    bench.now += ms(600);
-    let again = bench.end(Outcome::ServerError, Some(true), ms(0));
+    let mut harness = Harness::new(settings());
+    harness.report_all(ms(10));
+    harness.submit(KEYED_WRITE);
+    harness.now += ms(600);
+    let again = harness.end_oldest(Outcome::ServerError, Some(true), ms(0));
     assert_eq!(forwarded_to(&again), [1]);
-    bench.now += ms(1000);
-    let late = bench.end(Outcome::ServerError, Some(true), ms(0));
+    harness.now += ms(1000);
+    let late = harness.end_oldest(Outcome::ServerError, Some(true), ms(0));
     assert_eq!((forwarded_to(&late).len(), failure_count(&late), rejection_count(&late)), (0, 1, 0));
 }
 
 #[test]
 fn without_a_primary_a_write_asks_the_members_in_id_order_and_then_waits() {
-    let mut bench = Bench::new(settings());
-    bench.call(KEYED_WRITE);
-    let mut asked = vec![bench.sent[0].server.0];
+    let mut harness = Harness::new(settings());
+    harness.submit(KEYED_WRITE);
+    let mut asked = vec![harness.in_flight[0].server.0];
     for _ in 0..3 {
-        bench.now += ms(30);
-        let next = bench.end(Outcome::Misdirected, Some(false), ms(0));
+        harness.now += ms(30);
+        let next = harness.end_oldest(Outcome::Misdirected, Some(false), ms(0));
         asked.extend(forwarded_to(&next));
-        if bench.sent.is_empty() {
+        if harness.in_flight.is_empty() {
             break;
         }
     }
-    assert_eq!(asked[0], 1, "the listed primary first");
-    let soon: Vec<u32> = forwarded_to(&bench.pass(ms(1)));
-    assert!(soon.is_empty(), "after a round of declined attempts it waits: {soon:?}");
+    assert_eq!(asked[0], 1, "the listed primary is asked first");
+    let soon: Vec<u32> = forwarded_to(&harness.advance(ms(1)));
+    assert!(soon.is_empty(), "the write waits after all members have declined it: {soon:?}");
 }
 
-/// If only quick responses counted, timeouts would shorten themselves.
+/// If only responses counted, the expected response time and with it the timeouts would shrink further and
+/// further.
 #[test]
 fn timeouts_raise_the_expected_response_time() {
-    let mut bench = Bench::new(settings());
-    bench.report_all(ms(10));
-    let first = first_timeout(&bench.call(EVENTUAL_READ)).expect("sent");
-    let end = bench.now + first;
-    while bench.now < end {
-        bench.pass(ms(50)); // its timers come due, so that it does not count as paused
+    let mut harness = Harness::new(settings());
+    harness.report_all(ms(10));
+    let first = first_timeout(&harness.submit(EVENTUAL_READ)).expect("sent");
+    let end = harness.now + first;
+    while harness.now < end {
+        harness.advance(ms(50)); // steps the engine, so that the process does not count as paused
     }
-    bench.end(Outcome::Timeout, None, ms(0));
-    bench.sent.clear();
-    let second = first_timeout(&bench.call(EVENTUAL_READ)).expect("sent");
+    harness.end_oldest(Outcome::Timeout, None, ms(0));
+    harness.in_flight.clear();
+    let second = first_timeout(&harness.submit(EVENTUAL_READ)).expect("sent");
     assert!(second > first, "{second:?} after {first:?}");
 }
 
-/// Servers complete work that clients gave up.
+/// A server completes the work of an attempt that was abandoned.
 #[test]
 fn an_abandoned_attempt_occupies_its_server_for_as_long_again() {
-    let mut bench = Bench::new(settings());
-    bench.report_all(ms(10));
+    let mut harness = Harness::new(settings());
+    harness.report_all(ms(10));
     let mut sent = 0;
-    while !forwarded_to(&bench.call(KEYED_WRITE)).is_empty() {
+    while !forwarded_to(&harness.submit(KEYED_WRITE)).is_empty() {
         sent += 1;
     }
     assert!((2..=64).contains(&sent));
-    bench.now += ms(200);
-    let attempt = bench.sent[0];
-    let after = bench.end_attempt(attempt, Outcome::Timeout, None, ms(0));
-    assert!(forwarded_to(&after).is_empty(), "the server is still occupied: {after:?}");
-    let attempt = bench.sent[1];
-    let after = bench.end_attempt(attempt, Outcome::Success, Some(true), ms(0));
+    harness.now += ms(200);
+    let attempt = harness.in_flight[0];
+    let after = harness.end_attempt(attempt, Outcome::Timeout, None, ms(0));
+    assert!(forwarded_to(&after).is_empty(), "the abandoned attempt still occupies the server: {after:?}");
+    let attempt = harness.in_flight[1];
+    let after = harness.end_attempt(attempt, Outcome::Success, Some(true), ms(0));
     assert_eq!(forwarded_to(&after), [1], "a response frees capacity at once");
 }
 
 #[test]
 fn errors_of_one_tenant_are_not_retried_and_count_against_no_server() {
     let tenants = vec![Tenant { quota_per_s: 1e6, share: 0.5 }; 2];
-    let mut bench = Bench::new(Settings { tenants, ..settings() });
-    bench.report_all(ms(10));
+    let mut harness = Harness::new(Settings { tenants, ..settings() });
+    harness.report_all(ms(10));
     let mut retries = 0;
     for round in 0..60 {
         let tenant = TenantId(round % 2);
-        let request = Request { tenant: Some(tenant), ..bench.request(EVENTUAL_READ) };
-        bench.step(vec![Event::Request(request)]);
-        bench.now += ms(10);
-        while let Some(attempt) = bench.sent.pop() {
+        let request = Request { tenant: Some(tenant), ..harness.new_request(EVENTUAL_READ) };
+        harness.step(vec![Event::Request(request)]);
+        harness.now += ms(10);
+        while let Some(attempt) = harness.in_flight.pop() {
             let outcome = if tenant == TenantId(0) { Outcome::ServerError } else { Outcome::Success };
-            let after = bench.end_attempt(attempt, outcome, Some(false), ms(10));
+            let after = harness.end_attempt(attempt, outcome, Some(false), ms(10));
             retries += usize::from(round > 30) * forwarded_to(&after).len();
         }
     }
-    assert_eq!(retries, 0, "attempts after an error that is the tenant's own");
+    assert_eq!(retries, 0, "expected no retry after an error that only one tenant gets");
 }
 
 #[test]
 fn a_process_pause_does_not_count_as_slowness_of_a_server() {
     let timeout_after = |is_paused: bool| {
-        let mut bench = Bench::new(settings());
-        bench.report_all(ms(10));
+        let mut harness = Harness::new(settings());
+        harness.report_all(ms(10));
         for _ in 0..5 {
-            bench.call(EVENTUAL_READ);
+            harness.submit(EVENTUAL_READ);
             for _ in 0..if is_paused { 0 } else { 12 } {
-                bench.pass(ms(100));
+                harness.advance(ms(100));
             }
-            bench.now += if is_paused { ms(1200) } else { ms(0) };
-            bench.end(Outcome::Success, Some(false), ms(10));
-            bench.sent.clear();
+            harness.now += if is_paused { ms(1200) } else { ms(0) };
+            harness.end_oldest(Outcome::Success, Some(false), ms(10));
+            harness.in_flight.clear();
         }
-        first_timeout(&bench.call(EVENTUAL_READ)).expect("sent")
+        first_timeout(&harness.submit(EVENTUAL_READ)).expect("sent")
     };
     let after_pauses = timeout_after(true);
     let after_slow = timeout_after(false);
--- a/core/tests/rules.rs
+++ b/core/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The service rules under random but possible events, among them late, lost, repeated and unknown ones.
+//! Property test of the service rules under random events, including late, lost, duplicate and unknown
+//! events.
 
 mod common;
 
@@ -9,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// Outcomes that an attempt may have.
+/// Outcomes that the test gives to attempts.
 const OUTCOMES: [Outcome; 7] = [
     Outcome::Success,
     Outcome::ServerError,
@@ -20,7 +21,7 @@
     Outcome::Misdirected,
 ];
 
-/// What an observer of the network knows of a request.
+/// State of a request, as seen on the network.
 #[derive(Default)]
 struct ObservedRequest {
     class: usize,
@@ -31,27 +32,27 @@
     deadline_ms: u64,
 }
 
-/// How often the end of an attempt is reported.
+/// Number of times that the end of an attempt is reported.
 #[derive(Clone, Copy)]
 enum Delivery {
     Once,
     Twice,
 }
 
-/// An engine and an observer that checks its actions.
+/// Engine with a checker of its actions.
 struct Observer {
-    bench: Bench,
+    harness: Harness,
     requests: BTreeMap<RequestId, ObservedRequest>,
     draining: BTreeSet<ServerId>,
 }
 
 impl Observer {
     fn new(settings: Settings) -> Self {
-        Self { bench: Bench::new(settings), requests: BTreeMap::new(), draining: BTreeSet::new() }
+        Self { harness: Harness::new(settings), requests: BTreeMap::new(), draining: BTreeSet::new() }
     }
 
     fn step(&mut self, events: Vec<Event>) {
-        let actions = self.bench.step(events);
+        let actions = self.harness.step(events);
         self.check(actions);
     }
 
@@ -67,17 +68,17 @@
     }
 
     fn request(&mut self, id: RequestId) -> &mut ObservedRequest {
-        self.requests.get_mut(&id).expect("a request that has arrived")
+        self.requests.get_mut(&id).expect("the engine acts only on requests that have arrived")
     }
 
     fn check_attempt(&mut self, id: RequestId, server: ServerId) {
         let is_draining = self.draining.contains(&server);
         let request = self.request(id);
-        assert_eq!(request.final_answers, 0, "an attempt after the final answer");
-        assert!(request.in_flight.is_empty(), "two attempts in flight");
-        assert!(!is_draining, "an attempt at a draining server");
+        assert_eq!(request.final_answers, 0, "no attempt may follow the final answer");
+        assert!(request.in_flight.is_empty(), "a request may have only one attempt in flight");
+        assert!(!is_draining, "no attempt may be sent to a draining server");
         let is_unique = request.class == UNIQUE_WRITE.0;
-        assert!(!is_unique || !request.may_have_executed, "a second execution of a unique write");
+        assert!(!is_unique || !request.may_have_executed, "a unique write must not be executed twice");
         request.in_flight.insert(request.attempt_count, server);
         request.attempt_count += 1;
     }
@@ -86,20 +87,20 @@
         let request = self.request(id);
         let is_write = request.class == UNIQUE_WRITE.0 || request.class == KEYED_WRITE.0;
         let was_not_executed = !request.may_have_executed && request.in_flight.is_empty();
-        assert!(!is_write || was_not_executed, "a rejection of a write that may be executed");
+        assert!(!is_write || was_not_executed, "a write that may have been executed must not be rejected");
         request.final_answers += 1;
     }
 
-    fn call(&mut self, class: usize) {
-        let request = self.bench.request(ClassId(class));
-        let deadline_ms = self.bench.now.as_millis() as u64 + 2000;
+    fn submit(&mut self, class: usize) {
+        let request = self.harness.new_request(ClassId(class));
+        let deadline_ms = self.harness.now.as_millis() as u64 + 2000;
         let observed = ObservedRequest { class, deadline_ms, ..ObservedRequest::default() };
         self.requests.insert(request.id, observed);
         self.step(vec![Event::Request(request)]);
     }
 
-    /// Ends the first attempt in flight of a request, which is chosen by `pick`.
-    fn end(&mut self, pick: usize, outcome: Outcome, delivery: Delivery) {
+    /// Ends the first attempt in flight of the request that `pick` selects.
+    fn end_attempt(&mut self, pick: usize, outcome: Outcome, delivery: Delivery) {
         let has_attempt = |(_, request): &(&RequestId, &ObservedRequest)| !request.in_flight.is_empty();
         let open: Vec<_> = self.requests.iter().filter(has_attempt).map(|(id, _)| *id).collect();
         let Some(id) = open.get(pick % open.len().max(1)).copied() else { return };
@@ -116,24 +117,24 @@
             Delivery::Twice => 2,
         };
         for _ in 0..count {
-            let actions = self.bench.end_attempt(attempt, outcome, is_primary, ms(5));
+            let actions = self.harness.end_attempt(attempt, outcome, is_primary, ms(5));
             self.check(actions);
         }
     }
 
-    /// The endpoint list changes the state of one server, which is chosen by `pick`.
+    /// Changes the state of the server that `pick` selects in the endpoint list.
     fn change_endpoint(&mut self, pick: u32, state: EndpointState) {
         let server = 1 + pick % 3;
         match state {
             EndpointState::Draining => self.draining.insert(ServerId(server)),
             _ => self.draining.remove(&ServerId(server)),
         };
-        let started_at = (pick > 127).then_some(self.bench.now);
+        let started_at = (pick > 127).then_some(self.harness.now);
         let entry = Endpoint { state, started_at, ..endpoint(server, server == 1) };
         self.step(vec![Event::Endpoints(EndpointUpdate::Changes(vec![entry]))]);
     }
 
-    /// Events that concern nothing the engine knows, or that may come at any time.
+    /// Sends events about unknown requests, timers and servers, and events that may arrive at any time.
     fn send_unrelated_events(&mut self, pick: u8) {
         let checked = Event::HealthChecked {
             server: ServerId(u32::from(pick)),
@@ -148,10 +149,10 @@
         ]);
     }
 
-    /// Lets time pass. Attempts time out at the deadlines of their requests.
-    fn pass(&mut self, time_ms: u64) {
-        let now_ms = self.bench.now.as_millis() as u64 + time_ms;
-        self.bench.now = ms(now_ms);
+    /// Advances the clock. Attempts time out at the deadlines of their requests.
+    fn advance(&mut self, time_ms: u64) {
+        let now_ms = self.harness.now.as_millis() as u64 + time_ms;
+        self.harness.now = ms(now_ms);
         self.step(Vec::new());
         let is_overdue = |(_, request): &(&RequestId, &ObservedRequest)| {
             request.deadline_ms <= now_ms && !request.in_flight.is_empty()
@@ -165,7 +166,7 @@
             let server = request.in_flight.remove(&number).expect("an attempt in flight");
             request.may_have_executed = true;
             let attempt = SentAttempt { request: id, number, server };
-            let actions = self.bench.end_attempt(attempt, Outcome::Timeout, None, ms(0));
+            let actions = self.harness.end_attempt(attempt, Outcome::Timeout, None, ms(0));
             self.check(actions);
         }
     }
@@ -174,8 +175,8 @@
         let index = usize::from(pick);
         let delivery = if pick.is_multiple_of(5) { Delivery::Twice } else { Delivery::Once };
         match kind {
-            0..=3 => self.call(index % 5),
-            4..=7 => self.end(index, OUTCOMES[index % OUTCOMES.len()], delivery),
+            0..=3 => self.submit(index % 5),
+            4..=7 => self.end_attempt(index, OUTCOMES[index % OUTCOMES.len()], delivery),
             8 => self.change_endpoint(u32::from(pick), EndpointState::Draining),
             9 => self.change_endpoint(u32::from(pick), EndpointState::Healthy),
             10 => self.send_unrelated_events(pick),
@@ -200,13 +201,13 @@
         let mut observer = Observer::new(settings);
         for (kind, pick, time_ms) in steps {
             observer.apply(kind, pick);
-            observer.pass(time_ms);
-            let now_ms = observer.bench.now.as_millis() as u64;
+            observer.advance(time_ms);
+            let now_ms = observer.harness.now.as_millis() as u64;
             for (id, request) in &observer.requests {
                 let answers = request.final_answers;
                 prop_assert!(answers <= 1, "{id:?} has {answers} final answers");
                 let is_open = request.deadline_ms > now_ms || !request.in_flight.is_empty();
-                prop_assert!(answers == 1 || is_open, "{id:?} is lost");
+                prop_assert!(answers == 1 || is_open, "{id:?} has neither an answer nor an attempt in flight after its deadline");
             }
         }
     }
--- a/core/tests/snapshot.rs
+++ b/core/tests/snapshot.rs
@@ -1,4 +1,5 @@
-//! Session tokens that the proxy tracks, and the state that passes between two processes of one proxy instance.
+//! Tests session tokens that the proxy tracks, and the state that is passed between two processes of one
+//! proxy instance.
 
 mod common;
 
@@ -10,126 +11,130 @@
 use pipittack_core::RoutingEngine;
 use rstest::rstest;
 
-/// Settings of a proxy that tracks session tokens. Health checks are not permitted.
+/// Returns the settings of a proxy that tracks session tokens. Health checks are not permitted.
 fn tracking() -> Settings {
     Settings { session_tokens: SessionTokens::Tracked, ..settings() }
 }
 
-/// Settings of a proxy that tracks session tokens and gets load reports with health checks.
+/// Returns the settings of a proxy that tracks session tokens and receives load reports with health checks.
 fn tracking_with_health_checks() -> Settings {
     let mut settings = Settings { load_reports: LoadReports::OnHealthCheck, ..tracking() };
     settings.limits.allow_health_checks = true;
     settings
 }
 
-/// An engine to which all members have reported their positions after its start, the replicas with this lag.
-fn reported(settings: Settings, lag: Duration) -> Bench {
-    let mut bench = Bench::new(settings);
-    bench.now += ms(1000);
-    bench.report_all(lag);
-    bench
+/// Returns an engine to which all members have reported their positions, the replicas with this lag.
+fn engine_with_positions(settings: Settings, lag: Duration) -> Harness {
+    let mut harness = Harness::new(settings);
+    harness.now += ms(1000);
+    harness.report_all(lag);
+    harness
 }
 
-/// A write of a session, which is served now.
-fn write(bench: &mut Bench, session: &str) {
-    let request = Request { session: Some(session.into()), ..bench.request(UNIQUE_WRITE) };
-    assert_eq!(forwarded_to(&bench.step(vec![Event::Request(request)])), [1]);
-    bench.end(Outcome::Success, Some(true), ms(0));
+/// Sends a write of a session, which the primary serves at once.
+fn write(harness: &mut Harness, session: &str) {
+    let request = Request { session: Some(session.into()), ..harness.new_request(UNIQUE_WRITE) };
+    assert_eq!(forwarded_to(&harness.step(vec![Event::Request(request)])), [1]);
+    harness.end_oldest(Outcome::Success, Some(true), ms(0));
 }
 
-/// Where a read of a session goes. Its response reports nothing.
-fn read(bench: &mut Bench, session: &str) -> u32 {
-    let request = Request { session: Some(session.into()), ..bench.request(SESSION_READ) };
-    let to = forwarded_to(&bench.step(vec![Event::Request(request)]));
-    bench.end(Outcome::Success, None, ms(0));
+/// Sends a read of a session and returns the server that it is forwarded to. The response reports no status.
+fn read(harness: &mut Harness, session: &str) -> u32 {
+    let request = Request { session: Some(session.into()), ..harness.new_request(SESSION_READ) };
+    let to = forwarded_to(&harness.step(vec![Event::Request(request)]));
+    harness.end_oldest(Outcome::Success, None, ms(0));
     to[0]
 }
 
-fn receive(bench: &mut Bench, message: PeerMessage) {
-    bench.step(vec![Event::PeerMessage(message)]);
+fn receive(harness: &mut Harness, message: PeerMessage) {
+    harness.step(vec![Event::PeerMessage(message)]);
 }
 
 #[test]
-fn a_new_server_gets_no_session_read_before_it_has_passed_the_session_floor() {
-    let mut bench = reported(tracking(), ms(20));
-    write(&mut bench, "s");
-    bench.now += ms(100);
-    bench.report_all(ms(20)); // all members have passed the write, and its token is dropped
-    bench.step(vec![Event::Endpoints(EndpointUpdate::Changes(vec![endpoint(9, false)]))]);
-    let to: Vec<_> = (0..12).map(|_| read(&mut bench, "s")).collect();
+fn a_new_server_gets_no_session_read_before_its_position_reaches_the_session_floor() {
+    let mut harness = engine_with_positions(tracking(), ms(20));
+    write(&mut harness, "s");
+    harness.now += ms(100);
+    harness.report_all(ms(20)); // all members have applied the write, so its token is evicted
+    harness.step(vec![Event::Endpoints(EndpointUpdate::Changes(vec![endpoint(9, false)]))]);
+    let to: Vec<_> = (0..12).map(|_| read(&mut harness, "s")).collect();
     assert!(!to.contains(&9) && to.iter().any(|to| *to != 1), "{to:?}");
 }
 
 #[test]
-fn a_server_that_was_out_of_service_gets_no_session_read_before_it_has_passed_the_session_floor() {
-    let mut bench = reported(tracking(), ms(20));
-    bench.step(vec![Event::TakenOutOfService(ServerId(3))]);
-    write(&mut bench, "s");
-    bench.now += ms(100);
-    bench.report_all(ms(20));
-    bench.step(vec![Event::ReturnedToService(ServerId(3))]);
-    let to: Vec<_> = (0..12).map(|_| read(&mut bench, "s")).collect();
+fn a_server_that_was_out_of_service_gets_no_session_read_before_its_position_reaches_the_session_floor() {
+    let mut harness = engine_with_positions(tracking(), ms(20));
+    harness.step(vec![Event::TakenOutOfService(ServerId(3))]);
+    write(&mut harness, "s");
+    harness.now += ms(100);
+    harness.report_all(ms(20));
+    harness.step(vec![Event::ReturnedToService(ServerId(3))]);
+    let to: Vec<_> = (0..12).map(|_| read(&mut harness, "s")).collect();
     assert!(!to.contains(&3) && to.contains(&2), "{to:?}");
 }
 
 #[test]
 fn any_session_may_have_written_before_the_process_started() {
-    let mut bench = Bench::new(tracking());
-    assert_eq!(read(&mut bench, "s"), 1, "no replica has reported that it passed the start");
-    bench.now += ms(500);
-    bench.report_all(ms(2000));
-    assert_eq!(read(&mut bench, "s"), 1);
-    bench.now += ms(500);
-    bench.report_all(ms(20));
-    assert_ne!(read(&mut bench, "s"), 1);
-}
-
-/// How a replica is asked for its position.
+    let mut harness = Harness::new(tracking());
+    assert_eq!(
+        read(&mut harness, "s"),
+        1,
+        "no replica has reported a position after the start of the process"
+    );
+    harness.now += ms(500);
+    harness.report_all(ms(2000));
+    assert_eq!(read(&mut harness, "s"), 1);
+    harness.now += ms(500);
+    harness.report_all(ms(20));
+    assert_ne!(read(&mut harness, "s"), 1);
+}
+
+/// Means by which a replica is asked for its position.
 #[derive(Clone, Copy, PartialEq)]
 enum PositionCheck {
     HealthCheck,
     DeclinedWrite,
 }
 
-/// A replica that has reported nothing serves no session read, so it is asked: by a health check where that returns a
-/// load report, else by a write that it declines.
+/// A replica that has reported no position serves no session read. The engine asks for the position with a
+/// health check if that returns a load report, otherwise with a write that the replica declines.
 #[rstest]
 #[case::by_a_health_check(PositionCheck::HealthCheck)]
 #[case::by_a_write(PositionCheck::DeclinedWrite)]
-fn a_replica_that_has_reported_nothing_is_asked_for_its_position(#[case] check: PositionCheck) {
+fn a_replica_without_a_reported_position_is_asked_for_it(#[case] check: PositionCheck) {
     let (settings, class) = match check {
         PositionCheck::HealthCheck => (tracking_with_health_checks(), SESSION_READ),
         PositionCheck::DeclinedWrite => (tracking(), UNIQUE_WRITE),
     };
-    let mut bench = Bench::new(settings);
+    let mut harness = Harness::new(settings);
     let mut asked = BTreeSet::new();
     for _ in 0..6 {
-        bench.now += ms(300);
-        let actions = bench.call(class);
+        harness.now += ms(300);
+        let actions = harness.submit(class);
         for action in &actions {
             match action {
                 Action::HealthCheck { server } => {
                     asked.insert(server.0);
                     let report = LoadReport {
-                        position: Some(bench.now),
+                        position: Some(harness.now),
                         primary: Some(false),
                         ..LoadReport::default()
                     };
                     let checked =
                         Event::HealthChecked { server: *server, ok: true, load_report: Some(report) };
-                    bench.step(vec![checked]);
+                    harness.step(vec![checked]);
                 }
                 Action::Forward { server, .. }
                     if *server != PRIMARY && check == PositionCheck::DeclinedWrite =>
                 {
                     asked.insert(server.0);
-                    bench.end(Outcome::Misdirected, Some(false), ms(0));
+                    harness.end_oldest(Outcome::Misdirected, Some(false), ms(0));
                 }
                 _ => {}
             }
         }
-        while !bench.sent.is_empty() {
-            bench.end(Outcome::Success, Some(true), ms(0));
+        while !harness.in_flight.is_empty() {
+            harness.end_oldest(Outcome::Success, Some(true), ms(0));
         }
     }
     assert_eq!(asked.into_iter().collect::<Vec<_>>(), [2, 3]);
@@ -137,74 +142,74 @@
 
 #[test]
 fn session_tokens_and_the_session_floor_pass_to_a_successor() {
-    let mut old = reported(tracking(), ms(20));
+    let mut old = engine_with_positions(tracking(), ms(20));
     write(&mut old, "dropped");
     old.now += ms(100);
     old.report_all(ms(20));
     write(&mut old, "stored");
-    // The zero of the successor's clock lies 40 s after the other one's.
+    // The zero of the successor's clock is 40 s after the zero of the predecessor's clock.
     let mut snapshot = old.engine.snapshot();
     snapshot.shift(-40.0);
-    let mut new = Bench::new(tracking());
+    let mut new = Harness::new(tracking());
     new.now = old.now - ms(40_000);
     new.engine = RoutingEngine::new(tracking(), 8).expect("valid");
     new.step(vec![
         Event::Endpoints(EndpointUpdate::Cached(endpoint_list())),
         Event::SnapshotReceived(Box::new(snapshot)),
     ]);
-    assert_ne!(read(&mut new, "dropped"), 1, "the positions pass as well");
+    assert_ne!(read(&mut new, "dropped"), 1, "the snapshot contains the positions of the servers");
     assert_eq!(read(&mut new, "stored"), 1);
     new.report_all(ms(20));
-    assert_ne!(read(&mut new, "stored"), 1, "the replicas have passed the write by now");
+    assert_ne!(read(&mut new, "stored"), 1, "the replicas have applied the write");
 }
 
 #[test]
 fn without_a_session_floor_in_the_snapshot_any_session_may_have_just_written() {
-    let mut new = reported(tracking(), ms(20));
+    let mut new = engine_with_positions(tracking(), ms(20));
     assert_ne!(read(&mut new, "s"), 1);
     new.step(vec![Event::SnapshotReceived(Box::default())]);
-    assert_eq!(read(&mut new, "s"), 1, "it may have just written");
+    assert_eq!(read(&mut new, "s"), 1, "the session may have just written");
     new.now += ms(100);
     new.report_all(ms(20));
     assert_ne!(read(&mut new, "s"), 1);
 }
 
 #[test]
-fn messages_of_the_peer_process_bind_this_one() {
-    let mut bench = reported(tracking(), ms(20));
-    let commit = bench.now.as_secs_f64();
-    receive(&mut bench, PeerMessage::SessionWrite { session: "s".into(), commit });
-    assert_eq!((read(&mut bench, "s"), read(&mut bench, "t") != 1), (1, true));
-    receive(&mut bench, PeerMessage::PeerUnreachable(true));
-    bench.now += ms(100);
-    bench.report_all(ms(20));
-    assert_eq!(read(&mut bench, "t"), 1, "any session may have just written");
-    receive(&mut bench, PeerMessage::PeerUnreachable(false));
-    assert_eq!(read(&mut bench, "t"), 1, "or while the peer was unreachable");
-    bench.now += ms(100);
-    bench.report_all(ms(20));
-    assert_ne!(read(&mut bench, "t"), 1);
-    receive(&mut bench, PeerMessage::ServerWithdrawn(ServerId(3)));
+fn messages_from_the_peer_process_are_applied() {
+    let mut harness = engine_with_positions(tracking(), ms(20));
+    let commit = harness.now.as_secs_f64();
+    receive(&mut harness, PeerMessage::SessionWrite { session: "s".into(), commit });
+    assert_eq!((read(&mut harness, "s"), read(&mut harness, "t") != 1), (1, true));
+    receive(&mut harness, PeerMessage::PeerUnreachable(true));
+    harness.now += ms(100);
+    harness.report_all(ms(20));
+    assert_eq!(read(&mut harness, "t"), 1, "any session may have just written");
+    receive(&mut harness, PeerMessage::PeerUnreachable(false));
+    assert_eq!(read(&mut harness, "t"), 1, "the session may have written while the peer was unreachable");
+    harness.now += ms(100);
+    harness.report_all(ms(20));
+    assert_ne!(read(&mut harness, "t"), 1);
+    receive(&mut harness, PeerMessage::ServerWithdrawn(ServerId(3)));
     for _ in 0..8 {
-        assert_ne!(read(&mut bench, "t"), 3, "the peer learned that it drains");
+        assert_ne!(read(&mut harness, "t"), 3, "the peer reported that the server drains");
     }
 }
 
 #[test]
-fn a_commit_counts_for_its_session_although_the_client_has_left() {
-    let mut bench = reported(tracking(), ms(20));
-    let request = Request { session: Some("s".into()), ..bench.request(UNIQUE_WRITE) };
+fn a_commit_raises_the_session_token_after_the_client_has_disconnected() {
+    let mut harness = engine_with_positions(tracking(), ms(20));
+    let request = Request { session: Some("s".into()), ..harness.new_request(UNIQUE_WRITE) };
     let id = request.id;
-    bench.step(vec![Event::Request(request)]);
-    bench.step(vec![Event::ClientGone(id)]);
-    bench.end(Outcome::Success, Some(true), ms(0));
-    assert_eq!(read(&mut bench, "s"), 1);
+    harness.step(vec![Event::Request(request)]);
+    harness.step(vec![Event::ClientGone(id)]);
+    harness.end_oldest(Outcome::Success, Some(true), ms(0));
+    assert_eq!(read(&mut harness, "s"), 1);
 }
 
 #[test]
-fn impossible_figures_of_a_snapshot_are_not_restored() {
-    let mut bench = reported(tracking(), ms(2000));
-    let mut snapshot = bench.engine.snapshot();
+fn invalid_numbers_in_a_snapshot_are_not_restored() {
+    let mut harness = engine_with_positions(tracking(), ms(2000));
+    let mut snapshot = harness.engine.snapshot();
     for server in &mut snapshot.servers {
         server.position = Some(f64::INFINITY);
         server.last_response = f64::NAN;
@@ -215,17 +220,22 @@
     }
     snapshot.session_floor = Some(f64::NAN);
     snapshot.session_tokens.push(("t".into(), f64::INFINITY));
-    bench.step(vec![Event::SnapshotReceived(Box::new(snapshot))]);
-    assert_eq!(read(&mut bench, "s"), 1);
+    harness.step(vec![Event::SnapshotReceived(Box::new(snapshot))]);
+    assert_eq!(read(&mut harness, "s"), 1);
 
-    bench.now += ms(500);
-    assert_eq!(forwarded_to(&bench.call(BOUNDED_READ)), [1], "no replica looks fresher than it reported");
+    harness.now += ms(500);
+    assert_eq!(
+        forwarded_to(&harness.submit(BOUNDED_READ)),
+        [1],
+        "the invalid position of the snapshot is ignored, so both replicas are too stale"
+    );
 }
 
-/// The successor's endpoint list may not say when the server started.
+/// Guards against a successor that sends a warming server full load, because its endpoint list need not
+/// contain the start time of the server.
 #[test]
 fn a_warming_server_still_warms_up_after_a_hot_restart() {
-    let mut old = reported(settings(), ms(20));
+    let mut old = engine_with_positions(settings(), ms(20));
     old.step(vec![Event::TakenOutOfService(ServerId(3))]);
     old.step(vec![Event::ReturnedToService(ServerId(3))]);
     let warming = |snapshot: &StateSnapshot| {
@@ -233,10 +243,10 @@
     };
     let snapshot = old.engine.snapshot();
     assert_eq!(warming(&snapshot), [false, false, true]);
-    let mut new = Bench::new(settings());
+    let mut new = Harness::new(settings());
     new.now = old.now;
     new.step(vec![Event::SnapshotReceived(Box::new(snapshot))]);
     assert_eq!(warming(&new.engine.snapshot()), [false, false, true]);
-    let sent = (0..200).flat_map(|_| forwarded_to(&new.call(EVENTUAL_READ))).filter(|to| *to == 3).count();
-    assert!(sent <= 1, "{sent} requests at once at a server that starts");
+    let sent = (0..200).flat_map(|_| forwarded_to(&new.submit(EVENTUAL_READ))).filter(|to| *to == 3).count();
+    assert!(sent <= 1, "{sent} requests sent at once to a server that warms up");
 }
--- a/core/tests/source_layout.rs
+++ b/core/tests/source_layout.rs
@@ -1,4 +1,4 @@
-//! The layout of the engine's sources: narrow enough to print, and documented from the crate's root.
+//! Checks the line width of the engine's sources and the documentation of the crate root.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 const CRATE_ROOT: &str = include_str!("../src/lib.rs");
 const CRATE_DOC_LINES: usize = 6;
 
-/// All Rust files below a folder.
+/// Returns all Rust files below a folder.
 fn rust_files(folder: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(folder).expect("the folder can be read");
     let paths = entries.map(|entry| entry.expect("the entry can be read").path());
@@ -20,11 +20,11 @@
 #[test]
 fn no_source_line_is_wider_than_110_characters() {
     let files = rust_files(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"));
-    assert!(files.len() > 20, "the sources are found");
+    assert!(files.len() > 20, "expected more than 20 source files");
     for file in files {
         let text = fs::read_to_string(&file).expect("the file can be read");
         for (index, line) in text.lines().enumerate() {
-            assert!(line.chars().count() <= MAX_LINE_WIDTH, "{}:{}", file.display(), index + 1);
+            assert!(line.chars().count() <= MAX_LINE_WIDTH, "{}:{} is too wide", file.display(), index + 1);
         }
     }
 }
