--- a/core/src/discovery_schedule/tests.rs
+++ b/core/src/discovery_schedule/tests.rs
@@ -6,9 +6,9 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// Calls a second that the service answers, one after another.
+/// Rate at which the service answers calls, one after another, in calls a second.
 const SERVICE_RATE: f64 = 15.0;
-/// A call that waits for longer fails.
+/// Time in the queue after which a call fails, in seconds.
 const CALL_TIMEOUT_SECS: f64 = 2.0;
 
 fn settings(instance_count: u32) -> Settings {
@@ -61,22 +61,22 @@
     }
 }
 
-/// What happened after the service came up.
+/// Results of the start of a fleet, from the time at which the service is up.
 struct FleetStart {
     calls: usize,
     failed_calls: usize,
-    /// When the last instance received an update, in seconds after the service came up.
+    /// Time of the last update that an instance received, in seconds after the service came up.
     last_update_secs: f64,
 }
 
-/// A call that is in progress.
+/// Call in progress.
 #[derive(Clone)]
 struct Call {
     ends_at: f64,
     succeeds: bool,
 }
 
-/// Starts all instances at once, while the service is down for `down_secs`.
+/// Starts all instances at once. The service is down for the first `down_secs` seconds.
 fn start_fleet(instance_count: u32, has_list: bool, down_secs: f64) -> FleetStart {
     let settings = settings(instance_count);
     let mut rng = Pcg64Mcg::seed_from_u64(u64::from(instance_count));
@@ -110,11 +110,12 @@
             }
         }
     }
-    assert!(schedules.iter().all(|schedule| schedule.is_subscribed), "an instance received no update");
+    assert!(schedules.iter().all(|schedule| schedule.is_subscribed), "every instance must receive an update");
     start
 }
 
-/// Without spreading, 200 instances made 705 calls, of which 633 failed, and most instances got no list.
+/// Guards against unspread calls: without a window, 200 instances made 705 calls, of which 633 failed, and
+/// most instances received no list.
 #[test]
 fn a_fleet_without_a_list_receives_it_as_fast_as_the_service_answers() {
     for (instance_count, down_secs) in [(1, 0.0), (8, 0.0), (200, 0.0), (1000, 0.0), (3000, 0.0), (200, 20.0)]
@@ -124,27 +125,30 @@
         let count = instance_count as usize;
         assert!(
             calls * 10 <= count * 12 && failed_calls * 100 <= count,
-            "{count}: {calls} calls, {failed_calls} failed"
+            "{count} instances: {calls} calls, {failed_calls} failed"
         );
         assert!(
             last_update_secs <= 1.3 * f64::from(instance_count) / SERVICE_RATE + 6.0,
-            "{count}: {last_update_secs} s"
+            "{count} instances: last update after {last_update_secs} s"
         );
     }
 }
 
-/// Instances that hold a list have to learn of changes in time, so more calls arrive than are answered.
+/// Instances with a list must receive changes in time, so at first they call faster than the service answers.
 #[test]
 fn a_fleet_with_a_list_recovers_from_its_own_overload() {
     for (instance_count, max_secs) in [(100, 10.0), (200, 40.0), (300, 100.0), (400, 150.0), (1000, 400.0)] {
         let FleetStart { calls, last_update_secs, .. } = start_fleet(instance_count, true, 0.0);
-        assert!(calls < 3 * instance_count as usize, "{instance_count}: {calls} calls");
-        assert!(last_update_secs <= max_secs, "{instance_count}: {last_update_secs} s");
+        assert!(calls < 3 * instance_count as usize, "{instance_count} instances: {calls} calls");
+        assert!(
+            last_update_secs <= max_secs,
+            "{instance_count} instances: last update after {last_update_secs} s"
+        );
     }
 }
 
-/// An instance counts as informed 6 s after discovery can be reached again. A call may fail just before, and
-/// the next one in the overload of its return.
+/// An instance must receive an update within 6 s after the discovery service returns. One call may fail just
+/// before the return, and the next call may fail because the service is overloaded after its return.
 #[test]
 fn two_calls_fit_into_the_notification_deadline() {
     for poll_interval_ms in [2_000, 10_000, 60_000] {
@@ -163,15 +167,15 @@
             wait_for_call(&mut schedule, &mut now);
             schedule.call_failed(now, &settings, || 1.0);
         }
-        // Discovery returns right after the last failure. The next call fails after a wait, and one more is
-        // made.
+        // The discovery service returns right after the last failure. The next call fails
+        // after 0.4 s, and the call after that must still be within the deadline.
         let first_secs = wait_for_call(&mut schedule, &mut now);
         schedule.call_failed(now + 0.4, &settings, || 1.0);
         now += 0.4;
         let second_secs = wait_for_call(&mut schedule, &mut now);
         assert!(
             first_secs + 0.4 + second_secs <= 5.5,
-            "{poll_interval_ms}: {first_secs} s and {second_secs} s"
+            "poll interval of {poll_interval_ms} ms: calls after {first_secs} s and {second_secs} s"
         );
     }
 }
--- a/core/src/primary_read_admission/tests.rs
+++ b/core/src/primary_read_admission/tests.rs
@@ -27,12 +27,12 @@
     PrimaryAttempt { class, elapsed_secs, outcome }
 }
 
-/// Which primaries reads are admitted to.
+/// Primaries that admit reads.
 #[derive(Debug, PartialEq)]
 struct Admitted {
-    /// The primary that the attempts were sent to.
+    /// Whether the primary that the attempts were sent to admits reads.
     to_observed: bool,
-    /// The primary of a set without any attempts.
+    /// Whether the primary of a replica set without attempts admits reads.
     to_other: bool,
 }
 
@@ -41,40 +41,53 @@
 const TO_NONE: Admitted = Admitted { to_observed: false, to_other: false };
 
 fn admitted_after(attempts: &[(f64, Outcome)]) -> Admitted {
-    let (classes, mut admission, mut set) = (classes(), PrimaryReadAdmission::default(), Ewma::default());
+    let (classes, mut admission, mut late_share) =
+        (classes(), PrimaryReadAdmission::default(), Ewma::default());
     for (elapsed_secs, outcome) in attempts {
-        admission.record(&mut set, 1.0, &attempt(&classes[WRITE], *elapsed_secs, *outcome), &CONFIG);
+        admission.record(&mut late_share, 1.0, &attempt(&classes[WRITE], *elapsed_secs, *outcome), &CONFIG);
     }
-    let admits = |set| admission.admits(set, 1.0, &classes[ClassId(READ).0], &classes, &CONFIG);
-    Admitted { to_observed: admits(&set), to_other: admits(&Ewma::default()) }
+    let admits = |late_share| admission.admits(late_share, 1.0, &classes[ClassId(READ).0], &classes, &CONFIG);
+    Admitted { to_observed: admits(&late_share), to_other: admits(&Ewma::default()) }
 }
 
 #[test]
-fn late_responses_of_one_primary_bar_reads_from_it_and_those_of_many_from_all() {
+fn late_responses_exclude_reads_from_their_primary_and_several_from_all_primaries() {
     const SUCCESS: Outcome = Outcome::Success;
     const TIMEOUT: Outcome = Outcome::Timeout;
-    assert_eq!(admitted_after(&[]), TO_BOTH, "no late response is known");
+    assert_eq!(admitted_after(&[]), TO_BOTH, "without attempts, reads are admitted");
     assert_eq!(admitted_after(&[(0.1, SUCCESS); 8]), TO_BOTH);
-    assert_eq!(admitted_after(&[(0.4, SUCCESS)]), TO_OTHER, "a single late response does not bar others");
+    assert_eq!(
+        admitted_after(&[(0.4, SUCCESS)]),
+        TO_OTHER,
+        "a single late response excludes no other primary"
+    );
     assert_eq!(admitted_after(&[(0.4, SUCCESS); 8]), TO_NONE);
-    assert_eq!(admitted_after(&[(0.4, TIMEOUT); 8]), TO_OTHER, "timeouts show nothing of other sets");
-    assert_eq!(admitted_after(&[(0.1, TIMEOUT); 8]), TO_BOTH, "early timeouts show nothing");
+    assert_eq!(
+        admitted_after(&[(0.4, TIMEOUT); 8]),
+        TO_OTHER,
+        "timeouts of one primary say nothing about other replica sets"
+    );
+    assert_eq!(admitted_after(&[(0.1, TIMEOUT); 8]), TO_BOTH, "early timeouts are ignored");
 }
 
 #[test]
-fn reads_are_admitted_again_after_late_responses_expire_and_always_with_the_weight_of_a_write() {
-    let (classes, mut admission, mut set) = (classes(), PrimaryReadAdmission::default(), Ewma::default());
+fn reads_are_admitted_after_late_responses_expire_and_if_their_weight_is_that_of_a_write() {
+    let (classes, mut admission, mut late_share) =
+        (classes(), PrimaryReadAdmission::default(), Ewma::default());
     for _ in 0..20 {
-        admission.record(&mut set, 1.0, &attempt(&classes[WRITE], 1.0, Outcome::Success), &CONFIG);
+        admission.record(&mut late_share, 1.0, &attempt(&classes[WRITE], 1.0, Outcome::Success), &CONFIG);
     }
-    assert!(!admission.admits(&set, 2.0, &classes[READ], &classes, &CONFIG));
-    assert!(admission.admits(&set, 60.0, &classes[READ], &classes, &CONFIG));
-    let weighty_read = Class { priority_weight: 4.0, ..classes[READ].clone() };
-    assert!(admission.admits(&set, 2.0, &weighty_read, &classes, &CONFIG));
-    assert!(admission.admits(&set, 2.0, &classes[READ], &classes[..1], &CONFIG), "there are no writes");
+    assert!(!admission.admits(&late_share, 2.0, &classes[READ], &classes, &CONFIG));
+    assert!(admission.admits(&late_share, 60.0, &classes[READ], &classes, &CONFIG));
+    let read_with_write_weight = Class { priority_weight: 4.0, ..classes[READ].clone() };
+    assert!(admission.admits(&late_share, 2.0, &read_with_write_weight, &classes, &CONFIG));
+    assert!(
+        admission.admits(&late_share, 2.0, &classes[READ], &classes[..1], &CONFIG),
+        "without a write class, reads are admitted"
+    );
 }
 
-/// An admission of a large fleet after these attempts, each at the primary of another set.
+/// Returns the admission of a large fleet after these attempts, each at the primary of another replica set.
 fn large_fleet_after(attempts: &[(f64, Outcome)]) -> PrimaryReadAdmission {
     let (classes, mut admission) = (classes(), PrimaryReadAdmission::of_large_fleet());
     for (elapsed_secs, outcome) in attempts {
@@ -89,17 +102,18 @@
     admission.admits(&Ewma::default(), 1.0, &classes[READ], &classes, &CONFIG)
 }
 
-/// Guards against the reads of all instances that start together, which overloaded the primaries.
+/// Guards against instances that start together and send all their reads to the primaries, which overloaded
+/// them.
 #[test]
 fn an_instance_of_a_large_fleet_sends_reads_to_primaries_once_one_has_responded_in_time() {
-    assert!(!admits_read(&large_fleet_after(&[])), "nothing is known of any primary");
+    assert!(!admits_read(&large_fleet_after(&[])), "before any response, no read is admitted");
     assert!(admits_read(&large_fleet_after(&[(0.1, Outcome::Success); 2])));
     assert!(!admits_read(&large_fleet_after(&[(0.4, Outcome::Success); 2])));
 }
 
-/// Guards against reads at primaries that are so overloaded that attempts there only time out.
+/// Guards against reads at primaries that are so overloaded that all attempts there time out.
 #[test]
-fn timeouts_at_the_primaries_of_many_sets_bar_reads_from_all() {
+fn timeouts_at_many_primaries_exclude_reads_from_all_primaries() {
     let mut attempts = vec![(0.1, Outcome::Success); 4];
     assert!(admits_read(&large_fleet_after(&attempts)));
     attempts.extend([(0.4, Outcome::Timeout); 4]);
--- a/core/src/request_cost/tests.rs
+++ b/core/src/request_cost/tests.rs
@@ -18,11 +18,14 @@
 }
 
 #[test]
-fn waiting_time_does_not_count_as_work() {
+fn a_short_queueing_time_does_not_count_as_work() {
     let mut costs = RequestCosts::new(&[class(250), class(4000)]);
-    assert!((costs.cost(1) - 16.0).abs() < 1e-9, "before any response the latency objectives count");
+    assert!(
+        (costs.cost(1) - 16.0).abs() < 1e-9,
+        "before any response, the costs follow from the latency objectives"
+    );
     let mut now = 10.0;
-    // Twenty responses a second, one of them of the heavy class.
+    // Records twenty responses a second, one of them of the heavy class.
     let mut respond = |costs: &mut RequestCosts, wait_secs: f64, duration_secs| {
         for n in 0..20 * duration_secs {
             let heavy = n % 20 == 0;
@@ -31,10 +34,17 @@
         }
     };
     respond(&mut costs, 0.0, 20);
-    let calm = costs.cost(1);
-    assert!((8.0..14.0).contains(&calm), "{calm}: 16 times the light class, 9 times the mean");
+    let idle_cost = costs.cost(1);
+    assert!(
+        (8.0..14.0).contains(&idle_cost),
+        "{idle_cost}: expected about 9, as 16 times the light class is 9 times the average"
+    );
     respond(&mut costs, 0.3, 20);
-    assert!(costs.cost(1) > 0.6 * calm, "{}: a queue does not make the heavy class cheap", costs.cost(1));
+    assert!(
+        costs.cost(1) > 0.6 * idle_cost,
+        "{}: a short queueing time must not reduce the cost much",
+        costs.cost(1)
+    );
     respond(&mut costs, 0.3, 1500);
-    assert!((1.5..4.0).contains(&costs.cost(1)), "{}: a lasting wait counts as work", costs.cost(1));
+    assert!((1.5..4.0).contains(&costs.cost(1)), "{}: a lasting queueing time counts as work", costs.cost(1));
 }
--- a/core/src/session_tokens/tests.rs
+++ b/core/src/session_tokens/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn dropped_tokens_raise_the_session_floor() {
+fn evicted_tokens_raise_the_session_floor() {
     let mut store = SessionTokenStore::default();
     store.start(10.0);
     assert_eq!(
@@ -21,16 +21,12 @@
         (12.0, 10.0)
     );
     store.forget_up_to(12.5);
-    assert_eq!(
-        store.required_position(Some("b"), 13.0),
-        12.0,
-        "the floor is the highest token that was dropped"
-    );
+    assert_eq!(store.required_position(Some("b"), 13.0), 12.0, "the floor is the highest evicted token");
     assert_eq!(store.bytes, 0);
 }
 
 #[test]
-fn while_a_peer_is_unreachable_every_session_may_have_written_just_now() {
+fn while_a_peer_is_unreachable_every_session_may_have_just_written() {
     let mut store = SessionTokenStore::default();
     store.start(10.0);
     store.record_write("a".into(), 11.0);
@@ -39,11 +35,15 @@
     store.set_peer_unreachable(false, 14.0);
     assert_eq!(store.required_position(Some("a"), 15.0), 14.0);
     store.set_peer_unreachable(false, 20.0);
-    assert_eq!(store.required_position(None, 21.0), 14.0, "the peer was reachable in between");
+    assert_eq!(
+        store.required_position(None, 21.0),
+        14.0,
+        "the peer was reachable, so the floor does not rise"
+    );
 }
 
 #[test]
-fn a_floor_in_the_future_requires_the_present_position() {
+fn a_floor_in_the_future_requires_all_writes_up_to_now() {
     let mut store = SessionTokenStore::default();
     store.start(10.0);
     store.record_write("a".into(), 11.0);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_size_of_the_tokens_is_bounded_and_the_oldest_are_dropped() {
+fn the_size_of_the_tokens_is_bounded_and_the_oldest_are_evicted() {
     let mut store = SessionTokenStore::default();
     let count = MAX_BYTES / (TOKEN_BYTES + 8) + 100;
     for number in 0..count {
--- a/core/tests/failover.rs
+++ b/core/tests/failover.rs
@@ -84,7 +84,8 @@
     for _ in 0..4 {
         harness.submit(UNIQUE_WRITE);
     }
-    harness.in_flight.retain(|attempt| attempt.server == ServerId(1)); // drops the inquiry to a replica; a read reports the role below
+    // Drops the inquiry to a replica; the response to a read reports the replica's role below.
+    harness.in_flight.retain(|attempt| attempt.server == ServerId(1));
     harness.submit(EVENTUAL_READ);
     let after = match harness.in_flight.last() {
         Some(SentAttempt { server: ServerId(server), .. }) if *server != 1 => {
--- a/core/tests/graceful_shutdown.rs
+++ b/core/tests/graceful_shutdown.rs
@@ -1,6 +1,6 @@
-//! Simulates the graceful shutdown of a process with clients that act at every moment of it: each request
-//! that reached the process is answered, and a client whose request was in flight when its connection closed
-//! finds the listener open.
+//! Simulates the graceful shutdown of a process with clients that act before, at and after all its
+//! transitions. Each request that reaches the process must be answered, and a client whose request was in
+//! flight when its connection closed must find the listener open.
 
 use std::time::Duration;
 
@@ -8,31 +8,31 @@
     GracefulShutdown, IdleState, ShutdownPhase, FIRST_REQUEST_TIMEOUT, NOTICE_PERIOD, RECONNECT_GRACE_PERIOD,
 };
 
-/// The longest request deadline of a class.
+/// Longest request deadline of all classes.
 const LONGEST_DEADLINE: Duration = Duration::from_millis(3000);
-/// When the shutdown starts, in milliseconds.
+/// Start of the shutdown, in milliseconds.
 const SHUTDOWN_MS: u64 = 1000;
-/// When idle connections begin to be closed: half way to the deadline.
+/// Start of the draining phase, half way to the deadline, in milliseconds.
 const DRAINING_MS: u64 = SHUTDOWN_MS + 1800;
-/// When the platform kills the process.
+/// Time at which the platform kills the process, in milliseconds.
 const KILL_MS: u64 = SHUTDOWN_MS + 3700;
-/// A client that sends its first request up to this time finds the listener open.
-const LAST_RETURN_MS: u64 = DRAINING_MS + 250;
+/// Time until which a client that sends its first request finds the listener open, in milliseconds.
+const LAST_RECONNECT_MS: u64 = DRAINING_MS + 250;
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// One client; times are in milliseconds.
+/// Client of the process. Times are in milliseconds.
 #[derive(Debug, Clone, Copy)]
 struct Client {
     connects_at: u64,
-    /// When the first part of its request arrives.
+    /// Arrival time of the first byte of the request.
     request_begins_at: u64,
-    /// When the last byte of its request arrives.
+    /// Arrival time of the last byte of the request.
     request_ends_at: u64,
     response_time: u64,
-    /// Whether a second request follows right behind the first.
+    /// Whether a second request follows immediately after the first.
     is_pipelined: bool,
 }
 
@@ -42,13 +42,13 @@
     }
 }
 
-/// What one client has seen.
+/// Result of one client.
 #[derive(Debug, Default, PartialEq)]
 struct ClientResult {
     responses: u32,
-    /// Its connection was closed while its request was in flight: it returns on a new one.
+    /// Whether the connection was closed while the request was in flight, so that the client reconnects.
     was_in_flight: bool,
-    /// The listener was closed when it connected.
+    /// Whether the listener was closed when the client connected.
     was_refused: bool,
 }
 
@@ -56,18 +56,18 @@
     client: Client,
     client_index: usize,
     accepted_at: u64,
-    /// When the response to the request in progress is due.
+    /// Time at which the response to the request in progress is due. `None` if no request is in progress.
     response_due_at: Option<u64>,
     requests_read: u32,
 }
 
 impl Connection {
-    /// Whether a complete request has arrived that was not read yet.
+    /// Returns whether a complete request has arrived that was not read yet.
     fn has_unread_request(&self, now: u64) -> bool {
         self.requests_read < self.client.request_count() && self.client.request_ends_at <= now
     }
 
-    /// Reads a request that has arrived, however late, and writes a response that is due.
+    /// Reads a request that has arrived, also during the shutdown, and counts a response that is due.
     fn serve(&mut self, now: u64, shutdown: Option<&GracefulShutdown>, result: &mut ClientResult) {
         if self.response_due_at.is_none() && self.has_unread_request(now) {
             self.requests_read += 1;
@@ -100,19 +100,19 @@
     }
 }
 
-/// A client that will connect, and its index.
-type ExpectedClient = (Client, usize);
+/// Client that has not connected yet, and its index.
+type PendingClient = (Client, usize);
 
-/// A process and its clients.
+/// Simulated process and its clients.
 struct Simulation {
     results: Vec<ClientResult>,
-    expected: Vec<ExpectedClient>,
+    pending_clients: Vec<PendingClient>,
     connections: Vec<Connection>,
     shutdown: Option<GracefulShutdown>,
     is_listener_closed: bool,
 }
 
-/// The results of all clients and when the process ended, in milliseconds.
+/// Results of all clients, and the end time of the process in milliseconds.
 struct SimulationResult {
     clients: Vec<ClientResult>,
     ended_at: u64,
@@ -122,7 +122,7 @@
     fn new(clients: &[Client]) -> Self {
         Self {
             results: clients.iter().map(|_| ClientResult::default()).collect(),
-            expected: clients.iter().copied().zip(0..).collect(),
+            pending_clients: clients.iter().copied().zip(0..).collect(),
             connections: Vec::new(),
             shutdown: None,
             is_listener_closed: false,
@@ -130,11 +130,11 @@
     }
 
     fn accept_clients(&mut self, now: u64) {
-        let expected = std::mem::take(&mut self.expected);
-        let (arrived, later): (Vec<_>, Vec<_>) =
-            expected.into_iter().partition(|(client, _)| client.connects_at <= now);
-        self.expected = later;
-        for (client, client_index) in arrived {
+        let pending_clients = std::mem::take(&mut self.pending_clients);
+        let (connecting, later): (Vec<_>, Vec<_>) =
+            pending_clients.into_iter().partition(|(client, _)| client.connects_at <= now);
+        self.pending_clients = later;
+        for (client, client_index) in connecting {
             if self.is_listener_closed {
                 self.results[client_index].was_refused = true;
                 continue;
@@ -151,7 +151,7 @@
     }
 
     fn serve_connections(&mut self, now: u64) {
-        let mut returning = Vec::new();
+        let mut reconnecting = Vec::new();
         let Self { connections, shutdown, results, .. } = self;
         connections.retain_mut(|connection| {
             let result = &mut results[connection.client_index];
@@ -162,20 +162,20 @@
                 shutdown.connection_closed(ms(now));
                 if connection.requests_read == 0 && connection.client.request_ends_at < u64::MAX {
                     result.was_in_flight = true;
-                    returning.push((connection.client, connection.client_index));
+                    reconnecting.push((connection.client, connection.client_index));
                 }
             }
             stays_open
         });
         // A request that was in flight is repeated on a new connection a millisecond later.
-        for (client, client_index) in returning {
+        for (client, client_index) in reconnecting {
             let at = client.request_ends_at.max(now + 1);
             let client = Client { connects_at: at, request_begins_at: at, request_ends_at: at, ..client };
-            self.expected.push((client, client_index));
+            self.pending_clients.push((client, client_index));
         }
     }
 
-    /// Closes the listener in its phase. Returns whether the shutdown is complete.
+    /// Closes the listener in the phase `ListenerClosing`. Returns whether the shutdown is complete.
     fn advance_shutdown(&mut self, now: u64) -> bool {
         let Some(shutdown) = self.shutdown.as_mut() else { return false };
         let now = ms(now);
@@ -204,19 +204,19 @@
             return SimulationResult { clients: simulation.results, ended_at: now };
         }
     }
-    panic!("the process never ended: {clients:?}");
+    panic!("the process did not end: {clients:?}");
 }
 
-/// Moments around those at which the phases change.
-fn moments() -> Vec<u64> {
+/// Returns times around the transitions between the phases.
+fn times_around_transitions() -> Vec<u64> {
     let notice = SHUTDOWN_MS + NOTICE_PERIOD.as_millis() as u64;
-    let return_grace = RECONNECT_GRACE_PERIOD.as_millis() as u64;
+    let reconnect_grace = RECONNECT_GRACE_PERIOD.as_millis() as u64;
     let first_request_timeout = FIRST_REQUEST_TIMEOUT.as_millis() as u64;
     let transitions = [
         SHUTDOWN_MS,
-        notice + return_grace,
+        notice + reconnect_grace,
         DRAINING_MS,
-        DRAINING_MS + return_grace,
+        DRAINING_MS + reconnect_grace,
         DRAINING_MS + first_request_timeout,
     ];
     let mut all: Vec<_> = transitions.iter().flat_map(|at| [at - 1, *at, at + 1, at + 60]).collect();
@@ -224,11 +224,11 @@
     all
 }
 
-/// Clients that send their requests at all moments.
-fn clients_at_all_moments() -> Vec<Client> {
+/// Returns clients that send their requests at all of these times.
+fn clients_at_all_times() -> Vec<Client> {
     let mut clients = Vec::new();
     for connects_at in [0, SHUTDOWN_MS - 1, SHUTDOWN_MS + 1, SHUTDOWN_MS + 300] {
-        for request_begins_at in moments().into_iter().filter(|at| *at >= connects_at) {
+        for request_begins_at in times_around_transitions().into_iter().filter(|at| *at >= connects_at) {
             for transfer_time in [0, 1, 200] {
                 for response_time in [1, 80, 2900] {
                     for is_pipelined in [false, true] {
@@ -252,9 +252,9 @@
     let context = format!("{clients:?} {results:?}, ended at {ended_at}");
     assert!(ended_at <= KILL_MS - 100, "{context}");
     for (client, result) in clients.iter().zip(&results) {
-        // A client that returns is accepted. One that sends its first request long after its connection was
-        // closed may be refused.
-        let must_be_accepted = client.request_ends_at <= LAST_RETURN_MS;
+        // A client that reconnects must be accepted. A client that sends its first request long after its
+        // connection was closed may be refused.
+        let must_be_accepted = client.request_ends_at <= LAST_RECONNECT_MS;
         assert!(!(result.was_refused && must_be_accepted), "{context}");
         assert!(
             result.was_refused
@@ -268,7 +268,7 @@
 #[test]
 fn every_request_that_arrives_is_answered_whenever_it_arrives() {
     let mut simulated = 0;
-    for client in clients_at_all_moments() {
+    for client in clients_at_all_times() {
         let busy_client = Client {
             response_time: 1200,
             request_ends_at: SHUTDOWN_MS,
@@ -283,12 +283,12 @@
 }
 
 #[test]
-fn a_process_without_clients_ends_after_the_return_grace_period() {
+fn a_process_without_clients_ends_after_the_reconnect_grace_period() {
     let ended_at = simulate(&[], false).ended_at;
     assert_eq!(ms(ended_at), ms(SHUTDOWN_MS) + NOTICE_PERIOD + RECONNECT_GRACE_PERIOD);
 }
 
-/// A new connection has time for its first request, and does not delay the shutdown beyond that.
+/// A new connection gets time for its first request, but must not delay the shutdown any longer.
 #[test]
 fn a_connection_without_a_request_is_closed_after_the_first_request_timeout() {
     let silent = Client {
@@ -308,7 +308,7 @@
     );
 }
 
-/// A sticky session has no other proxy instance until the load balancer has noticed the shutdown.
+/// A sticky session can't reach another proxy instance until the load balancer has noticed the shutdown.
 #[test]
 fn an_open_connection_is_served_until_the_draining_phase() {
     for at in (SHUTDOWN_MS..DRAINING_MS - 100).step_by(100) {
@@ -324,7 +324,8 @@
     }
 }
 
-/// A successor owns the listener's queue, and takes over connections once they are idle.
+/// The successor has taken over the listener's queue, so clients of idle connections can reconnect to it at
+/// once.
 #[test]
 fn with_a_successor_idle_connections_are_closed_at_once() {
     let request_at = |at, response_time| Client {
@@ -350,9 +351,10 @@
     assert_eq!(shutdown.phase(ms(KILL_MS - 100)), ShutdownPhase::Complete);
 }
 
-/// The signal may have arrived while the process was paused, so the platform may kill it earlier.
+/// The signal may have been pending while the process was paused, so the platform may kill the process
+/// earlier.
 #[test]
-fn a_process_pause_before_the_shutdown_shortens_it() {
+fn a_process_pause_before_the_shutdown_shortens_the_time_to_the_draining_phase() {
     let idle_deadline = |paused| {
         GracefulShutdown::new(ms(SHUTDOWN_MS), LONGEST_DEADLINE, 1, ms(paused))
             .idle_deadline(IdleState::BetweenRequests, ms(0))
@@ -364,6 +366,6 @@
     assert_eq!(
         shutdown.phase(ms(SHUTDOWN_MS)),
         ShutdownPhase::Draining,
-        "requests in flight are still answered"
+        "the process must not end before requests in flight are answered"
     );
 }
--- a/core/tests/routing/retries.rs
+++ b/core/tests/routing/retries.rs
@@ -18,7 +18,8 @@
     let mut harness = Harness::new(settings());
     harness.report_all(ms(10));
     harness.submit(UNIQUE_WRITE);
-    harness.end_oldest(Outcome::Misdirected, Some(false), ms(0)); // the write is retried at another member or queued
+    // The write is retried at another member, or queued.
+    harness.end_oldest(Outcome::Misdirected, Some(false), ms(0));
     let mut actions = Vec::new();
     for _ in 0..250 {
         harness.now += ms(10);
--- a/core/tests/rules.rs
+++ b/core/tests/rules.rs
@@ -207,7 +207,7 @@
                 let answers = request.final_answers;
                 prop_assert!(answers <= 1, "{id:?} has {answers} final answers");
                 let is_open = request.deadline_ms > now_ms || !request.in_flight.is_empty();
-                prop_assert!(answers == 1 || is_open, "{id:?} has neither an answer nor an attempt in flight after its deadline");
+                prop_assert!(answers == 1 || is_open, "{id:?} has no final answer after its deadline");
             }
         }
     }
