--- a/core/tests/action_hash/hash.rs
+++ b/core/tests/action_hash/hash.rs
@@ -1,4 +1,4 @@
-//! FNV-1a (64 bits) over the explicit fields of actions and snapshots: neither type names nor log texts count.
+//! FNV-1a hash (64 bits) of the fields of actions and snapshots. Type names and log texts are not hashed.
 
 use std::time::Duration;
 
@@ -9,29 +9,29 @@
 const FNV_OFFSET: u64 = 0xCBF2_9CE4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01B3;
 
-const TAG_SEND: u8 = 1;
+const TAG_FORWARD: u8 = 1;
 const TAG_REJECT: u8 = 2;
 const TAG_FAIL: u8 = 3;
 const TAG_CANCEL: u8 = 4;
 const TAG_HEALTH_CHECK: u8 = 5;
 const TAG_WATCH: u8 = 6;
-const TAG_FETCH: u8 = 7;
+const TAG_POLL: u8 = 7;
 const TAG_CLOSE: u8 = 8;
 const TAG_GOSSIP: u8 = 9;
 const TAG_TIMER: u8 = 10;
 const TAG_LOG: u8 = 11;
 
-/// The running hash.
+/// Hash of the bytes that were added so far.
 #[derive(Debug, Clone)]
 pub struct Hash(u64);
 
 impl Hash {
-    /// The hash of no bytes.
+    /// Creates the hash of no bytes.
     pub fn new() -> Self {
         Self(FNV_OFFSET)
     }
 
-    /// The value so far.
+    /// Returns the hash.
     pub fn value(&self) -> u64 {
         self.0
     }
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Adds what one step answered, and when.
+    /// Adds the actions of one step, and its time.
     pub fn step(&mut self, now: Duration, actions: &[Action]) {
         self.duration(now);
         self.number(actions.len() as u64);
@@ -74,7 +74,7 @@
     fn action(&mut self, action: &Action) {
         match action {
             Action::Forward { request, server, timeout } => {
-                self.byte(TAG_SEND);
+                self.byte(TAG_FORWARD);
                 self.number(request.0);
                 self.number(u64::from(server.0));
                 self.duration(*timeout);
@@ -121,13 +121,13 @@
                 self.byte(TAG_WATCH);
                 self.byte(u8::from(*on));
             }
-            Action::Poll => self.byte(TAG_FETCH),
+            Action::Poll => self.byte(TAG_POLL),
             Action::Log(_) => self.byte(TAG_LOG),
-            long => unreachable!("hashed in full before: {long:?}"),
+            unexpected => unreachable!("`action` hashes this variant: {unexpected:?}"),
         }
     }
 
-    /// Adds all figures of a snapshot.
+    /// Adds all fields of a snapshot.
     pub fn snapshot(&mut self, snapshot: &StateSnapshot) {
         self.option(snapshot.session_floor, Self::float);
         self.number(snapshot.session_tokens.len() as u64);
--- a/core/tests/action_hash/settings.rs
+++ b/core/tests/action_hash/settings.rs
@@ -1,4 +1,4 @@
-//! The cases: fleets, classes of requests and what each site permits.
+//! Cases of the test: fleets, classes of requests and permitted features.
 
 use std::time::Duration;
 
@@ -7,94 +7,94 @@
     ServiceRules, SessionTokens, Settings, StaleReadPolicy, Tenant, ZoneId,
 };
 
-/// How many classes the table has.
+/// Number of classes in the table of [`class`].
 pub const CLASS_COUNT: usize = 12;
-/// Zones over which the servers are spread.
+/// Number of zones over which the servers are spread.
 pub const ZONES: usize = 3;
 
-/// Which of the optional means a site permits.
+/// Optional features that the settings permit.
 #[derive(Debug, Clone, Copy)]
 pub struct Permitted {
-    pub probes: bool,
-    pub tell: bool,
+    pub health_checks: bool,
+    pub gossip: bool,
     pub cancel: bool,
-    pub second_copies: bool,
+    pub hedging: bool,
     pub retry_after: bool,
 }
 
-/// Everything is permitted.
+/// Permits all features.
 pub const ALL: Permitted =
-    Permitted { probes: true, tell: true, cancel: true, second_copies: true, retry_after: true };
-/// Nothing is permitted.
+    Permitted { health_checks: true, gossip: true, cancel: true, hedging: true, retry_after: true };
+/// Permits no feature.
 pub const NONE: Permitted =
-    Permitted { probes: false, tell: false, cancel: false, second_copies: false, retry_after: false };
+    Permitted { health_checks: false, gossip: false, cancel: false, hedging: false, retry_after: false };
 
-/// One case: a seed, a fleet, its load and its settings.
+/// Case with its seed, its fleet, its load and its settings.
 #[derive(Debug, Clone, Copy)]
 pub struct Case {
     pub name: &'static str,
     pub seed: u64,
-    pub gateways: u32,
+    pub instance_count: u32,
     pub groups: u64,
     pub servers_per_group: u32,
-    /// The classes are this many of the table, from `first_class` on.
+    /// Number of classes, taken from the table starting at `first_class`.
     pub classes: usize,
     pub first_class: usize,
     pub tenants: usize,
     pub requests_per_s: u64,
-    pub simulated_s: u64,
-    /// Service time of a request on a server of rating 1.
+    pub duration_s: u64,
+    /// Nominal service time of a request on a server with a relative capacity of 1, in milliseconds.
     pub service_ms: u64,
-    pub checks: StaleReadPolicy,
-    pub session_marks: SessionTokens,
-    pub reports: LoadReports,
+    pub stale_read_policy: StaleReadPolicy,
+    pub session_tokens: SessionTokens,
+    pub load_reports: LoadReports,
     pub discovery: DiscoveryMode,
-    pub positions: bool,
-    pub role_column: ListedRole,
+    pub responses_carry_position: bool,
+    pub listed_role: ListedRole,
     pub permitted: Permitted,
 }
 
-/// What the cases start from.
+/// Defaults of the cases.
 pub const BASE: Case = Case {
     name: "base",
     seed: 1,
-    gateways: 1,
+    instance_count: 1,
     groups: 2,
     servers_per_group: 3,
     classes: CLASS_COUNT,
     first_class: 0,
     tenants: 0,
     requests_per_s: 80,
-    simulated_s: 20,
+    duration_s: 20,
     service_ms: 25,
-    checks: StaleReadPolicy::AnswerStale,
-    session_marks: SessionTokens::FromClient,
-    reports: LoadReports::Piggyback,
+    stale_read_policy: StaleReadPolicy::AnswerStale,
+    session_tokens: SessionTokens::FromClient,
+    load_reports: LoadReports::Piggyback,
     discovery: DiscoveryMode::Push,
-    positions: true,
-    role_column: ListedRole::Delayed,
+    responses_carry_position: true,
+    listed_role: ListedRole::Delayed,
     permitted: ALL,
 };
 
 impl Case {
-    /// The settings with which the case begins.
+    /// Returns the settings at the start of the case.
     pub fn settings(&self) -> Settings {
         Settings {
             instance_index: 0,
-            instance_count: self.gateways,
+            instance_count: self.instance_count,
             zone: ZoneId(0),
             min_step_interval: Duration::from_millis(5),
             classes: (0..self.classes).map(|index| class(self.first_class + index)).collect(),
             tenants: (0..self.tenants).map(tenant).collect(),
             over_quota_weight: 0.3,
-            stale_read_policy: self.checks,
-            responses_carry_position: self.positions,
-            session_tokens: self.session_marks,
-            listed_role: self.role_column,
-            load_reports: self.reports,
+            stale_read_policy: self.stale_read_policy,
+            responses_carry_position: self.responses_carry_position,
+            session_tokens: self.session_tokens,
+            listed_role: self.listed_role,
+            load_reports: self.load_reports,
             discovery: self.discovery,
             limits: self.limits(),
-            rules: self.contract(),
+            rules: self.service_rules(),
             prices: Prices {
                 cross_zone: 0.02,
                 health_check: 0.01,
@@ -110,9 +110,9 @@
         Limits {
             max_attempts: 3 + (self.seed % 4) as u32,
             allow_cancel: self.permitted.cancel,
-            allow_gossip: self.permitted.tell,
-            allow_health_checks: self.permitted.probes,
-            allow_hedging: self.permitted.second_copies,
+            allow_gossip: self.permitted.gossip,
+            allow_health_checks: self.permitted.health_checks,
+            allow_hedging: self.permitted.hedging,
             send_retry_after: self.permitted.retry_after,
             max_retry_after: Duration::from_millis(1000),
             connect_timeout: Duration::from_millis(250),
@@ -120,7 +120,7 @@
         }
     }
 
-    fn contract(&self) -> ServiceRules {
+    fn service_rules(&self) -> ServiceRules {
         ServiceRules {
             answer_grace_period: Duration::from_millis(20),
             poll_interval: Duration::from_secs(10),
@@ -134,16 +134,16 @@
     }
 }
 
-/// A tenant; each next one has a larger quota.
+/// Returns the tenant with this index. The quota increases with the index.
 pub fn tenant(index: usize) -> Tenant {
     Tenant { quota_per_s: 20.0 * (index + 1) as f64, share: 1.0 / (index + 1) as f64 }
 }
 
-/// A class of the table, which repeats after [`CLASS_COUNT`].
+/// Returns the class with this index. The classes repeat after [`CLASS_COUNT`].
 pub fn class(index: usize) -> Class {
     let ms = Duration::from_millis;
     let keyed = |scope| Idempotency::WithKey { scope, window: ms(1500) };
-    let (need, effect) = match index % CLASS_COUNT {
+    let (required_consistency, class_idempotency) = match index % CLASS_COUNT {
         0 => (Consistency::BoundedStaleness(ms(1000)), Idempotency::Idempotent),
         1 => (Consistency::Write, keyed(KeyScope::Group)),
         2 => (Consistency::Causal, Idempotency::Idempotent),
@@ -164,8 +164,8 @@
         latency_objective_stretch: [0.0, 1.0][index % 2],
         deadline: ms(1000 + 250 * index as u64),
         late_weight: [0.0, 0.5][index % 2],
-        idempotency: effect,
-        consistency: need,
+        idempotency: class_idempotency,
+        consistency: required_consistency,
         streaming: index == 8,
     }
 }
