--- a/core/src/primary_read_admission.rs
+++ b/core/src/primary_read_admission.rs
@@ -48,7 +48,7 @@
 impl PrimaryReadAdmission {
     /// Creates the admission of one instance of a large fleet, with [`LARGE_FLEET_PRIOR_LATE_SHARE`] as
     /// prior.
-    pub fn of_large_fleet() -> Self {
+    pub fn for_large_fleet() -> Self {
         Self { prior_late_share: LARGE_FLEET_PRIOR_LATE_SHARE, ..Self::default() }
     }
 
--- a/core/src/primary_read_admission/tests.rs
+++ b/core/src/primary_read_admission/tests.rs
@@ -89,7 +89,7 @@
 
 /// Returns the admission of a large fleet after these attempts, each at the primary of another replica set.
 fn large_fleet_after(attempts: &[(f64, Outcome)]) -> PrimaryReadAdmission {
-    let (classes, mut admission) = (classes(), PrimaryReadAdmission::of_large_fleet());
+    let (classes, mut admission) = (classes(), PrimaryReadAdmission::for_large_fleet());
     for (elapsed_secs, outcome) in attempts {
         let attempt = attempt(&classes[WRITE], *elapsed_secs, *outcome);
         admission.record(&mut Ewma::default(), 1.0, &attempt, &CONFIG);
--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -93,7 +93,7 @@
 
 fn primary_read_admission(settings: &Settings) -> PrimaryReadAdmission {
     if is_large_fleet(settings) {
-        PrimaryReadAdmission::of_large_fleet()
+        PrimaryReadAdmission::for_large_fleet()
     } else {
         PrimaryReadAdmission::default()
     }
