--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -271,7 +271,7 @@
     fn maintain(&mut self, actions: &mut Vec<Action>) {
         let Some(elapsed_secs) = self.upkeep.start_if_due(self.now) else { return };
         // Tokens that all servers have passed can't matter any more.
-        self.sessions.forget_up_to(self.cluster.lowest_position());
+        self.sessions.evict_up_to(self.cluster.lowest_position());
         self.cluster.refresh_load(self.now, &self.in_flight);
         let warm = self.cluster.warm_capacity(self.now, &self.settings);
         self.throughput.advance(elapsed_secs, warm, &ATTEMPT_EWMA);
--- a/core/src/session_tokens.rs
+++ b/core/src/session_tokens.rs
@@ -85,7 +85,7 @@
 
     /// Evicts the tokens up to a position, and raises the floor to the highest evicted token. If every server
     /// has applied the position, the floor matters only for servers that are added later.
-    pub fn forget_up_to(&mut self, position: f64) {
+    pub fn evict_up_to(&mut self, position: f64) {
         let mut floor = self.floor;
         let mut bytes = self.bytes;
         self.tokens.retain(|session, token| {
@@ -105,7 +105,7 @@
         let middle = positions.len() / 2;
         let (_, median, _) = positions.select_nth_unstable_by(middle, f64::total_cmp);
         let median = *median;
-        self.forget_up_to(median);
+        self.evict_up_to(median);
     }
 
     /// Restores the floor of another process in place of the start of this process. Without a floor, any
--- a/core/src/session_tokens/tests.rs
+++ b/core/src/session_tokens/tests.rs
@@ -15,12 +15,12 @@
     store.record_write("a".into(), 12.0);
     store.record_write("a".into(), 11.0);
     assert_eq!(store.required_position(Some("a"), 13.0), 12.0, "tokens never fall");
-    store.forget_up_to(11.9);
+    store.evict_up_to(11.9);
     assert_eq!(
         (store.required_position(Some("a"), 13.0), store.required_position(Some("b"), 13.0)),
         (12.0, 10.0)
     );
-    store.forget_up_to(12.5);
+    store.evict_up_to(12.5);
     assert_eq!(store.required_position(Some("b"), 13.0), 12.0, "the floor is the highest evicted token");
     assert_eq!(store.bytes, 0);
 }
