--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -232,7 +232,7 @@
             PeerMessage::PeerUnreachable(unreachable) => {
                 self.sessions.set_peer_unreachable(unreachable, self.now);
             }
-            PeerMessage::ProcessPaused(pause) => self.sessions.distrust_until(self.now + secs(pause)),
+            PeerMessage::ProcessPaused(pause) => self.sessions.raise_floor_to(self.now + secs(pause)),
             PeerMessage::ServerWithdrawn(server) => self.cluster.withdraw(server, self.now),
         }
     }
--- a/core/src/session_tokens.rs
+++ b/core/src/session_tokens.rs
@@ -127,7 +127,7 @@
     }
 
     /// Raises the floor to `until`. Another process, whose writes are unknown, may serve clients until then.
-    pub fn distrust_until(&mut self, until: f64) {
+    pub fn raise_floor_to(&mut self, until: f64) {
         self.floor = self.floor.max(until);
     }
 
--- a/core/src/session_tokens/tests.rs
+++ b/core/src/session_tokens/tests.rs
@@ -47,7 +47,7 @@
     let mut store = SessionTokenStore::default();
     store.start(10.0);
     store.record_write("a".into(), 11.0);
-    store.distrust_until(12.5);
+    store.raise_floor_to(12.5);
     assert_eq!([12.0, 12.4, 13.0].map(|now| store.required_position(Some("a"), now)), [12.0, 12.4, 12.5]);
     store.record_write("a".into(), 12.6);
     assert_eq!(store.required_position(Some("a"), 13.0), 12.6);
