--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -23,7 +23,7 @@
     let DriverParts { driver, server_commands, .. } =
         DriverParts::new(settings(), 7, clock).expect("valid settings");
     driver.endpoints_updated(
-        EndpointUpdate::Cached(vec![entry(1, true), entry(2, false), entry(3, false)]),
+        EndpointUpdate::Cached(vec![endpoint(1, true), endpoint(2, false), endpoint(3, false)]),
         [],
     );
     (driver, server_commands)
@@ -60,7 +60,7 @@
 #[test]
 fn the_first_response_is_final_and_later_results_are_dropped() {
     let (driver, mut commands) = start(Clock::start());
-    let (_, mut response) = driver.submit(new_request(POST), "query");
+    let (_, mut response) = driver.submit(new_request(KEYED_WRITE), "query");
     driver.step();
     let attempt = next_attempt(&mut commands).expect("an attempt");
     assert_eq!((*attempt.query, attempt.server, attempt.id.number), ("query", ServerId(1), AttemptNumber(0)));
@@ -85,7 +85,7 @@
 #[test]
 fn a_disconnected_client_gets_no_response_and_its_attempt_is_cancelled() {
     let (driver, mut commands) = start(Clock::start());
-    let (id, mut response) = driver.submit(new_request(POST), "query");
+    let (id, mut response) = driver.submit(new_request(KEYED_WRITE), "query");
     driver.step();
     let attempt = next_attempt(&mut commands).expect("an attempt");
     driver.client_gone(id);
@@ -96,10 +96,10 @@
 
 /// State must not grow with each server that was ever listed.
 #[rstest::rstest]
-#[case::removed(EndpointUpdate::Changes(vec![Endpoint { state: EndpointState::Removed, ..entry(3, false) }]), &[3])]
-#[case::draining(EndpointUpdate::Changes(vec![Endpoint { state: EndpointState::Draining, ..entry(3, false) }]), &[])]
-#[case::not_in_the_complete_list(EndpointUpdate::Full(vec![entry(2, false), entry(4, true)]), &[1, 3])]
-#[case::never_listed(EndpointUpdate::Changes(vec![Endpoint { state: EndpointState::Removed, ..entry(9, false) }]), &[])]
+#[case::removed(EndpointUpdate::Changes(vec![Endpoint { state: EndpointState::Removed, ..endpoint(3, false) }]), &[3])]
+#[case::draining(EndpointUpdate::Changes(vec![Endpoint { state: EndpointState::Draining, ..endpoint(3, false) }]), &[])]
+#[case::not_in_the_complete_list(EndpointUpdate::Full(vec![endpoint(2, false), endpoint(4, true)]), &[1, 3])]
+#[case::never_listed(EndpointUpdate::Changes(vec![Endpoint { state: EndpointState::Removed, ..endpoint(9, false) }]), &[])]
 fn the_state_of_a_removed_server_is_dropped(#[case] update: EndpointUpdate, #[case] removed: &[u32]) {
     let (driver, mut commands) = start(Clock::start());
     driver.endpoints_updated(update, []);
@@ -116,7 +116,7 @@
 #[test]
 fn attempts_are_numbered_in_the_order_of_sending() {
     let (driver, mut commands) = start(Clock::start());
-    let (_, _response) = driver.submit(new_request(POST), "query");
+    let (_, _response) = driver.submit(new_request(KEYED_WRITE), "query");
     // The listed primary declines the write; the engine then tries the members in turn.
     for expected in 0..2 {
         driver.step();
@@ -134,7 +134,8 @@
     let (driver, mut commands) = start(clock);
     let (mut at_replica, mut at_primary) = (0, 0);
     for round in 0..200 {
-        let (_, _response) = driver.submit(new_request(if round < 50 { ANY } else { LOOK }), "query");
+        let (_, _response) =
+            driver.submit(new_request(if round < 50 { EVENTUAL_READ } else { BOUNDED_READ }), "query");
         driver.step();
         while let Some(attempt) = next_attempt(&mut commands) {
             let primary = attempt.server == ServerId(1);
@@ -194,14 +195,19 @@
         tokio::task::spawn_local(server::run(driver.clone(), server_commands, options, pool.clone()));
         let stepping = driver.clone();
         tokio::task::spawn_local(async move { stepping.run().await });
-        driver
-            .endpoints_updated(EndpointUpdate::Cached(vec![entry(1, true)]), [(ServerId(1), server.address)]);
+        driver.endpoints_updated(
+            EndpointUpdate::Cached(vec![endpoint(1, true)]),
+            [(ServerId(1), server.address)],
+        );
         let responses: Vec<_> = (0..8)
             .map(|_| {
                 let mut message = pool.chain();
                 message.extend(&query("SELECT d=0"));
                 driver
-                    .submit(new_request(ONCE), Query { message, timeout_range: 14..15, reservation: None })
+                    .submit(
+                        new_request(UNIQUE_WRITE),
+                        Query { message, timeout_range: 14..15, reservation: None },
+                    )
                     .1
             })
             .collect();
@@ -227,17 +233,17 @@
 #[test]
 fn new_settings_apply_to_requests_submitted_after_them() {
     let (driver, mut commands) = start(Clock::start());
-    driver.submit(new_request(POST), "open");
+    driver.submit(new_request(KEYED_WRITE), "open");
     driver.step();
     let open = next_attempt(&mut commands).expect("an attempt");
-    let changed = Class { deadline: ms(900), ..settings().classes[POST.0].clone() };
+    let changed = Class { deadline: ms(900), ..settings().classes[KEYED_WRITE.0].clone() };
     let once = Settings {
-        classes: vec![settings().classes[LOOK.0].clone(), changed],
+        classes: vec![settings().classes[BOUNDED_READ.0].clone(), changed],
         limits: Limits { max_attempts: 1, ..settings().limits },
         ..settings()
     };
-    let ids = driver.reconfigure(once.clone(), &[Some(LOOK), None], &[]);
-    assert_eq!(ids, [LOOK, OWN], "the slot of a class that is dropped and not in use");
+    let ids = driver.reconfigure(once.clone(), &[Some(BOUNDED_READ), None], &[]);
+    assert_eq!(ids, [BOUNDED_READ, SESSION_READ], "the slot of a class that is dropped and not in use");
     let (_, mut second) = driver.submit(new_request(ids[1]), "new");
     driver.step();
     let new = next_attempt(&mut commands).expect("an attempt");
@@ -252,7 +258,11 @@
     let again = again.take(1 << 22).flatten().next().expect("the old limit holds");
     assert_eq!((*again.query, again.id.number), ("open", AttemptNumber(1)));
     assert!(matches!(second.try_recv(), Ok(Response::Rejected(_))), "the new one allows no second attempt");
-    assert_eq!(driver.reconfigure(once, &[Some(LOOK), None], &[OWN]), [LOOK, ONCE], "both others are in use");
+    assert_eq!(
+        driver.reconfigure(once, &[Some(BOUNDED_READ), None], &[SESSION_READ]),
+        [BOUNDED_READ, UNIQUE_WRITE],
+        "both others are in use"
+    );
     assert_eq!(driver.max_deadline(), ms(2000));
 }
 
@@ -264,8 +274,8 @@
     let parts: DriverParts<&str, &str> =
         DriverParts::new(settings, 7, Clock::start()).expect("valid settings");
     let (driver, mut commands) = (parts.driver, parts.server_commands);
-    driver.endpoints_updated(EndpointUpdate::Cached(vec![entry(1, true), entry(2, false)]), []);
-    let write = NewRequest { session: Some("s".into()), ..new_request(POST) };
+    driver.endpoints_updated(EndpointUpdate::Cached(vec![endpoint(1, true), endpoint(2, false)]), []);
+    let write = NewRequest { session: Some("s".into()), ..new_request(KEYED_WRITE) };
     let (_, mut response) = driver.submit(write, "query");
     driver.step();
     let attempt = next_attempt(&mut commands).expect("an attempt");
@@ -284,7 +294,7 @@
     let parts: DriverParts<&str, &str> =
         DriverParts::new(settings, 7, Clock::start()).expect("valid settings");
     let driver = parts.driver;
-    driver.endpoints_updated(EndpointUpdate::Cached(vec![entry(1, true), entry(2, false)]), []);
+    driver.endpoints_updated(EndpointUpdate::Cached(vec![endpoint(1, true), endpoint(2, false)]), []);
     let initial_floor = driver.snapshot().session_floor;
     for idle in [ms(250), ms(600)] {
         tokio::time::advance(idle).await;
