--- a/core/src/concurrency_limit.rs
+++ b/core/src/concurrency_limit.rs
@@ -27,7 +27,7 @@
 /// Number of periods over which the peak concurrency is taken, so that one quiet period does not lower the
 /// limit.
 const PEAK_PERIODS: usize = 8;
-/// Factor by which the weight of earlier observations in the fit decreases with each period.
+/// Factor by which the weight of earlier observations in the fit is multiplied in each period.
 const FORGETTING_FACTOR: f64 = 0.95;
 /// Weight of the newest period in the mean throughput of its concurrency level.
 const LEVEL_GAIN: f64 = 0.3;
@@ -146,7 +146,8 @@
     }
 
     /// Returns the concurrency with the highest throughput. While the fit has no peak, this is the best
-    /// observed level, or, if requests wait, one attempt more than that level and the limit.
+    /// observed level, or, if requests wait, one attempt more than the higher of that level and
+    /// the limit.
     fn target_limit(&self, waiting: f64) -> f64 {
         let target = self.fitted_peak().unwrap_or_else(|| {
             let best_level = self.best_level();
--- a/core/src/graceful_shutdown.rs
+++ b/core/src/graceful_shutdown.rs
@@ -5,7 +5,7 @@
 //! client connections. All times are on one clock. Three guarantees hold:
 //!
 //! - The shutdown never delays a response.
-//! - A connection on which a request was read is closed only after the request was answered.
+//! - A connection from which any part of a request was read is closed only after that request was answered.
 //! - The process ends before the platform kills it.
 //!
 //! Closing an idle connection is a race with the client: a request that arrives while its connection closes
--- a/core/tests/failover.rs
+++ b/core/tests/failover.rs
@@ -6,7 +6,7 @@
 use pipittack_core::api::*;
 
 /// Returns an engine to which every member has responded and whose primary has served ten writes.
-fn steady() -> Harness {
+fn harness_with_steady_primary() -> Harness {
     let mut harness = Harness::new(settings());
     harness.report_all(ms(10));
     for _ in 0..10 {
@@ -35,7 +35,7 @@
 
 #[test]
 fn writes_are_buffered_while_the_primary_is_silent_and_sent_when_it_responds() {
-    let mut harness = steady();
+    let mut harness = harness_with_steady_primary();
     assert_eq!(forwarded_to(&harness.submit(UNIQUE_WRITE)), [1]);
     advance(&mut harness, 250);
     let sent: Vec<u32> = (0..3).flat_map(|_| forwarded_to(&harness.submit(UNIQUE_WRITE))).collect();
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_canary_read_tests_a_silent_primary() {
-    let mut harness = steady();
+    let mut harness = harness_with_steady_primary();
     harness.submit(UNIQUE_WRITE);
     advance(&mut harness, 250);
     assert_eq!(
@@ -78,7 +78,7 @@
 
 #[test]
 fn after_a_failover_one_write_tests_the_new_primary_before_the_others_are_sent() {
-    let mut harness = steady();
+    let mut harness = harness_with_steady_primary();
     harness.submit(UNIQUE_WRITE);
     advance(&mut harness, 900);
     for _ in 0..4 {
@@ -118,7 +118,7 @@
 
 #[test]
 fn neither_the_role_nor_the_position_that_a_deposed_primary_reports_is_trusted() {
-    let mut harness = steady();
+    let mut harness = harness_with_steady_primary();
     harness.step(vec![Event::HealthChecked {
         server: ServerId(2),
         ok: true,
@@ -156,7 +156,7 @@
 /// to step down.
 #[test]
 fn a_primary_that_declines_writes_is_not_retried_repeatedly() {
-    let mut harness = steady();
+    let mut harness = harness_with_steady_primary();
     harness.submit(UNIQUE_WRITE);
     let mut attempts = 0;
     let mut rejected = 0;
@@ -187,7 +187,7 @@
 
 #[test]
 fn new_settings_do_not_affect_a_failover_in_progress() {
-    let mut harness = steady();
+    let mut harness = harness_with_steady_primary();
     harness.submit(UNIQUE_WRITE);
     advance(&mut harness, 250);
     assert!(forwarded_to(&harness.submit(UNIQUE_WRITE)).is_empty());
@@ -239,7 +239,7 @@
 
 #[test]
 fn a_buffered_write_is_dropped_when_its_client_disconnects() {
-    let mut harness = steady();
+    let mut harness = harness_with_steady_primary();
     harness.submit(UNIQUE_WRITE);
     advance(&mut harness, 250);
     let request = harness.new_request(UNIQUE_WRITE);
--- a/core/tests/fleet/discovery.rs
+++ b/core/tests/fleet/discovery.rs
@@ -58,12 +58,12 @@
 /// Starts all instances at once. All watches break 12 s later.
 fn simulate_watches(instances: u32) -> WatchResult {
     let settings = Settings { instance_count: instances, discovery: DiscoveryMode::Subscribe, ..settings() };
-    let mut fleet = fleet(&settings);
+    let mut fleet = new_fleet(&settings);
     let mut discovery = DiscoveryServer::default();
     let start = ms(100_000);
     let mut updated_ms = vec![[None; 2]; fleet.len()];
     let mut failed_calls = 0;
-    // The first step of each instance, in `fleet`, may have opened a watch.
+    // The first step of each instance, in `new_fleet`, may have opened a watch.
     let is_immediate = instances <= MAX_IMMEDIATE_WATCHES;
     let mut callers: Vec<usize> = if is_immediate { (0..fleet.len()).collect() } else { Vec::new() };
     for step in 0..2400u64 {
--- a/core/tests/fleet/load.rs
+++ b/core/tests/fleet/load.rs
@@ -24,7 +24,7 @@
 }
 
 /// Returns the instances of a fleet, each with its own seed and the same cached list of three servers.
-pub fn fleet(settings: &Settings) -> Vec<Harness> {
+pub fn new_fleet(settings: &Settings) -> Vec<Harness> {
     let instance =
         |index| Harness::seeded(Settings { instance_index: index, ..settings.clone() }, u64::from(index));
     (0..settings.instance_count).map(instance).collect()
--- a/core/tests/fleet/primary_loss.rs
+++ b/core/tests/fleet/primary_loss.rs
@@ -16,7 +16,7 @@
 const STEP: Duration = Duration::from_millis(10);
 
 /// Engine with the primaries of all groups, and their simulated response times.
-struct Fleet {
+struct Simulation {
     harness: Harness,
     /// Times at which attempts end, with the attempts and their outcomes.
     due: Vec<(Duration, SentAttempt, Outcome)>,
@@ -34,7 +34,7 @@
     Silent,
 }
 
-impl Fleet {
+impl Simulation {
     fn new(other_response_time: Duration) -> Self {
         let mut harness = Harness::new(large_fleet_settings());
         let others = (1..=OTHER_GROUPS).flat_map(|n| {
@@ -128,41 +128,41 @@
 
 /// Guards against an overloaded primary that is taken for dead, whose writes were then rejected for seconds.
 #[test]
-fn a_primary_is_not_lost_by_one_timeout_while_all_primaries_respond_late() {
-    let mut fleet = Fleet::new(LATE_RESPONSE);
+fn one_timeout_is_not_a_primary_loss_while_all_primaries_respond_late() {
+    let mut simulation = Simulation::new(LATE_RESPONSE);
     for _ in 0..4 {
-        fleet.write_to_all(ms(100));
+        simulation.write_to_all(ms(100));
     }
-    fleet.advance(ms(1000));
-    assert!(!fleet.has_no_primary(), "{:?}", fleet.logs);
-    fleet.primary_behavior = Behavior::Silent;
-    fleet.write(1);
-    fleet.advance(ms(50)); // a replica declines the write first
-    fleet.primary_behavior = Behavior::RespondsAfter(LATE_RESPONSE);
-    fleet.advance(SHORT_DEADLINE + ms(100));
+    simulation.advance(ms(1000));
+    assert!(!simulation.has_no_primary(), "{:?}", simulation.logs);
+    simulation.primary_behavior = Behavior::Silent;
+    simulation.write(1);
+    simulation.advance(ms(50)); // a replica declines the write first
+    simulation.primary_behavior = Behavior::RespondsAfter(LATE_RESPONSE);
+    simulation.advance(SHORT_DEADLINE + ms(100));
     assert!(
-        fleet.logs.iter().any(|text| text.contains("suspected")),
+        simulation.logs.iter().any(|text| text.contains("suspected")),
         "the write must time out at the primary"
     );
-    assert!(!fleet.has_no_primary(), "{:?}", fleet.logs);
-    fleet.advance(ms(500));
-    let actions = fleet.write(1);
-    assert_eq!((forwarded_to(&actions).len(), rejection_count(&actions)), (1, 0), "{:?}", fleet.logs);
+    assert!(!simulation.has_no_primary(), "{:?}", simulation.logs);
+    simulation.advance(ms(500));
+    let actions = simulation.write(1);
+    assert_eq!((forwarded_to(&actions).len(), rejection_count(&actions)), (1, 0), "{:?}", simulation.logs);
 }
 
 /// Guards against a slower detection. The expected times are those of the earlier detector, which judged each
 /// timeout without the responses of other primaries.
 #[test]
-fn a_dead_primary_is_lost_as_soon_as_before_while_others_respond_in_time() {
+fn a_dead_primary_is_detected_in_unchanged_time_while_other_primaries_respond_in_time() {
     let mut times = Vec::new();
     for offset_ms in [0, 70, 140, 210] {
         for interval_ms in [100, 300, 1000, 3000] {
-            let mut fleet = Fleet::new(ms(20));
+            let mut simulation = Simulation::new(ms(20));
             for _ in 0..4 {
-                fleet.write_to_all(ms(100));
+                simulation.write_to_all(ms(100));
             }
-            fleet.advance(ms(offset_ms));
-            times.push(fleet.detection_time(ms(interval_ms)));
+            simulation.advance(ms(offset_ms));
+            times.push(simulation.detection_time(ms(interval_ms)));
         }
     }
     times.sort();
--- a/core/tests/fleet/reads.rs
+++ b/core/tests/fleet/reads.rs
@@ -20,7 +20,7 @@
 fn count_reads_on_replicas(instances: u32, requests: u64) -> ReadCounts {
     let mut settings = Settings { instance_count: instances, ..settings() };
     settings.classes[BOUNDED_READ.0].consistency = Consistency::BoundedStaleness(ms(3000));
-    let mut fleet = fleet(&settings);
+    let mut fleet = new_fleet(&settings);
     let mix = ClassMix { writes: 30, eventual_reads: 5 };
     let mut counts = ReadCounts::default();
     for n in 0..requests {
@@ -63,7 +63,7 @@
     let replicas = 20;
     let list = || (1..=1 + replicas).map(|id| endpoint(id, id == 1)).collect();
     let mut attempts = vec![0; 2 + replicas as usize];
-    for harness in &mut fleet(&large_fleet_settings()) {
+    for harness in &mut new_fleet(&large_fleet_settings()) {
         harness.step(vec![Event::Endpoints(EndpointUpdate::Full(list()))]);
         for _ in 0..2 {
             for server in forwarded_to(&harness.submit(EVENTUAL_READ)) {
@@ -139,7 +139,7 @@
 fn in_time_shares_at_overloaded_primary() -> InTimeShares {
     let mut settings = large_fleet_settings();
     settings.classes[UNIQUE_WRITE.0].priority_weight = 4.0;
-    let mut fleet = fleet(&settings);
+    let mut fleet = new_fleet(&settings);
     let mut free_at = ms(0);
     let mut in_service = Vec::new();
     let mut sent = [0.0; 2];
--- a/core/tests/fleet/warm_up.rs
+++ b/core/tests/fleet/warm_up.rs
@@ -37,7 +37,7 @@
 /// Simulates a hundred instances that send a group 40 writes and 60 reads a second. After 30 s a server that
 /// has just started becomes the primary.
 fn new_primary_load() -> NewPrimaryLoad {
-    let mut fleet = fleet(&large_fleet_settings());
+    let mut fleet = new_fleet(&large_fleet_settings());
     let mix = ClassMix { writes: 40, eventual_reads: 10 };
     let mut attempts = vec![0; 12];
     let mut writes = [0.0; 12];
@@ -129,7 +129,7 @@
 
     fn run(settings: &Settings) -> BurstLoad {
         let (in_service, load) = (Vec::new(), BurstLoad::default());
-        let mut simulation = Self { fleet: fleet(settings), in_service, load, random_index: 0 };
+        let mut simulation = Self { fleet: new_fleet(settings), in_service, load, random_index: 0 };
         for time_ms in (0..40_000u64).step_by(10) {
             let calls = simulation.choose_callers(time_ms);
             for (instance, calls) in calls.into_iter().enumerate() {
--- a/core/tests/routing/endpoints.rs
+++ b/core/tests/routing/endpoints.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_removed_server_still_serves_where_the_rules_permit_it() {
+fn a_removed_server_still_serves_if_the_rules_permit_it() {
     let mut settings = settings();
     settings.rules.removed_may_serve = true;
     let mut harness = Harness::new(settings);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_large_fleet_sends_gossip_to_a_few_instances_where_it_is_permitted() {
+fn a_large_fleet_sends_gossip_to_a_few_instances_if_it_is_permitted() {
     let message_count = |settings: Settings| {
         let mut harness = Harness::new(settings);
         harness.report_all(ms(10));
--- a/core/tests/routing/outlier_detection.rs
+++ b/core/tests/routing/outlier_detection.rs
@@ -5,7 +5,7 @@
 use crate::common::*;
 
 #[test]
-fn a_server_that_stops_responding_loses_its_reads_to_the_others() {
+fn a_server_that_stops_responding_gets_no_more_reads() {
     let mut harness = Harness::new(settings());
     harness.report_all(ms(10));
     let mut reads_at_silent = 0;
@@ -25,7 +25,7 @@
 
 /// An instance with few requests would wait long for the evidence of a second lost attempt.
 #[test]
-fn one_lost_attempt_takes_a_server_down_where_losses_are_rare() {
+fn one_lost_attempt_marks_a_server_down_if_losses_are_rare() {
     let mut harness = Harness::new(large_fleet_settings());
     harness.report_all(ms(10));
     harness.submit(EVENTUAL_READ);
@@ -75,7 +75,7 @@
 
 /// In a large fleet, idle connections could exhaust the connection limits of the servers.
 #[test]
-fn idle_connections_are_closed_where_connections_are_refused() {
+fn idle_connections_are_closed_if_connections_are_refused() {
     let closes_idle = |settings: Settings| {
         let mut harness = Harness::new(settings);
         harness.report_all(ms(10));
--- a/core/tests/routing/warm_up.rs
+++ b/core/tests/routing/warm_up.rs
@@ -27,7 +27,7 @@
 
 /// If each instance forwarded its first request at once, the server would get a hundred requests.
 #[test]
-fn a_hundred_instances_that_learn_of_a_start_at_once_keep_the_warm_up_budget() {
+fn a_hundred_instances_that_see_a_server_start_at_once_stay_within_the_warm_up_budget() {
     let mut sent = 0;
     for index in 0..100 {
         let settings = Settings { instance_index: index, ..large_fleet_settings() };
--- a/core/tests/rules.rs
+++ b/core/tests/rules.rs
@@ -40,13 +40,13 @@
 }
 
 /// Engine with a checker of its actions.
-struct Observer {
+struct CheckedEngine {
     harness: Harness,
     requests: BTreeMap<RequestId, ObservedRequest>,
     draining: BTreeSet<ServerId>,
 }
 
-impl Observer {
+impl CheckedEngine {
     fn new(settings: Settings) -> Self {
         Self { harness: Harness::new(settings), requests: BTreeMap::new(), draining: BTreeSet::new() }
     }
@@ -99,11 +99,11 @@
         self.step(vec![Event::Request(request)]);
     }
 
-    /// Ends the first attempt in flight of the request that `pick` selects.
-    fn end_attempt(&mut self, pick: usize, outcome: Outcome, delivery: Delivery) {
+    /// Ends the first attempt in flight of the request that `selector` selects.
+    fn end_attempt(&mut self, selector: usize, outcome: Outcome, delivery: Delivery) {
         let has_attempt = |(_, request): &(&RequestId, &ObservedRequest)| !request.in_flight.is_empty();
         let open: Vec<_> = self.requests.iter().filter(has_attempt).map(|(id, _)| *id).collect();
-        let Some(id) = open.get(pick % open.len().max(1)).copied() else { return };
+        let Some(id) = open.get(selector % open.len().max(1)).copied() else { return };
         let request = self.request(id);
         let (number, server) = request.in_flight.pop_first().expect("an attempt in flight");
         request.may_have_executed |= !outcome.rules_out_execution();
@@ -122,30 +122,30 @@
         }
     }
 
-    /// Changes the state of the server that `pick` selects in the endpoint list.
-    fn change_endpoint(&mut self, pick: u32, state: EndpointState) {
-        let server = 1 + pick % 3;
+    /// Changes the state of the server that `selector` selects in the endpoint list.
+    fn change_endpoint(&mut self, selector: u32, state: EndpointState) {
+        let server = 1 + selector % 3;
         match state {
             EndpointState::Draining => self.draining.insert(ServerId(server)),
             _ => self.draining.remove(&ServerId(server)),
         };
-        let started_at = (pick > 127).then_some(self.harness.now);
+        let started_at = (selector > 127).then_some(self.harness.now);
         let entry = Endpoint { state, started_at, ..endpoint(server, server == 1) };
         self.step(vec![Event::Endpoints(EndpointUpdate::Changes(vec![entry]))]);
     }
 
     /// Sends events about unknown requests, timers and servers, and events that may arrive at any time.
-    fn send_unrelated_events(&mut self, pick: u8) {
+    fn send_unrelated_events(&mut self, selector: u8) {
         let checked = Event::HealthChecked {
-            server: ServerId(u32::from(pick)),
-            ok: pick.is_multiple_of(2),
+            server: ServerId(u32::from(selector)),
+            ok: selector.is_multiple_of(2),
             load_report: None,
         };
         self.step(vec![
-            Event::Gossip { from: 3, bytes: vec![pick; usize::from(pick % 8)] },
+            Event::Gossip { from: 3, bytes: vec![selector; usize::from(selector % 8)] },
             checked,
             Event::ClientGone(RequestId(9_999_999)),
-            Event::Timer(TimerId(u64::from(pick))),
+            Event::Timer(TimerId(u64::from(selector))),
         ]);
     }
 
@@ -171,15 +171,15 @@
         }
     }
 
-    fn apply(&mut self, kind: u8, pick: u8) {
-        let index = usize::from(pick);
-        let delivery = if pick.is_multiple_of(5) { Delivery::Twice } else { Delivery::Once };
+    fn apply_step(&mut self, kind: u8, selector: u8) {
+        let index = usize::from(selector);
+        let delivery = if selector.is_multiple_of(5) { Delivery::Twice } else { Delivery::Once };
         match kind {
             0..=3 => self.submit(index % 5),
             4..=7 => self.end_attempt(index, OUTCOMES[index % OUTCOMES.len()], delivery),
-            8 => self.change_endpoint(u32::from(pick), EndpointState::Draining),
-            9 => self.change_endpoint(u32::from(pick), EndpointState::Healthy),
-            10 => self.send_unrelated_events(pick),
+            8 => self.change_endpoint(u32::from(selector), EndpointState::Draining),
+            9 => self.change_endpoint(u32::from(selector), EndpointState::Healthy),
+            10 => self.send_unrelated_events(selector),
             _ => {}
         }
     }
@@ -198,12 +198,12 @@
         let mut settings = Settings { instance_count, ..settings() };
         settings.limits.allow_gossip = true;
         settings.limits.allow_health_checks = true;
-        let mut observer = Observer::new(settings);
-        for (kind, pick, time_ms) in steps {
-            observer.apply(kind, pick);
-            observer.advance(time_ms);
-            let now_ms = observer.harness.now.as_millis() as u64;
-            for (id, request) in &observer.requests {
+        let mut engine = CheckedEngine::new(settings);
+        for (kind, selector, time_ms) in steps {
+            engine.apply_step(kind, selector);
+            engine.advance(time_ms);
+            let now_ms = engine.harness.now.as_millis() as u64;
+            for (id, request) in &engine.requests {
                 let answers = request.final_answers;
                 prop_assert!(answers <= 1, "{id:?} has {answers} final answers");
                 let is_open = request.deadline_ms > now_ms || !request.in_flight.is_empty();
--- a/core/tests/snapshot.rs
+++ b/core/tests/snapshot.rs
@@ -12,19 +12,19 @@
 use rstest::rstest;
 
 /// Returns the settings of a proxy that tracks session tokens. Health checks are not permitted.
-fn tracking() -> Settings {
+fn tracking_settings() -> Settings {
     Settings { session_tokens: SessionTokens::Tracked, ..settings() }
 }
 
 /// Returns the settings of a proxy that tracks session tokens and receives load reports with health checks.
-fn tracking_with_health_checks() -> Settings {
-    let mut settings = Settings { load_reports: LoadReports::OnHealthCheck, ..tracking() };
+fn tracking_settings_with_health_checks() -> Settings {
+    let mut settings = Settings { load_reports: LoadReports::OnHealthCheck, ..tracking_settings() };
     settings.limits.allow_health_checks = true;
     settings
 }
 
 /// Returns an engine to which all members have reported their positions, the replicas with this lag.
-fn engine_with_positions(settings: Settings, lag: Duration) -> Harness {
+fn harness_with_positions(settings: Settings, lag: Duration) -> Harness {
     let mut harness = Harness::new(settings);
     harness.now += ms(1000);
     harness.report_all(lag);
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_new_server_gets_no_session_read_before_its_position_reaches_the_session_floor() {
-    let mut harness = engine_with_positions(tracking(), ms(20));
+    let mut harness = harness_with_positions(tracking_settings(), ms(20));
     write(&mut harness, "s");
     harness.now += ms(100);
     harness.report_all(ms(20)); // all members have applied the write, so its token is evicted
@@ -63,7 +63,7 @@
 
 #[test]
 fn a_server_that_was_out_of_service_gets_no_session_read_before_its_position_reaches_the_session_floor() {
-    let mut harness = engine_with_positions(tracking(), ms(20));
+    let mut harness = harness_with_positions(tracking_settings(), ms(20));
     harness.step(vec![Event::TakenOutOfService(ServerId(3))]);
     write(&mut harness, "s");
     harness.now += ms(100);
@@ -75,7 +75,7 @@
 
 #[test]
 fn any_session_may_have_written_before_the_process_started() {
-    let mut harness = Harness::new(tracking());
+    let mut harness = Harness::new(tracking_settings());
     assert_eq!(
         read(&mut harness, "s"),
         1,
@@ -103,8 +103,8 @@
 #[case::by_a_write(PositionCheck::DeclinedWrite)]
 fn a_replica_without_a_reported_position_is_asked_for_it(#[case] check: PositionCheck) {
     let (settings, class) = match check {
-        PositionCheck::HealthCheck => (tracking_with_health_checks(), SESSION_READ),
-        PositionCheck::DeclinedWrite => (tracking(), UNIQUE_WRITE),
+        PositionCheck::HealthCheck => (tracking_settings_with_health_checks(), SESSION_READ),
+        PositionCheck::DeclinedWrite => (tracking_settings(), UNIQUE_WRITE),
     };
     let mut harness = Harness::new(settings);
     let mut asked = BTreeSet::new();
@@ -142,7 +142,7 @@
 
 #[test]
 fn session_tokens_and_the_session_floor_pass_to_a_successor() {
-    let mut old = engine_with_positions(tracking(), ms(20));
+    let mut old = harness_with_positions(tracking_settings(), ms(20));
     write(&mut old, "dropped");
     old.now += ms(100);
     old.report_all(ms(20));
@@ -150,9 +150,9 @@
     // The zero of the successor's clock is 40 s after the zero of the predecessor's clock.
     let mut snapshot = old.engine.snapshot();
     snapshot.shift(-40.0);
-    let mut new = Harness::new(tracking());
+    let mut new = Harness::new(tracking_settings());
     new.now = old.now - ms(40_000);
-    new.engine = RoutingEngine::new(tracking(), 8).expect("valid");
+    new.engine = RoutingEngine::new(tracking_settings(), 8).expect("valid");
     new.step(vec![
         Event::Endpoints(EndpointUpdate::Cached(endpoint_list())),
         Event::SnapshotReceived(Box::new(snapshot)),
@@ -165,7 +165,7 @@
 
 #[test]
 fn without_a_session_floor_in_the_snapshot_any_session_may_have_just_written() {
-    let mut new = engine_with_positions(tracking(), ms(20));
+    let mut new = harness_with_positions(tracking_settings(), ms(20));
     assert_ne!(read(&mut new, "s"), 1);
     new.step(vec![Event::SnapshotReceived(Box::default())]);
     assert_eq!(read(&mut new, "s"), 1, "the session may have just written");
@@ -176,7 +176,7 @@
 
 #[test]
 fn messages_from_the_peer_process_are_applied() {
-    let mut harness = engine_with_positions(tracking(), ms(20));
+    let mut harness = harness_with_positions(tracking_settings(), ms(20));
     let commit = harness.now.as_secs_f64();
     receive(&mut harness, PeerMessage::SessionWrite { session: "s".into(), commit });
     assert_eq!((read(&mut harness, "s"), read(&mut harness, "t") != 1), (1, true));
@@ -197,7 +197,7 @@
 
 #[test]
 fn a_commit_raises_the_session_token_after_the_client_has_disconnected() {
-    let mut harness = engine_with_positions(tracking(), ms(20));
+    let mut harness = harness_with_positions(tracking_settings(), ms(20));
     let request = Request { session: Some("s".into()), ..harness.new_request(UNIQUE_WRITE) };
     let id = request.id;
     harness.step(vec![Event::Request(request)]);
@@ -208,7 +208,7 @@
 
 #[test]
 fn invalid_numbers_in_a_snapshot_are_not_restored() {
-    let mut harness = engine_with_positions(tracking(), ms(2000));
+    let mut harness = harness_with_positions(tracking_settings(), ms(2000));
     let mut snapshot = harness.engine.snapshot();
     for server in &mut snapshot.servers {
         server.position = Some(f64::INFINITY);
@@ -235,7 +235,7 @@
 /// contain the start time of the server.
 #[test]
 fn a_warming_server_still_warms_up_after_a_hot_restart() {
-    let mut old = engine_with_positions(settings(), ms(20));
+    let mut old = harness_with_positions(settings(), ms(20));
     old.step(vec![Event::TakenOutOfService(ServerId(3))]);
     old.step(vec![Event::ReturnedToService(ServerId(3))]);
     let warming = |snapshot: &StateSnapshot| {
