--- a/core/src/concurrency_limit.rs
+++ b/core/src/concurrency_limit.rs
@@ -1,5 +1,5 @@
-//! Adaptive concurrency limit of one server: the number of attempts that this proxy instance may have in
-//! flight there.
+//! Adaptive concurrency limit of one server: the number of attempts that this proxy instance
+//! may have in flight there.
 //!
 //! The limit is set at the end of each measurement period, from a parabola that is fitted to throughput over
 //! concurrency. Only completions in time count as throughput: successful responses within a share of the
@@ -24,8 +24,8 @@
 const MAX_PERIOD_SECS: f64 = 4.0;
 /// Completions after which a period ends early if requests wait for a server at its limit.
 const MIN_SATURATED_COMPLETIONS: f64 = 4.0;
-/// Number of periods over which the peak concurrency is taken, so that one quiet period does not lower the
-/// limit.
+/// Number of periods over which the peak concurrency is taken, so that one quiet period
+/// does not lower the limit.
 const PEAK_PERIODS: usize = 8;
 /// Factor by which the weight of earlier observations in the fit is multiplied in each period.
 const FORGETTING_FACTOR: f64 = 0.95;
@@ -50,16 +50,16 @@
     pub limit: f64,
     /// Highest number of attempts in flight in this period.
     pub peak_in_flight: f64,
-    /// Whether the fit may use this period. The caller clears this if the server was silent, failing or
-    /// warming up.
+    /// Whether the fit may use this period. The caller clears this if the server was
+    /// silent, failing or warming up.
     pub is_period_valid: bool,
     /// `peak_in_flight` of the last periods, newest first.
     recent_peaks: Vec<f64>,
     period_started_at: f64,
     completed: f64,
     completed_in_time: f64,
-    /// Target to which the limit decreases by one attempt with each completion. `None` if the limit is not
-    /// decreasing.
+    /// Target to which the limit decreases by one attempt with each completion. `None` if
+    /// the limit is not decreasing.
     shrink_target: Option<f64>,
     fit: ThroughputFit,
     /// Mean throughput, in responses a second, by concurrency level.
@@ -146,8 +146,7 @@
     }
 
     /// Returns the concurrency with the highest throughput. While the fit has no peak, this is the best
-    /// observed level, or, if requests wait, one attempt more than the higher of that level and
-    /// the limit.
+    /// observed level, or, if requests wait, one attempt more than the higher of that level and the limit.
     fn target_limit(&self, waiting: f64) -> f64 {
         let target = self.fitted_peak().unwrap_or_else(|| {
             let best_level = self.best_level();
--- a/core/src/discovery_schedule.rs
+++ b/core/src/discovery_schedule.rs
@@ -12,9 +12,9 @@
 //! communicate (Chiu and Jain 1989), combined with slotted random access. A call that fails at once gives no
 //! information about the queue, so the rate stays as it is.
 //!
-//! An instance that has an endpoint list must receive its changes in time, so the instance uses a shorter
-//! window until a call fails after a wait in the queue. An instance without a list always uses the full
-//! window.
+//! An instance that has an endpoint list must receive its changes in time, so the instance uses
+//! a shorter window until a call fails after a wait in the queue. An instance without a list
+//! always uses the full window.
 //!
 //! This module owns the times of the calls and the assumed rate. Times are seconds on the engine's clock.
 
@@ -48,8 +48,8 @@
 const INITIAL_BACKOFF_SECS: f64 = 0.5;
 /// Upper bound of the backoff, as a share of the poll interval.
 const MAX_BACKOFF_SHARE: f64 = 0.25;
-/// Time after the return of the discovery service by which an instance must have received an update, in
-/// seconds.
+/// Time after the return of the discovery service by which an instance must have
+/// received an update, in seconds.
 const NOTIFICATION_DEADLINE_SECS: f64 = 6.0;
 /// Upper bound of the backoff, as a share of the notification deadline. Two calls with backoff and jitter
 /// must fit into the deadline, because the first call may fail just as the service returns.
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,9 +1,9 @@
 //! Routing engine of pipittack: makes every decision of the proxy, without I/O.
 //!
-//! The caller passes events and the current time to [`RoutingEngine::step`] and executes the actions that it
-//! emits. The types of events and actions are in [`api`]. Code in this crate must not do I/O, read a clock,
-//! start a thread or block: `clippy.toml` lists the disallowed methods and types, and CI fails if they are
-//! used.
+//! The caller passes events and the current time to [`RoutingEngine::step`] and executes the actions
+//! that it emits. The types of events and actions are in [`api`]. Code in this crate must not do I/O,
+//! read a clock, start a thread or block: `clippy.toml` lists the disallowed methods and types, and
+//! CI fails if they are used.
 #![forbid(unsafe_code)]
 #![deny(clippy::disallowed_methods, clippy::disallowed_types)]
 
--- a/core/src/primary_read_admission.rs
+++ b/core/src/primary_read_admission.rs
@@ -46,14 +46,14 @@
 }
 
 impl PrimaryReadAdmission {
-    /// Creates the admission of one instance of a large fleet, with [`LARGE_FLEET_PRIOR_LATE_SHARE`] as
-    /// prior.
+    /// Creates the admission of one instance of a large fleet, with
+    /// [`LARGE_FLEET_PRIOR_LATE_SHARE`] as prior.
     pub fn for_large_fleet() -> Self {
         Self { prior_late_share: LARGE_FLEET_PRIOR_LATE_SHARE, ..Self::default() }
     }
 
-    /// Returns the observed share of late responses over all primaries, shrunk towards 0 if there are few
-    /// observations.
+    /// Returns the observed share of late responses over all primaries, shrunk towards 0 if
+    /// there are few observations.
     pub fn observed_late_share(&self, now: f64) -> f64 {
         self.late_share.estimate(now, 0.0, &ALL_PRIMARIES)
     }
--- a/core/src/primary_read_admission/tests.rs
+++ b/core/src/primary_read_admission/tests.rs
@@ -27,7 +27,7 @@
     PrimaryAttempt { class, elapsed_secs, outcome }
 }
 
-/// Primaries that admit reads.
+/// Whether reads are admitted, by primary.
 #[derive(Debug, PartialEq)]
 struct Admitted {
     /// Whether the primary that the attempts were sent to admits reads.
@@ -102,8 +102,8 @@
     admission.admits(&Ewma::default(), 1.0, &classes[READ], &classes, &CONFIG)
 }
 
-/// Guards against instances that start together and send all their reads to the primaries, which overloaded
-/// them.
+/// Guards against instances that start together and send all their reads to the
+/// primaries, which overloaded them.
 #[test]
 fn an_instance_of_a_large_fleet_sends_reads_to_primaries_once_one_has_responded_in_time() {
     assert!(!admits_read(&large_fleet_after(&[])), "before any response, no read is admitted");
--- a/core/src/request_cost.rs
+++ b/core/src/request_cost.rs
@@ -13,8 +13,8 @@
 
 /// Time constant, in seconds, with which the lowest mean of a class rises towards the current mean.
 const RISE_TIME_CONSTANT_SECS: f64 = 300.0;
-/// Lower bound of the cost of a request, in average requests: the response times of an idle server say little
-/// about work.
+/// Lower bound of the cost of a request, in average requests: the response times of an idle
+/// server say little about work.
 const MIN_COST: f64 = 0.5;
 /// Factor by which the response counts decay with each further response, so that about the last hundred
 /// responses count.
@@ -86,8 +86,8 @@
         self.average_secs = weighted_secs.sum::<f64>() / responses;
     }
 
-    /// Returns the work of a request of the class with this index, in average requests; 1 if the class is
-    /// unknown.
+    /// Returns the work of a request of the class with this index, in average requests;
+    /// 1 if the class is unknown.
     pub fn cost(&self, index: usize) -> f64 {
         let class = self.classes.get(index);
         class.map_or(1.0, |class| (class.lowest_mean_secs / self.average_secs).max(MIN_COST))
--- a/core/src/server_throughput.rs
+++ b/core/src/server_throughput.rs
@@ -26,8 +26,8 @@
     pub primaries: f64,
 }
 
-/// Number of responses, and the time in which they arrived, in seconds multiplied by relative capacity. Both
-/// decay.
+/// Number of responses, and the time in which they arrived, in seconds multiplied by
+/// relative capacity. Both decay.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct ResponseCount {
     responses: f64,
--- a/core/src/session_tokens.rs
+++ b/core/src/session_tokens.rs
@@ -5,11 +5,11 @@
 //!
 //! Memory is bounded, so tokens are evicted, but the guarantee still holds: the eviction of a token raises
 //! the *session floor*, and a session without a token counts as having written at the floor. A server that
-//! was absent while the others passed a token (a new server, or one that returns to service) therefore serves
-//! no session read before it reports a position beyond the floor. Initially the floor is the start of the
-//! process, because earlier writes are unknown. While another process of this proxy instance serves clients
-//! but can't be reached, any session may just have written, so every session read must see all writes up to
-//! its arrival.
+//! was absent while the others passed a token (a new server, or one that returns to service) therefore
+//! serves no session read before it reports a position beyond the floor. Initially the floor is the start of
+//! the process, because earlier writes are unknown. While another process of this proxy instance serves
+//! clients but can't be reached, any session may just have written, so every session read must see all
+//! writes up to its arrival.
 //!
 //! This module owns the tokens and the floor. Invariants: the floor never falls, except when a restored floor
 //! replaces the start of the process, and the size of the tokens stays within its limit. Positions are commit
@@ -83,8 +83,9 @@
         token.max(self.floor().min(now))
     }
 
-    /// Evicts the tokens up to a position, and raises the floor to the highest evicted token. If every server
-    /// has applied the position, the floor matters only for servers that are added later.
+    /// Evicts the tokens up to a position, and raises the floor to the highest evicted token. If
+    /// every server has applied the position, the floor matters only for servers that are added or
+    /// that return to service later.
     pub fn evict_up_to(&mut self, position: f64) {
         let mut floor = self.floor;
         let mut bytes = self.bytes;
@@ -116,9 +117,9 @@
         self.floor = self.floor.max(floor);
     }
 
-    /// Sets whether another process of this proxy instance serves clients but can't be reached. The writes
-    /// that it acknowledged in the meantime remain unknown, so the floor rises to `now` at the end of that
-    /// state.
+    /// Sets whether another process of this proxy instance serves clients but can't be reached.
+    /// The writes that it acknowledged in the meantime remain unknown, so the floor rises to `now`
+    /// at the end of that state.
     pub fn set_peer_unreachable(&mut self, is_unreachable: bool, now: f64) {
         let was_unreachable = std::mem::replace(&mut self.is_peer_unreachable, is_unreachable);
         if was_unreachable {
--- a/core/tests/action_hash/cluster.rs
+++ b/core/tests/action_hash/cluster.rs
@@ -132,8 +132,8 @@
         primary.process == ProcessState::Running && primary.endpoint_state == EndpointState::Healthy
     }
 
-    /// Promotes a random running replica. Returns the new and the old primary, or `None` if no replica is
-    /// eligible.
+    /// Promotes a random running replica. Returns the new and the old primary, or `None`
+    /// if no replica is eligible.
     pub fn promote(&mut self, group: u64, random: &mut Random) -> Option<[u32; 2]> {
         let candidate = |(id, server): (&u32, &DataServer)| {
             let is_eligible =
@@ -154,8 +154,8 @@
         Some([new_primary, old_primary])
     }
 
-    /// Returns the result of an attempt that is sent at `now`, provided that the state of its server does not
-    /// change.
+    /// Returns the result of an attempt that is sent at `now`, provided that the state of
+    /// its server does not change.
     pub fn attempt(&mut self, params: AttemptParams, now: Duration, random: &mut Random) -> AttemptResult {
         let AttemptParams { server: id, is_write, timeout } = params;
         let primary = self.is_primary(id);
--- a/core/tests/action_hash/main.rs
+++ b/core/tests/action_hash/main.rs
@@ -30,8 +30,8 @@
     RecordedCase { case, hash }
 }
 
-/// Returns cases with one to three proxy instances, in which the engine does not use its logic for large
-/// fleets.
+/// Returns cases with one to three proxy instances, in which the engine does not use
+/// its logic for large fleets.
 fn small_fleets() -> Vec<RecordedCase> {
     let wait_then_decline = StaleReadPolicy::WaitThenDecline(std::time::Duration::from_millis(50));
     let small = Case { classes: 2, groups: 1, ..BASE };
--- a/core/tests/action_hash/random.rs
+++ b/core/tests/action_hash/random.rs
@@ -1,5 +1,5 @@
-//! Deterministic random number generator (SplitMix64), so that the cases don't depend on the version of a
-//! crate.
+//! Deterministic random number generator (SplitMix64), so that the cases don't depend
+//! on the version of a crate.
 
 use std::time::Duration;
 
--- a/core/tests/action_hash/script.rs
+++ b/core/tests/action_hash/script.rs
@@ -1,5 +1,5 @@
-//! Closed loop: executes the engine's actions on the simulated cluster and passes the resulting events to the
-//! engine.
+//! Closed loop: executes the engine's actions on the simulated cluster and passes the
+//! resulting events to the engine.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -67,8 +67,8 @@
     is_write: bool,
     is_streaming: bool,
     attempt_count: u32,
-    /// Number of promotions in the replica set when the request arrived. `None` if the set could serve writes
-    /// then.
+    /// Number of promotions in the replica set when the request arrived. `None` if the
+    /// set could serve writes then.
     promotions_at_arrival: Option<u32>,
 }
 
@@ -377,8 +377,8 @@
         }
     }
 
-    /// Ends an attempt, unless it has ended already. If the server has hung or died since, the outcome
-    /// changes.
+    /// Ends an attempt, unless it has ended already. If the server has hung or died
+    /// since, the outcome changes.
     fn end_attempt(&mut self, key: AttemptKey, expected_outcome: Outcome, events: &mut Vec<Event>) {
         let Some(attempt) = self.in_flight.remove(&key) else { return };
         let process = self.cluster.server(attempt.server).process;
--- a/core/tests/failover.rs
+++ b/core/tests/failover.rs
@@ -152,8 +152,8 @@
     assert!(!reads.contains(&1), "the position that the deposed primary reports is ignored: {reads:?}");
 }
 
-/// A server that declines a write accepts no writes, even if it reports that it is the primary: it is about
-/// to step down.
+/// A server that declines a write accepts no writes, even if it reports that it is the primary:
+/// it is about to step down.
 #[test]
 fn a_primary_that_declines_writes_is_not_retried_repeatedly() {
     let mut harness = harness_with_steady_primary();
--- a/core/tests/fleet/load.rs
+++ b/core/tests/fleet/load.rs
@@ -4,8 +4,7 @@
 
 use crate::common::*;
 
-/// Shares of the classes in the requests, in percent. The remaining requests are reads with a staleness
-/// bound.
+/// Shares of the classes, in percent. The remaining requests are reads with a staleness bound.
 #[derive(Clone, Copy)]
 pub struct ClassMix {
     pub writes: u64,
--- a/core/tests/fleet/reads.rs
+++ b/core/tests/fleet/reads.rs
@@ -96,8 +96,7 @@
         }
         harness.now += ms(400);
         if round % 10 == 9 {
-            // Counts only the rejection of this read: queued reads of the other group may expire in the same
-            // step.
+            // Counts only this read: queued reads of the other group may be rejected in the same step.
             let request = harness.new_request(BOUNDED_READ);
             let id = request.id;
             let is_rejection =
@@ -133,9 +132,9 @@
     reads: f64,
 }
 
-/// Simulates a hundred instances that send a group 40 writes and 60 reads a second, which only its primary
-/// may serve. The primary serves 60 requests a second in order of arrival. Counts requests after the first 5
-/// s.
+/// Simulates a hundred instances that send a group 40 writes and 60 reads a second, which only
+/// its primary may serve. The primary serves 60 requests a second in order of arrival. Counts
+/// requests after the first 5 s.
 fn in_time_shares_at_overloaded_primary() -> InTimeShares {
     let mut settings = large_fleet_settings();
     settings.classes[UNIQUE_WRITE.0].priority_weight = 4.0;
@@ -157,8 +156,7 @@
                 harness.step(Vec::new());
             }
             for attempt in std::mem::take(&mut harness.in_flight) {
-                // No replica reports its position, so a write that asks a replica is declined without a
-                // status.
+                // No replica reports its position, so a replica declines a write without a status.
                 if attempt.server != PRIMARY {
                     harness.end_attempt(attempt, Outcome::Misdirected, None, ms(0));
                     continue;
--- a/core/tests/graceful_shutdown.rs
+++ b/core/tests/graceful_shutdown.rs
@@ -324,8 +324,8 @@
     }
 }
 
-/// The successor has taken over the listener's queue, so clients of idle connections can reconnect to it at
-/// once.
+/// The successor has taken over the listener's queue, so clients of idle connections
+/// can reconnect to it at once.
 #[test]
 fn with_a_successor_idle_connections_are_closed_at_once() {
     let request_at = |at, response_time| Client {
@@ -351,8 +351,8 @@
     assert_eq!(shutdown.phase(ms(KILL_MS - 100)), ShutdownPhase::Complete);
 }
 
-/// The signal may have been pending while the process was paused, so the platform may kill the process
-/// earlier.
+/// The signal may have been pending while the process was paused, so the platform may
+/// kill the process earlier.
 #[test]
 fn a_process_pause_before_the_shutdown_shortens_the_time_to_the_draining_phase() {
     let idle_deadline = |paused| {
--- a/core/tests/routing/main.rs
+++ b/core/tests/routing/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the routing engine through its public interface: routing, queueing, retries, warm-up and outlier
-//! detection.
+//! Tests of the routing engine through its public interface: routing, queueing, retries,
+//! warm-up and outlier detection.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/core/tests/routing/queueing.rs
+++ b/core/tests/routing/queueing.rs
@@ -101,8 +101,8 @@
     assert_eq!(sent, Some(youngest));
 }
 
-/// Returns how many of 40 reads are rejected at once after `reads` reads that took `late_steps` times 50 ms
-/// each.
+/// Returns how many of 40 reads are rejected at once after `reads` reads that took
+/// `late_steps` times 50 ms each.
 fn rejected_after_late_reads(settings: Settings, reads: usize, late_steps: usize) -> usize {
     let mut harness = Harness::new(settings);
     harness.report_all(ms(10));
--- a/core/tests/routing/retries.rs
+++ b/core/tests/routing/retries.rs
@@ -63,8 +63,8 @@
     assert!(soon.is_empty(), "the write waits after all members have declined it: {soon:?}");
 }
 
-/// If only responses counted, the expected response time and with it the timeouts would shrink further and
-/// further.
+/// If only responses counted, the expected response time and with it the timeouts would
+/// shrink further and further.
 #[test]
 fn timeouts_raise_the_expected_response_time() {
     let mut harness = Harness::new(settings());
--- a/core/tests/routing/warm_up.rs
+++ b/core/tests/routing/warm_up.rs
@@ -94,9 +94,9 @@
     let mut in_service: Vec<(Duration, SentAttempt)> = Vec::new();
     let mut work_secs = 0.0;
     let mut light_requests = 0;
-    // For 20 s, 60 light requests a second with 50 ms of work each, and three heavy requests a second with
-    // 800 ms. Then, for 1.5 s, mostly heavy requests, while one replica drains and the other replica has just
-    // started.
+    // For 20 s, 60 light requests a second with 50 ms of work each, and three heavy requests a second
+    // with 800 ms. Then, for 1.5 s, mostly heavy requests, while one replica drains and the other
+    // replica has just started.
     for n in 0..1288 {
         let now = harness.now;
         let is_warming = n >= 1200;
@@ -121,8 +121,8 @@
             harness.end_attempt(attempt, Outcome::Success, Some(attempt.server == PRIMARY), ms(10));
         }
     }
-    // In 1.5 s, a server with three cores may get 2.5 times the work that it does at 0.2 to 0.28 of its
-    // capacity.
+    // In 1.5 s, a server with three cores may get 2.5 times the work that it does at
+    // 0.2 to 0.28 of its capacity.
     let max_work_secs = 2.5 * 1.5 * 3.0 * 0.24 / 3.0;
     assert!(
         work_secs <= max_work_secs,
--- a/core/tests/rules.rs
+++ b/core/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Property test of the service rules under random events, including late, lost, duplicate and unknown
-//! events.
+//! Property test of the service rules under random events, including late, lost,
+//! duplicate and unknown events.
 
 mod common;
 
