--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -94,7 +94,7 @@
 
 fn primary_read_admission(settings: &Settings) -> PrimaryReadAdmission {
     if is_large_fleet(settings) {
-        PrimaryReadAdmission::of_large_fleet()
+        PrimaryReadAdmission::for_large_fleet()
     } else {
         PrimaryReadAdmission::default()
     }
@@ -234,7 +234,7 @@
             PeerMessage::PeerUnreachable(unreachable) => {
                 self.sessions.set_peer_unreachable(unreachable, self.now);
             }
-            PeerMessage::ProcessPaused(pause) => self.sessions.distrust_until(self.now + secs(pause)),
+            PeerMessage::ProcessPaused(pause) => self.sessions.raise_floor_to(self.now + secs(pause)),
             PeerMessage::ServerWithdrawn(server) => self.cluster.withdraw(server, self.now),
         }
     }
@@ -273,7 +273,7 @@
     fn run_maintenance(&mut self, actions: &mut Vec<Action>) {
         let Some(elapsed_secs) = self.maintenance.start_if_due(self.now) else { return };
         // A token that all servers have passed no longer restricts any read.
-        self.sessions.forget_up_to(self.cluster.lowest_position());
+        self.sessions.evict_up_to(self.cluster.lowest_position());
         self.cluster.refresh_load(self.now, &self.in_flight);
         let warm = self.cluster.warm_capacity(self.now, &self.settings);
         self.throughput.advance(elapsed_secs, warm, &ATTEMPT_EWMA);
--- a/core/src/session_tokens/tests.rs
+++ b/core/src/session_tokens/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn dropped_tokens_raise_the_session_floor() {
+fn evicted_tokens_raise_the_session_floor() {
     let mut store = SessionTokenStore::default();
     store.start(10.0);
     assert_eq!(
@@ -15,22 +15,18 @@
     store.record_write("a".into(), 12.0);
     store.record_write("a".into(), 11.0);
     assert_eq!(store.required_position(Some("a"), 13.0), 12.0, "tokens never fall");
-    store.forget_up_to(11.9);
+    store.evict_up_to(11.9);
     assert_eq!(
         (store.required_position(Some("a"), 13.0), store.required_position(Some("b"), 13.0)),
         (12.0, 10.0)
     );
-    store.forget_up_to(12.5);
-    assert_eq!(
-        store.required_position(Some("b"), 13.0),
-        12.0,
-        "the floor is the highest token that was dropped"
-    );
+    store.evict_up_to(12.5);
+    assert_eq!(store.required_position(Some("b"), 13.0), 12.0, "the floor is the highest evicted token");
     assert_eq!(store.bytes, 0);
 }
 
 #[test]
-fn while_a_peer_is_unreachable_every_session_may_have_written_just_now() {
+fn while_a_peer_is_unreachable_every_session_may_have_just_written() {
     let mut store = SessionTokenStore::default();
     store.start(10.0);
     store.record_write("a".into(), 11.0);
@@ -39,22 +35,26 @@
     store.set_peer_unreachable(false, 14.0);
     assert_eq!(store.required_position(Some("a"), 15.0), 14.0);
     store.set_peer_unreachable(false, 20.0);
-    assert_eq!(store.required_position(None, 21.0), 14.0, "the peer was reachable in between");
+    assert_eq!(
+        store.required_position(None, 21.0),
+        14.0,
+        "the peer was reachable, so the floor does not rise"
+    );
 }
 
 #[test]
-fn a_floor_in_the_future_requires_the_present_position() {
+fn a_floor_in_the_future_requires_all_writes_up_to_now() {
     let mut store = SessionTokenStore::default();
     store.start(10.0);
     store.record_write("a".into(), 11.0);
-    store.distrust_until(12.5);
+    store.raise_floor_to(12.5);
     assert_eq!([12.0, 12.4, 13.0].map(|now| store.required_position(Some("a"), now)), [12.0, 12.4, 12.5]);
     store.record_write("a".into(), 12.6);
     assert_eq!(store.required_position(Some("a"), 13.0), 12.6);
 }
 
 #[test]
-fn the_size_of_the_tokens_is_bounded_and_the_oldest_are_dropped() {
+fn the_size_of_the_tokens_is_bounded_and_the_oldest_are_evicted() {
     let mut store = SessionTokenStore::default();
     let count = MAX_BYTES / (TOKEN_BYTES + 8) + 100;
     for number in 0..count {
