--- a/src/net/buffers/chain.rs
+++ b/src/net/buffers/chain.rs
@@ -1,4 +1,4 @@
-//! A chain of pooled buffers.
+//! Byte sequences in chains of pooled buffers.
 
 use std::io;
 use std::ops::Range;
@@ -7,7 +7,7 @@
 
 use super::pool::{Buffer, BufferPool, BUFFER_BYTES};
 
-/// Consecutive bytes in pooled buffers. All buffers are full but the last.
+/// A sequence of bytes in pooled buffers. All buffers except the last are full.
 pub struct BufferChain {
     pool: BufferPool,
     buffers: Vec<Buffer>,
@@ -19,17 +19,17 @@
         Self { pool, buffers: Vec::new(), len: 0 }
     }
 
-    /// Number of bytes.
+    /// Returns the number of bytes.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether there are none.
+    /// Returns whether the chain holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Appends bytes.
+    /// Appends a copy of `bytes`, in buffers from the pool.
     pub fn extend(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
             let free = self.free_space();
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The bytes of a range, buffer by buffer.
+    /// Returns the bytes of `range` as one slice per buffer. Cuts the range off at the end of the chain.
     pub fn slices(&self, range: Range<usize>) -> impl Iterator<Item = &[u8]> {
         let start = range.start.min(self.len);
         let end = range.end.min(self.len);
@@ -53,19 +53,19 @@
         })
     }
 
-    /// Replaces the content of `target` by a copy of a range.
+    /// Replaces the content of `target` by a copy of the bytes in `range`.
     pub fn copy(&self, range: Range<usize>, target: &mut Vec<u8>) {
         target.clear();
         self.slices(range).for_each(|slice| target.extend_from_slice(slice));
     }
 
-    /// Returns all buffers to the pool.
+    /// Removes all bytes and returns their buffers to the pool.
     pub fn clear(&mut self) {
         self.len = 0;
-        self.return_empty_buffers();
+        self.release_empty_buffers();
     }
 
-    /// `N` bytes from `at` on, if there are that many.
+    /// Returns the `N` bytes at offset `at`, or `None` if the chain ends before them.
     pub fn array<const N: usize>(&self, at: usize) -> Option<[u8; N]> {
         if at + N > self.len {
             return None;
@@ -74,23 +74,25 @@
         Some(std::array::from_fn(|_| *bytes.next().expect("the range is inside the chain")))
     }
 
-    /// Takes the first `count` bytes out, as a chain of their own.
+    /// Removes the first `count` bytes and returns them as a separate chain.
     pub fn split_to(&mut self, count: usize) -> BufferChain {
         let mut rest = self.pool.chain();
         self.slices(count..self.len).for_each(|slice| rest.extend(slice));
         self.len = self.len.min(count);
-        self.return_empty_buffers();
+        self.release_empty_buffers();
         std::mem::replace(self, rest)
     }
 
-    /// Waits until the socket is readable and reads once; 0 is the end of the stream.
+    /// Waits until the socket is readable and reads once. Returns the number of bytes; 0 is the end of the
+    /// stream.
     ///
     /// # Errors
     ///
-    /// Those of the socket.
+    /// Returns the error of the socket.
     pub async fn read_from(&mut self, stream: &TcpStream) -> io::Result<usize> {
         loop {
-            // A peer that always has more to read must leave the other tasks their turns.
+            // Yields regularly, so that a peer that always has more bytes to read does not starve other
+            // tasks.
             tokio::task::coop::consume_budget().await;
             stream.readable().await?;
             match self.try_read_from(stream) {
@@ -100,35 +102,35 @@
         }
     }
 
-    /// Reads what is available without waiting.
+    /// Reads once without waiting. Returns the number of bytes; 0 is the end of the stream.
     ///
     /// # Errors
     ///
-    /// Those of the socket, `WouldBlock` included.
+    /// Returns the error of the socket, which is `WouldBlock` if no bytes are available.
     pub fn try_read_from(&mut self, stream: &TcpStream) -> io::Result<usize> {
         let read = stream.try_read(self.free_space());
         self.len += read.as_ref().map_or(0, |count| *count);
-        self.return_empty_buffers();
+        self.release_empty_buffers();
         read
     }
 
-    /// The space behind the last byte; never empty.
+    /// Returns the free space after the last byte, adding a buffer if there is none. Never empty.
     fn free_space(&mut self) -> &mut [u8] {
         if self.len == self.buffers.len() * BUFFER_BYTES {
-            self.buffers.push(self.pool.take());
+            self.buffers.push(self.pool.acquire());
         }
         let last = self.buffers.last_mut().expect("a buffer with free space was added");
         &mut last[self.len % BUFFER_BYTES..]
     }
 
-    fn return_empty_buffers(&mut self) {
+    fn release_empty_buffers(&mut self) {
         let used = self.len.div_ceil(BUFFER_BYTES);
-        self.pool.give_back(self.buffers.drain(used..));
+        self.pool.release(self.buffers.drain(used..));
     }
 }
 
 impl Drop for BufferChain {
     fn drop(&mut self) {
-        self.pool.give_back(self.buffers.drain(..));
+        self.pool.release(self.buffers.drain(..));
     }
 }
--- a/src/net/buffers/mod.rs
+++ b/src/net/buffers/mod.rs
@@ -1,7 +1,7 @@
-//! Pooled buffers of one size, and chains of them for what is longer than one buffer.
+//! Pooled buffers of a fixed size, and chains of buffers for messages that are longer than one buffer.
 //!
-//! A buffer is taken from the pool when a socket has bytes to read, and returned when the bytes are no longer needed: a
-//! peer that has sent nothing occupies none.
+//! A buffer is acquired from the pool when a socket has bytes to read, and released when the bytes are no
+//! longer needed. A peer that has sent nothing occupies no buffer.
 
 mod chain;
 mod pool;
--- a/src/net/buffers/pool.rs
+++ b/src/net/buffers/pool.rs
@@ -1,4 +1,4 @@
-//! The pool that buffers come from, and the admission of messages that need several.
+//! The buffer pool, and the admission of messages that need more than one buffer.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -7,17 +7,17 @@
 
 use super::chain::BufferChain;
 
-/// Size of each buffer in bytes; most statements and responses fit into one.
+/// Size of a buffer in bytes. Most statements and responses fit into one buffer.
 pub const BUFFER_BYTES: usize = 8192;
-/// Largest number of idle buffers that are kept; further ones are freed.
+/// Largest number of idle buffers that the pool keeps. Further buffers are freed on release.
 const MAX_IDLE_BUFFERS: usize = 512;
-/// Length in bytes from which on a message counts as very long.
+/// Length in bytes of the shortest message that counts as very long.
 const VERY_LONG_MESSAGE_BYTES: usize = 128 * 1024;
 
 pub(super) type Buffer = Box<[u8; BUFFER_BYTES]>;
 
-/// Length classes of messages that need more than one buffer. Each may fill its own share of the pool, so that neither
-/// can starve the other, nor what fits into one buffer.
+/// Length class of a message that needs more than one buffer. Each class may fill only its own share of the
+/// pool, so that neither class starves the other, or messages that fit into one buffer.
 #[derive(Clone, Copy)]
 enum LengthClass {
     Long,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Share of the pool that messages of this class may fill.
+    /// Returns the share of the pool that messages of this class may fill.
     fn max_share(self) -> f64 {
         match self {
             Self::Long => 0.125,
@@ -42,32 +42,35 @@
     }
 }
 
-/// Lends buffers. Clones share it.
+/// Pool of buffers. Clones refer to the same pool.
 #[derive(Clone)]
 pub struct BufferPool(Rc<Shared>);
 
 struct Shared {
-    stock: RefCell<Stock>,
+    state: RefCell<PoolState>,
     long: Admission,
     very_long: Admission,
 }
 
-/// Admits messages of one length class, first come, first served.
+/// Admission of the messages of one length class, in the order of arrival.
 #[derive(Default)]
 struct Admission {
-    turn: Mutex<()>,
+    /// Held by the message at the head of the queue; later messages wait for the lock in order.
+    queue: Mutex<()>,
     reserved_bytes: Cell<usize>,
+    /// Notified when a reservation is released or the process's share of the pool changes.
     released: Notify,
 }
 
-struct Stock {
+struct PoolState {
     idle: Vec<Buffer>,
+    /// Size of the pool, in buffers, by which reservations are limited.
     max_buffers: usize,
-    /// Share of them that this process may use.
+    /// Share of `max_buffers` that this process may use, from 0 to 1.
     share: f64,
 }
 
-/// Room for a message of several buffers; released when dropped.
+/// Reserved bytes of the pool for a message that needs more than one buffer; released when dropped.
 pub struct BufferReservation {
     pool: BufferPool,
     class: LengthClass,
@@ -83,30 +86,31 @@
 }
 
 impl Default for BufferPool {
-    /// A pool without a limit.
+    /// Creates a pool without a limit.
     fn default() -> Self {
         Self::new(usize::MAX)
     }
 }
 
 impl BufferPool {
-    /// A pool that reserves at most so many bytes.
+    /// Creates a pool of at most `max_bytes` bytes, by which reservations are limited.
     pub fn new(max_bytes: usize) -> Self {
-        let stock = Stock { idle: Vec::new(), max_buffers: max_bytes / BUFFER_BYTES, share: 1.0 };
+        let state = PoolState { idle: Vec::new(), max_buffers: max_bytes / BUFFER_BYTES, share: 1.0 };
         Self(Rc::new(Shared {
-            stock: RefCell::new(stock),
+            state: RefCell::new(state),
             long: Admission::default(),
             very_long: Admission::default(),
         }))
     }
 
-    /// Waits until there is room for a message of this length, and reserves all of it at once: messages that each held a
-    /// part of what they need could block each other forever. One message is admitted where none is, however long.
-    /// A single buffer for each socket is always available without a reservation.
+    /// Waits until the pool has room for a message of `bytes` bytes, and reserves all of it at once. Messages
+    /// that each held only a part of their buffers could block each other indefinitely. A message of any
+    /// length is admitted if no other one of its length class holds a reservation. Each socket may use a
+    /// single buffer without a reservation.
     pub async fn reserve(&self, bytes: usize) -> BufferReservation {
         let class = LengthClass::of(bytes);
         let admission = self.admission(class);
-        let _turn = admission.turn.lock().await;
+        let _queue_head = admission.queue.lock().await;
         while admission.reserved_bytes.get() > 0
             && admission.reserved_bytes.get() + bytes > self.max_bytes(class)
         {
@@ -116,33 +120,33 @@
         BufferReservation { pool: self.clone(), class, bytes }
     }
 
-    /// Limits this process to a share of the pool; the rest is another process's.
+    /// Limits this process to a share of the pool, from 0 to 1. Another process uses the rest.
     pub fn set_share(&self, share: f64) {
-        self.0.stock.borrow_mut().share = share;
+        self.0.state.borrow_mut().share = share;
         self.0.long.released.notify_one();
         self.0.very_long.released.notify_one();
     }
 
-    /// An empty chain that takes its buffers from this pool.
+    /// Creates an empty chain that acquires its buffers from this pool.
     pub fn chain(&self) -> BufferChain {
         BufferChain::new(self.clone())
     }
 
-    /// How many buffers are idle.
+    /// Returns the number of idle buffers.
     pub fn idle_buffers(&self) -> usize {
-        self.0.stock.borrow().idle.len()
+        self.0.state.borrow().idle.len()
     }
 
-    pub(super) fn take(&self) -> Buffer {
-        let mut stock = self.0.stock.borrow_mut();
-        stock.idle.pop().unwrap_or_else(|| Box::new([0; BUFFER_BYTES]))
+    pub(super) fn acquire(&self) -> Buffer {
+        let mut state = self.0.state.borrow_mut();
+        state.idle.pop().unwrap_or_else(|| Box::new([0; BUFFER_BYTES]))
     }
 
-    pub(super) fn give_back(&self, buffers: impl Iterator<Item = Buffer>) {
-        let mut stock = self.0.stock.borrow_mut();
+    pub(super) fn release(&self, buffers: impl Iterator<Item = Buffer>) {
+        let mut state = self.0.state.borrow_mut();
         for buffer in buffers {
-            if stock.idle.len() < MAX_IDLE_BUFFERS {
-                stock.idle.push(buffer);
+            if state.idle.len() < MAX_IDLE_BUFFERS {
+                state.idle.push(buffer);
             }
         }
     }
@@ -155,7 +159,7 @@
     }
 
     fn max_bytes(&self, class: LengthClass) -> usize {
-        let stock = self.0.stock.borrow();
-        (stock.max_buffers as f64 * stock.share * class.max_share()) as usize * BUFFER_BYTES
+        let state = self.0.state.borrow();
+        (state.max_buffers as f64 * state.share * class.max_share()) as usize * BUFFER_BYTES
     }
 }
--- a/src/net/buffers/write.rs
+++ b/src/net/buffers/write.rs
@@ -4,11 +4,11 @@
 
 use tokio::net::TcpStream;
 
-/// Writes all slices.
+/// Writes all bytes of all slices, waiting while the socket is not writable.
 ///
 /// # Errors
 ///
-/// Those of the socket, and `WriteZero` where it accepts nothing more.
+/// Returns the error of the socket, or `WriteZero` if the socket accepts no more bytes.
 pub async fn write_all(stream: &TcpStream, slices: &mut [IoSlice<'_>]) -> io::Result<()> {
     let mut remaining = slices;
     IoSlice::advance_slices(&mut remaining, 0);
--- a/src/net/client/class_table.rs
+++ b/src/net/client/class_table.rs
@@ -1,4 +1,5 @@
-//! The classes that statements may name: those in force, and for a while those that earlier settings had.
+//! The classes that statements may name: those of the current settings and, for a grace period, those that a
+//! reload removed.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -8,61 +9,64 @@
 use crate::api::{Class, ClassId, Settings};
 use crate::net::server::PgDriver;
 
-/// Time for which a class that new settings dropped may still be named by requests on their way.
-const DROPPED_CLASS_GRACE_PERIOD: Duration = Duration::from_secs(2);
+/// Time for which requests may still name a class after a reload has removed it; such requests may already
+/// have been sent.
+const REMOVED_CLASS_GRACE_PERIOD: Duration = Duration::from_secs(2);
 
-/// A class with the id that it has in the driver.
+/// A class and its id in the driver.
 #[derive(Debug, Clone)]
 pub struct NamedClass {
-    /// Its id.
+    /// Id that the driver assigned.
     pub id: ClassId,
-    /// Its settings.
+    /// Settings of the class.
     pub class: Class,
 }
 
-struct DroppedClass {
-    named: NamedClass,
+/// A class that a reload removed, until its grace period ends.
+struct RemovedClass {
+    entry: NamedClass,
     expires_at: Instant,
 }
 
-/// Classes by name.
+/// The current and the recently removed classes, by name.
 pub(super) struct ClassTable {
     current: HashMap<String, NamedClass>,
-    dropped: HashMap<String, DroppedClass>,
+    removed: HashMap<String, RemovedClass>,
 }
 
 impl ClassTable {
     pub(super) fn new(current: HashMap<String, NamedClass>) -> Self {
-        Self { current, dropped: HashMap::new() }
+        Self { current, removed: HashMap::new() }
     }
 
-    /// The class of a name, if it is in force or was until a moment ago.
+    /// Returns the class with this name. A current class takes precedence over a removed one.
     pub(super) fn get(&self, name: &str) -> Option<NamedClass> {
-        let dropped = self.dropped.get(name).filter(|dropped| Instant::now() < dropped.expires_at);
-        self.current.get(name).or(dropped.map(|dropped| &dropped.named)).cloned()
+        let removed = self.removed.get(name).filter(|removed| Instant::now() < removed.expires_at);
+        self.current.get(name).or(removed.map(|removed| &removed.entry)).cloned()
     }
 
-    /// Takes the classes of new settings, which go by `names`. A class that is what it was keeps its id.
+    /// Applies new settings. `names` holds the names of the classes in the order of the settings. A class
+    /// whose name and settings are unchanged keeps its id.
     pub(super) fn reconfigure(&mut self, driver: &PgDriver, settings: Settings, names: &[String]) {
         let classes = settings.classes.clone();
-        let kept: Vec<_> =
+        let kept_ids: Vec<_> =
             names.iter().zip(&classes).map(|(name, class)| self.id_of_unchanged(name, class)).collect();
-        self.drop_current();
-        let reserved: Vec<_> = self.dropped.values().map(|dropped| dropped.named.id).collect();
-        let ids = driver.reconfigure(settings, &kept, &reserved);
-        let named = ids.into_iter().zip(classes).map(|(id, class)| NamedClass { id, class });
-        self.current = names.iter().cloned().zip(named).collect();
+        self.mark_current_removed();
+        let reserved: Vec<_> = self.removed.values().map(|removed| removed.entry.id).collect();
+        let ids = driver.reconfigure(settings, &kept_ids, &reserved);
+        let entries = ids.into_iter().zip(classes).map(|(id, class)| NamedClass { id, class });
+        self.current = names.iter().cloned().zip(entries).collect();
     }
 
     fn id_of_unchanged(&self, name: &str, class: &Class) -> Option<ClassId> {
         self.current.get(name).filter(|known| known.class == *class).map(|known| known.id)
     }
 
-    fn drop_current(&mut self) {
+    fn mark_current_removed(&mut self) {
         let now = Instant::now();
-        let expires_at = now + DROPPED_CLASS_GRACE_PERIOD;
-        self.dropped.retain(|_, dropped| now < dropped.expires_at);
+        let expires_at = now + REMOVED_CLASS_GRACE_PERIOD;
+        self.removed.retain(|_, removed| now < removed.expires_at);
         let current = std::mem::take(&mut self.current).into_iter();
-        self.dropped.extend(current.map(|(name, named)| (name, DroppedClass { named, expires_at })));
+        self.removed.extend(current.map(|(name, entry)| (name, RemovedClass { entry, expires_at })));
     }
 }
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -1,4 +1,4 @@
-//! A client connection: its task, and the messages that it reads.
+//! The task of a client connection: it reads messages, dispatches them and closes the connection.
 
 use std::cell::Cell;
 use std::io::{self, IoSlice};
@@ -13,7 +13,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout, Instant};
 
-use super::connection_table::{ConnectionNumber, IdleReason, NoRequestGuard};
+use super::connection_table::{ConnectionId, IdleReason, NoRequestGuard};
 use super::inbound::{Inbound, ReceivedMessage};
 use super::service_phase::ServicePhase;
 use super::shared::Shared;
@@ -21,124 +21,126 @@
 use crate::net::hot_restart::frame::Successor;
 use crate::net::postgres::{self, Severity};
 
-/// Time within which a new client must have sent its startup packet, and any client the rest of a message
-/// that it has begun. A client that can't be served is owed an end 3 s after it connected.
+/// Time limit for receiving the startup packet of a new client, and for receiving the rest of a message whose
+/// first bytes have arrived. A client that cannot be served must be disconnected within 3 s of connecting.
 pub(super) const MESSAGE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Time from the accept in which a client must send its first request where too many have sent none.
-const HURRIED_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time in which a message of any length must be complete.
+/// Time limit for the first request, counted from the accept, of a client that connects while too many
+/// clients have sent no request.
+const SHORT_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
+/// Time limit for receiving a message of any length.
 const LONG_MESSAGE_TIMEOUT: Duration = Duration::from_secs(20);
-/// The longest message that must be complete within [`MESSAGE_TIMEOUT`]; a longer one must make progress in
-/// that time.
+/// Length in bytes of the longest message that must be complete within [`MESSAGE_TIMEOUT`]. A longer message
+/// must make progress within that time.
 const MAX_SHORT_MESSAGE_BYTES: usize = 144 * 1024;
-/// Time within which a client must have taken what is written.
+/// Time limit for one write to a client.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 pub(super) const TOO_MANY_CLIENTS: &str = "sorry, too many clients already";
 
-/// How a connection comes to this process.
+/// State of a connection when this process takes it on.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum Admission {
-    /// Accepted; its startup packet is to come. It is rejected if the limit was reached, and must send a
-    /// request at once if too many clients have sent none.
-    New { is_full: bool, must_hurry: bool },
-    /// Handed over by the predecessor after its startup.
-    Started,
+pub(super) enum InitialStage {
+    /// The startup packet has not been received. `at_limit` says that the client limit was reached and
+    /// the client is to be rejected. `short_deadline` says that the first request must arrive within
+    /// [`SHORT_FIRST_REQUEST_TIMEOUT`], because too many clients have sent no request.
+    Startup { at_limit: bool, short_deadline: bool },
+    /// The predecessor handed the connection over after its startup.
+    Ready,
 }
 
-/// How far a connection has come.
+/// Protocol stage of a connection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum Stage {
-    /// Its startup packet is to come; it is then rejected where the limit was reached.
-    New { is_full: bool },
-    /// Queries may come.
-    Started,
+    /// The startup packet has not been processed. `at_limit` says that the client is to be rejected.
+    Startup { at_limit: bool },
+    /// The client may send queries.
+    Ready,
 }
 
-/// Whether a connection stays open.
+/// Whether a connection stays open after a message.
 #[derive(PartialEq)]
 pub(super) enum Flow {
     Continue,
     End,
 }
 
-/// What the wait for more bytes ended with.
+/// Result of waiting for more bytes from the client.
 enum Wait {
-    /// Some were read, or the client has closed: the count.
+    /// Number of bytes read; 0 means that the client closed the connection.
     Read(usize),
-    /// The connection is to be closed because it is idle.
+    /// The connection is idle and is to be closed: it was evicted, or its idle deadline has passed.
     Close,
     /// A deadline has passed.
     TimedOut,
 }
 
-/// A connection's entry in the table, as long as its task runs. It counts as served until it ends; then its
-/// client still has to see the end.
+/// Keeps a connection in the connection table while its task runs. The connection counts as active until no
+/// more requests are read from it; after that the task only waits for the client to close.
 struct ConnectionGuard {
     shared: Rc<Shared>,
-    number: ConnectionNumber,
-    is_served: Cell<bool>,
+    id: ConnectionId,
+    is_active: Cell<bool>,
 }
 
 impl ConnectionGuard {
-    fn new(shared: &Rc<Shared>, number: ConnectionNumber) -> Self {
-        shared.served.set(shared.served.get() + 1);
+    fn new(shared: &Rc<Shared>, id: ConnectionId) -> Self {
+        shared.active_connections.set(shared.active_connections.get() + 1);
         shared.update_shutdown(|shutdown| shutdown.connection_opened());
-        Self { shared: shared.clone(), number, is_served: Cell::new(true) }
+        Self { shared: shared.clone(), id, is_active: Cell::new(true) }
     }
 
-    /// No request is read any more.
-    fn end_service(&self) {
-        if self.is_served.replace(false) {
+    /// Records that no more requests are read from the connection.
+    fn mark_inactive(&self) {
+        if self.is_active.replace(false) {
             let shared = &self.shared;
-            shared.served.set(shared.served.get() - 1);
+            shared.active_connections.set(shared.active_connections.get() - 1);
             let now = shared.driver.clock().now();
             shared.update_shutdown(|shutdown| shutdown.connection_closed(now));
-            shared.shutdown_progress.notify_waiters();
+            shared.shutdown_notify.notify_waiters();
         }
     }
 }
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.end_service();
-        self.shared.connections.remove(self.number);
+        self.mark_inactive();
+        self.shared.connections.remove(self.id);
         self.shared.share_sockets();
-        self.shared.shutdown_progress.notify_waiters();
+        self.shared.shutdown_notify.notify_waiters();
     }
 }
 
-/// Serves a connection in a task of its own.
-pub(super) fn spawn(shared: &Rc<Shared>, stream: TcpStream, admission: Admission) {
-    let number = shared.connections.next_number();
-    let guard = ConnectionGuard::new(shared, number);
-    let (stage, must_hurry) = match admission {
-        Admission::New { is_full, must_hurry } => (Stage::New { is_full }, must_hurry),
-        Admission::Started => (Stage::Started, false),
+/// Spawns the task that serves a connection.
+pub(super) fn spawn(shared: &Rc<Shared>, stream: TcpStream, initial_stage: InitialStage) {
+    let id = shared.connections.next_id();
+    let guard = ConnectionGuard::new(shared, id);
+    let (stage, short_deadline) = match initial_stage {
+        InitialStage::Startup { at_limit, short_deadline } => (Stage::Startup { at_limit }, short_deadline),
+        InitialStage::Ready => (Stage::Ready, false),
     };
-    let no_request = (stage != Stage::Started).then(|| NoRequestGuard::new(&shared.connections));
-    let evicted = shared.connections.insert(number);
+    let no_request_guard = (stage != Stage::Ready).then(|| NoRequestGuard::new(&shared.connections));
+    let eviction = shared.connections.insert(id);
     spawn_local(async move {
         let shared = &*guard.shared;
         let stream = Rc::new(stream);
         let mut connection = Connection {
             shared,
-            number,
+            id,
             accepted_at: shared.driver.clock().now(),
             inbound: Inbound::new(stream.clone(), &shared.pool),
             stream,
             stage,
             reservation: None,
-            no_request,
+            no_request_guard,
             may_be_handed_over: false,
-            evicted,
-            must_hurry,
+            eviction,
+            short_deadline,
         };
-        let served = connection.serve().await;
-        connection.log_end(served);
-        match connection.new_owner() {
+        let result = connection.serve().await;
+        connection.log_connection_end(result);
+        match connection.handover_target() {
             Some(successor) => connection.hand_over(&successor).await,
             None => {
-                guard.end_service();
+                guard.mark_inactive();
                 connection.close().await;
             }
         }
@@ -149,54 +151,61 @@
 /// A client connection.
 pub(super) struct Connection<'s> {
     pub(super) shared: &'s Shared,
-    pub(super) number: ConnectionNumber,
-    /// When it was accepted, on the driver's clock.
+    pub(super) id: ConnectionId,
+    /// Time at which this process accepted or took over the connection, on the driver's clock.
     accepted_at: Duration,
     pub(super) stream: Rc<TcpStream>,
     pub(super) inbound: Inbound,
     stage: Stage,
-    /// Room for the message that is being read, where one buffer does not hold it.
+    /// Buffers reserved for the message that is being read; `None` while one buffer holds the message.
     pub(super) reservation: Option<BufferReservation>,
-    /// It has submitted no request yet.
-    pub(super) no_request: Option<NoRequestGuard>,
-    /// It is between requests, and this process closes it.
+    /// Counts the connection among those without a request; `None` once a request was submitted.
+    pub(super) no_request_guard: Option<NoRequestGuard>,
+    /// Whether this process ended the connection while it was idle, with no bytes left unread.
     may_be_handed_over: bool,
-    evicted: Rc<Notify>,
-    /// It was accepted when too many had sent no request, and has to send one at once.
-    must_hurry: bool,
+    /// Notified when the connection table evicts this connection.
+    eviction: Rc<Notify>,
+    /// Whether the first request must arrive within [`SHORT_FIRST_REQUEST_TIMEOUT`].
+    short_deadline: bool,
 }
 
 impl Connection<'_> {
     async fn serve(&mut self) -> io::Result<()> {
         self.stream.set_nodelay(true)?;
-        if let Stage::New { is_full } = self.stage {
-            if self.start(is_full).await? == Flow::End {
+        if let Stage::Startup { at_limit } = self.stage {
+            if self.run_startup(at_limit).await? == Flow::End {
                 return Ok(());
             }
-            self.stage = Stage::Started;
+            self.stage = Stage::Ready;
         }
-        let mut skips_to_sync = false; // after an error in the extended protocol
+        let mut ignores_until_sync = false; // set after an error in the extended query protocol
         while let Some(message) = self.next_message().await? {
-            if self.handle(message, &mut skips_to_sync).await? == Flow::End {
+            if self.handle_message(message, &mut ignores_until_sync).await? == Flow::End {
                 return Ok(());
             }
         }
-        self.may_be_handed_over &= !skips_to_sync; // the successor could not know
+        // The handover does not carry this flag, so the successor would process messages that are to be
+        // ignored.
+        self.may_be_handed_over &= !ignores_until_sync;
         Ok(())
     }
 
-    async fn handle(&mut self, message: ReceivedMessage, skips_to_sync: &mut bool) -> io::Result<Flow> {
+    async fn handle_message(
+        &mut self,
+        message: ReceivedMessage,
+        ignores_until_sync: &mut bool,
+    ) -> io::Result<Flow> {
         let kind = message.bytes.array::<1>(0).map_or(0, |[kind]| kind);
         match kind {
             b'X' => Ok(Flow::End),
             b'S' => {
-                *skips_to_sync = false;
+                *ignores_until_sync = false;
                 self.reply(postgres::push_ready_for_query).await
             }
-            _ if *skips_to_sync => Ok(Flow::Continue),
-            b'Q' => self.query(message).await,
+            _ if *ignores_until_sync => Ok(Flow::Continue),
+            b'Q' => self.handle_query(message).await,
             b'P' | b'B' | b'D' | b'E' | b'C' | b'H' => {
-                *skips_to_sync = true;
+                *ignores_until_sync = true;
                 self.reply_error("0A000", "only simple queries are supported").await
             }
             b'F' => {
@@ -207,23 +216,23 @@
         }
     }
 
-    /// Reads more, but not past `deadline`; false when the client is gone, or when the connection is to be
-    /// closed. Half a message must not occupy its place forever.
+    /// Reads more bytes, until `deadline` at the latest. Returns false if the client has disconnected or the
+    /// connection is to be closed. An incomplete message must not occupy a connection indefinitely.
     pub(super) async fn read_more(&mut self, deadline: Option<Instant>) -> io::Result<bool> {
         let state = self.idle_state();
-        let hurries = self.must_hurry && state == IdleState::NoRequestYet;
-        let hurry_deadline = hurries
-            .then(|| self.shared.driver.clock().to_instant(self.accepted_at) + HURRIED_FIRST_REQUEST_TIMEOUT);
-        let deadline = deadline.into_iter().chain(hurry_deadline).min();
+        let applies_short_deadline = self.short_deadline && state == IdleState::NoRequestYet;
+        let first_request_deadline = applies_short_deadline
+            .then(|| self.shared.driver.clock().to_instant(self.accepted_at) + SHORT_FIRST_REQUEST_TIMEOUT);
+        let deadline = deadline.into_iter().chain(first_request_deadline).min();
         match self.wait_for_bytes(state, deadline).await? {
             Wait::Read(count) => Ok(count > 0),
-            Wait::Close => self.read_unless_empty().await,
+            Wait::Close => self.read_received_before_close().await,
             Wait::TimedOut if state == IdleState::PartialMessage => {
                 self.fail_connection("08P01", "a message was not complete in time").await?;
                 Ok(false)
             }
             Wait::TimedOut => {
-                if hurries && self.stage == Stage::Started {
+                if applies_short_deadline && self.stage == Stage::Ready {
                     self.fail_connection("53300", TOO_MANY_CLIENTS).await?;
                 }
                 Ok(false)
@@ -231,41 +240,42 @@
         }
     }
 
-    /// Writes to the log how its service ended, where a client may miss something.
-    fn log_end(&self, served: io::Result<()>) {
-        let number = self.number;
-        if let Err(e) = served {
-            log::debug!("client connection {number}: {e}");
+    /// Logs an error, and bytes that were received but not processed: the client may miss a response to them.
+    fn log_connection_end(&self, result: io::Result<()>) {
+        let id = self.id;
+        if let Err(e) = result {
+            log::debug!("client connection {id} failed: {e}");
         }
         let unread_bytes = self.inbound.bytes().len();
         if unread_bytes > 0 {
-            log::debug!("client connection {number}: ended with {unread_bytes} bytes of unfinished messages");
+            log::debug!("client connection {id} ended: {unread_bytes} received bytes were not processed");
         }
     }
 
     fn idle_state(&self) -> IdleState {
         match self.stage {
             _ if !self.inbound.bytes().is_empty() => IdleState::PartialMessage,
-            Stage::Started if self.no_request.is_none() => IdleState::BetweenRequests,
+            Stage::Ready if self.no_request_guard.is_none() => IdleState::BetweenRequests,
             _ => IdleState::NoRequestYet,
         }
     }
 
     async fn wait_for_bytes(&mut self, state: IdleState, deadline: Option<Instant>) -> io::Result<Wait> {
         let is_idle = state != IdleState::PartialMessage;
-        let is_started = self.stage == Stage::Started;
+        let is_started = self.stage == Stage::Ready;
         Ok(tokio::select! {
             biased;
             read = self.inbound.read() => Wait::Read(read?),
             () = self.shared.idle_deadline(state, is_started, self.accepted_at), if is_idle => Wait::Close,
-            () = self.evicted.notified(), if is_idle => Wait::Close,
+            () = self.eviction.notified(), if is_idle => Wait::Close,
             () = sleep_until(deadline.unwrap_or_else(Instant::now)), if deadline.is_some() => Wait::TimedOut,
         })
     }
 
-    /// Before the connection is closed: what the system has received, and the runtime has not noticed, is
-    /// served like all that was read.
-    async fn read_unless_empty(&mut self) -> io::Result<bool> {
+    /// Reads what the kernel has received, before the connection is closed. The runtime learns of received
+    /// bytes only when it polls, so a request that arrived in time may still be unread. Returns false if
+    /// nothing was received.
+    async fn read_received_before_close(&mut self) -> io::Result<bool> {
         let unread = SockRef::from(&*self.stream).peek(&mut [MaybeUninit::uninit()]);
         if unread.is_ok_and(|count| count > 0) {
             return Ok(self.inbound.read().await? > 0);
@@ -274,11 +284,12 @@
         Ok(false)
     }
 
-    /// The next complete message; `None` when the client is gone, or when the connection is to be closed
-    /// between requests. A message that does not fit into a buffer is read on once there is room for it.
+    /// Reads the next complete message. Returns `None` if the client has disconnected, or if the connection
+    /// is to be closed. When a message does not fit into one buffer, waits for a reservation before it reads
+    /// the rest.
     async fn next_message(&mut self) -> io::Result<Option<ReceivedMessage>> {
         let mut deadline = None;
-        let mut began_at = Instant::now();
+        let mut started_at = Instant::now();
         let mut is_long = false;
         self.reservation = None;
         loop {
@@ -295,14 +306,14 @@
                 if self.inbound.bytes().len() >= buffers::BUFFER_BYTES && self.reservation.is_none() {
                     self.reservation = Some(self.shared.pool.reserve(length).await);
                     is_long = length > MAX_SHORT_MESSAGE_BYTES;
-                    began_at = Instant::now();
+                    started_at = Instant::now();
                 }
             }
-            let is_between = self.inbound.bytes().is_empty();
-            let _idle =
-                is_between.then(|| self.shared.connections.mark_idle(self.idle_reason(), self.number));
-            if !is_between && (deadline.is_none() || is_long) {
-                deadline = Some((Instant::now() + MESSAGE_TIMEOUT).min(began_at + LONG_MESSAGE_TIMEOUT));
+            let is_between_messages = self.inbound.bytes().is_empty();
+            let _idle_guard =
+                is_between_messages.then(|| self.shared.connections.mark_idle(self.idle_reason(), self.id));
+            if !is_between_messages && (deadline.is_none() || is_long) {
+                deadline = Some((Instant::now() + MESSAGE_TIMEOUT).min(started_at + LONG_MESSAGE_TIMEOUT));
             }
             if !self.read_more(deadline).await? {
                 return Ok(None);
@@ -311,7 +322,7 @@
     }
 
     fn idle_reason(&self) -> IdleReason {
-        if self.no_request.is_none() {
+        if self.no_request_guard.is_none() {
             IdleReason::BetweenRequests
         } else {
             IdleReason::NoRequestYet
@@ -326,7 +337,7 @@
         timeout(WRITE_TIMEOUT, write_all(&self.stream, slices)).await?
     }
 
-    /// Writes messages, after which the connection stays open.
+    /// Writes messages and keeps the connection open.
     pub(super) async fn reply(&self, push_messages: impl FnOnce(&mut Vec<u8>)) -> io::Result<Flow> {
         let mut out = Vec::new();
         push_messages(&mut out);
@@ -334,12 +345,12 @@
         Ok(Flow::Continue)
     }
 
-    /// Writes an error without ReadyForQuery.
+    /// Writes an ErrorResponse without ReadyForQuery.
     async fn reply_error(&self, code: &str, text: &str) -> io::Result<Flow> {
         self.reply(|out| postgres::push_error(out, Severity::Error, code, text, None)).await
     }
 
-    /// Ends a query with an error.
+    /// Answers a query with an ErrorResponse and ReadyForQuery.
     pub(super) async fn fail_query(&self, code: &str, text: &str) -> io::Result<Flow> {
         self.reply(|out| {
             postgres::push_error(out, Severity::Error, code, text, None);
@@ -348,38 +359,38 @@
         .await
     }
 
-    /// Ends the connection with an error.
+    /// Writes a FATAL ErrorResponse and ends the connection.
     pub(super) async fn fail_connection(&self, code: &str, text: &str) -> io::Result<Flow> {
         self.reply(|out| postgres::push_error(out, Severity::Fatal, code, text, None)).await?;
         Ok(Flow::End)
     }
 
-    /// The successor, where this connection may go to it.
-    fn new_owner(&self) -> Option<Successor> {
+    /// Returns the successor if this connection is to be handed over to it.
+    fn handover_target(&self) -> Option<Successor> {
         let is_closed = self.shared.phase.current() >= ServicePhase::ListenerClosed;
         let successor = self.shared.successor.borrow().clone();
         successor.filter(|_| self.may_be_handed_over && is_closed)
     }
 
     async fn hand_over(self, successor: &Successor) {
-        let Self { shared, number, stream, inbound, stage, .. } = self;
+        let Self { shared, id, stream, inbound, stage, .. } = self;
         drop(inbound);
         let Some(stream) = Rc::into_inner(stream) else { return };
-        match successor.hand_over_client(stream, stage == Stage::Started).await {
+        match successor.hand_over_client(stream, stage == Stage::Ready).await {
             Ok(()) => {
                 let limit = shared.reduced_limit.get();
                 shared.reduced_limit.set(limit.map(|limit| limit.saturating_sub(1)));
             }
-            Err(e) => log::debug!("client connection {number}: can't be handed over: {e}"),
+            Err(e) => log::debug!("handover of client connection {id} failed: {e}"),
         }
     }
 
-    /// Closes the connection in order, whatever ended it. It may be evicted meanwhile.
+    /// Closes the connection gracefully, also after an error. Eviction closes it at once.
     async fn close(&mut self) {
-        let _idle = self.shared.connections.mark_idle(IdleReason::Closing, self.number);
+        let _idle_guard = self.shared.connections.mark_idle(IdleReason::Closing, self.id);
         tokio::select! {
             () = self.inbound.close() => {}
-            () = self.evicted.notified() => {}
+            () = self.eviction.notified() => {}
         }
     }
 }
--- a/src/net/client/connection_table.rs
+++ b/src/net/client/connection_table.rs
@@ -1,7 +1,7 @@
-//! The client connections: how many there are, which of them are idle and since when, and eviction of idle
-//! ones.
+//! Table of the client connections: their number, the idle ones with the start of their idle time, and the
+//! eviction of idle connections.
 //!
-//! Guards keep the counts and sets in step with the connections' tasks.
+//! Guards that the connection tasks hold keep the counts and sets up to date.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, HashMap};
@@ -11,30 +11,31 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Time without an open request after which a client may be evicted to make room for another.
+/// Idle time after which a client may be evicted to make room for another one.
 const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_secs(2);
 
-/// Number of a connection, in the order in which they were accepted.
-pub(super) type ConnectionNumber = u64;
+/// Id of a connection, ascending in the order in which this process received the connections.
+pub(super) type ConnectionId = u64;
 
 /// Why a connection is idle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum IdleReason {
-    /// It has sent no request yet.
+    /// The client has sent no request yet.
     NoRequestYet,
-    /// All its requests are answered.
+    /// All requests of the client have been answered.
     BetweenRequests,
-    /// It has ended, and waits for its client to close.
+    /// The connection has ended and waits for its client to close.
     Closing,
 }
 
-/// Idle connections, the one that has been idle longest first.
+/// Idle connections, ordered by the start of their idle time.
 #[derive(Default)]
-struct IdleSet(RefCell<BTreeSet<(Instant, ConnectionNumber)>>);
+struct IdleSet(RefCell<BTreeSet<(Instant, ConnectionId)>>);
 
 impl IdleSet {
-    /// Removes the connection that has been idle longest, if that is at least so long.
-    fn take_longest(&self, min_idle: Duration) -> Option<ConnectionNumber> {
+    /// Removes and returns the connection that has been idle longest, if it has been idle for at least
+    /// `min_idle`.
+    fn pop_longest_idle(&self, min_idle: Duration) -> Option<ConnectionId> {
         let first = self.0.borrow().first().copied();
         let first = first.filter(|(since, _)| since.elapsed() >= min_idle)?;
         self.0.borrow_mut().remove(&first);
@@ -49,9 +50,9 @@
 /// All client connections.
 #[derive(Default)]
 pub(super) struct ConnectionTable {
-    /// Each with what tells its task that it is evicted.
-    connections: RefCell<HashMap<ConnectionNumber, Rc<Notify>>>,
-    last_number: Cell<ConnectionNumber>,
+    /// Connections, each with the notification that its task receives when it is evicted.
+    connections: RefCell<HashMap<ConnectionId, Rc<Notify>>>,
+    last_id: Cell<ConnectionId>,
     without_request: Cell<usize>,
     idle_without_request: IdleSet,
     idle_between_requests: IdleSet,
@@ -59,22 +60,22 @@
 }
 
 impl ConnectionTable {
-    /// The number of the next connection.
-    pub(super) fn next_number(&self) -> ConnectionNumber {
-        let number = self.last_number.get() + 1;
-        self.last_number.set(number);
-        number
+    /// Assigns the id of the next connection.
+    pub(super) fn next_id(&self) -> ConnectionId {
+        let id = self.last_id.get() + 1;
+        self.last_id.set(id);
+        id
     }
 
-    /// Adds a connection; gives what tells it that it is evicted.
-    pub(super) fn insert(&self, number: ConnectionNumber) -> Rc<Notify> {
-        let evicted = Rc::new(Notify::new());
-        self.connections.borrow_mut().insert(number, evicted.clone());
-        evicted
+    /// Adds a connection. Returns the notification of its eviction.
+    pub(super) fn insert(&self, id: ConnectionId) -> Rc<Notify> {
+        let eviction = Rc::new(Notify::new());
+        self.connections.borrow_mut().insert(id, eviction.clone());
+        eviction
     }
 
-    pub(super) fn remove(&self, number: ConnectionNumber) {
-        self.connections.borrow_mut().remove(&number);
+    pub(super) fn remove(&self, id: ConnectionId) {
+        self.connections.borrow_mut().remove(&id);
     }
 
     pub(super) fn len(&self) -> usize {
@@ -85,35 +86,35 @@
         self.len() == 0
     }
 
-    /// Connections that have sent no request yet, idle or not.
+    /// Returns the number of connections that have sent no request yet, idle or not.
     pub(super) fn without_request(&self) -> usize {
         self.without_request.get()
     }
 
-    /// Connections that are idle for a reason.
-    pub(super) fn idle(&self, reason: IdleReason) -> usize {
+    /// Returns the number of connections that are idle for `reason`.
+    pub(super) fn idle_count(&self, reason: IdleReason) -> usize {
         self.idle_set(reason).len()
     }
 
-    /// Evicts the client that has been idle longest, if any may be evicted: one that has ended anyway, else
-    /// one that has sent no request yet, else one between requests. Otherwise clients that connect and stay
-    /// would keep others out.
+    /// Evicts the connection that has been idle longest, in this order of preference: connections that have
+    /// ended, connections without a request yet, connections between requests. Returns false if none may be
+    /// evicted. Without eviction, clients that connect and stay idle would keep other clients out.
     pub(super) fn evict_one(&self) -> bool {
-        let number = self
+        let id = self
             .closing
-            .take_longest(Duration::ZERO)
-            .or_else(|| self.idle_without_request.take_longest(MIN_IDLE_BEFORE_EVICTION))
-            .or_else(|| self.idle_between_requests.take_longest(MIN_IDLE_BEFORE_EVICTION));
-        if let Some(evicted) = number.and_then(|number| self.connections.borrow().get(&number).cloned()) {
-            evicted.notify_waiters();
+            .pop_longest_idle(Duration::ZERO)
+            .or_else(|| self.idle_without_request.pop_longest_idle(MIN_IDLE_BEFORE_EVICTION))
+            .or_else(|| self.idle_between_requests.pop_longest_idle(MIN_IDLE_BEFORE_EVICTION));
+        if let Some(eviction) = id.and_then(|id| self.connections.borrow().get(&id).cloned()) {
+            eviction.notify_waiters();
         }
-        number.is_some()
+        id.is_some()
     }
 
     /// Marks a connection as idle until the guard is dropped.
-    pub(super) fn mark_idle(&self, reason: IdleReason, number: ConnectionNumber) -> IdleGuard<'_> {
+    pub(super) fn mark_idle(&self, reason: IdleReason, id: ConnectionId) -> IdleGuard<'_> {
         let set = self.idle_set(reason);
-        let entry = (Instant::now(), number);
+        let entry = (Instant::now(), id);
         set.0.borrow_mut().insert(entry);
         IdleGuard { set, entry }
     }
@@ -127,10 +128,10 @@
     }
 }
 
-/// A connection that is idle.
+/// Keeps a connection in an idle set until it is dropped.
 pub(super) struct IdleGuard<'t> {
     set: &'t IdleSet,
-    entry: (Instant, ConnectionNumber),
+    entry: (Instant, ConnectionId),
 }
 
 impl Drop for IdleGuard<'_> {
@@ -139,7 +140,7 @@
     }
 }
 
-/// Counts a connection among those that have sent no request yet, until it is dropped.
+/// Counts a connection among those that have sent no request yet, until the guard is dropped.
 pub(super) struct NoRequestGuard(Rc<ConnectionTable>);
 
 impl NoRequestGuard {
--- a/src/net/client/inbound.rs
+++ b/src/net/client/inbound.rs
@@ -1,7 +1,7 @@
-//! What a client sends: the bytes, when each was read, whether the client is still connected, and the orderly
-//! close.
+//! The receiving side of a client connection: received bytes with the times at which they were read,
+//! detection of a disconnected client, and the graceful close.
 //!
-//! Reads at most one buffer ahead.
+//! At most one buffer is read ahead of the message that is being processed.
 
 use std::collections::VecDeque;
 use std::io;
@@ -17,38 +17,39 @@
 use crate::net::buffers::{self, BufferChain, BufferPool};
 use crate::net::driver::ClientHandle;
 
-/// Reads closer to each other than this are merged: it is too short to matter for a request's time.
+/// Reads within this time of each other share one record; the difference does not matter for a request's
+/// timeout.
 const READ_MERGE_INTERVAL: Duration = Duration::from_millis(2);
-/// Interval at which a client that has sent more ahead than is read is checked for a close.
+/// Interval at which a client is checked for a disconnect while its read-ahead buffer is full.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for which a closing connection is read after the last answer, so that the client gets that answer.
+/// Time for which a closing connection is still read after the last response, so that the client receives
+/// that response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Largest number of bytes that are read in that time.
+/// Largest number of bytes that are read within [`LINGER_TIMEOUT`].
 const MAX_LINGER_BYTES: usize = 1 << 20;
 
-/// Bytes that were read at one time.
+/// Number of bytes that were read at one time.
 struct ReadRecord {
     bytes: usize,
     read_at: Instant,
 }
 
-/// A complete message, with the time at which its last byte was read.
+/// A complete message and the time at which its last byte was read.
 pub(super) struct ReceivedMessage {
     pub bytes: BufferChain,
     pub received_at: Instant,
 }
 
-/// The receiving half of a client's connection.
+/// The receiving side of a client connection.
 pub(super) struct Inbound {
     stream: Rc<TcpStream>,
     bytes: BufferChain,
-    /// The reads that `bytes` came with, oldest first.
+    /// Reads that delivered `bytes`, oldest first.
     reads: VecDeque<ReadRecord>,
 }
 
 impl ClientHandle for TcpStream {
-    /// Asks the system, which knows of a close before anything is read, even behind bytes that are not read
-    /// yet.
+    /// Asks the kernel, which reports a close even if received bytes before it have not been read.
     fn is_gone(&self) -> bool {
         let mut polled = [PollFd::new(self, PollFlags::RDHUP)];
         poll(&mut polled, Some(&Timespec::default())).is_ok_and(|ready| ready > 0)
@@ -60,12 +61,13 @@
         Self { stream, bytes: pool.chain(), reads: VecDeque::new() }
     }
 
-    /// What was read and is not used yet.
+    /// Returns the bytes that were read and not consumed.
     pub(super) fn bytes(&self) -> &BufferChain {
         &self.bytes
     }
 
-    /// Waits until the socket is readable and reads once; 0 is the end of the stream.
+    /// Waits until the socket is readable and reads once. Returns the number of bytes; 0 is the end of the
+    /// stream.
     pub(super) async fn read(&mut self) -> io::Result<usize> {
         let bytes = self.bytes.read_from(&self.stream).await?;
         let now = Instant::now();
@@ -76,7 +78,7 @@
         Ok(bytes)
     }
 
-    /// Takes the first `count` bytes out, with the time at which the last of them was read.
+    /// Removes and returns the first `count` bytes, with the time at which the last of them was read.
     pub(super) fn split_to(&mut self, count: usize) -> ReceivedMessage {
         let mut remaining = count;
         let mut received_at = Instant::now();
@@ -92,9 +94,9 @@
         ReceivedMessage { bytes: self.bytes.split_to(count), received_at }
     }
 
-    /// Waits until the client has closed its connection. What it sends ahead meanwhile is read up to one
-    /// buffer; the system buffers the rest.
-    pub(super) async fn client_gone(&mut self) {
+    /// Waits until the client has closed its connection. Reads pipelined bytes meanwhile, up to one buffer;
+    /// the rest stays in the kernel's socket buffer.
+    pub(super) async fn wait_until_gone(&mut self) {
         loop {
             if self.bytes.len() < buffers::BUFFER_BYTES {
                 if !self.read().await.is_ok_and(|bytes| bytes > 0) {
@@ -108,13 +110,13 @@
         }
     }
 
-    /// Closes the connection in order: shuts down writing, then reads for a bounded time what the client
-    /// still sends. A close over unread bytes would reset the connection, and the client could lose the last
-    /// answer. What is read here was sent to a connection that had ended; its client sends it again on a new
-    /// one.
+    /// Closes the connection gracefully: shuts down writing, then reads and discards further bytes for a
+    /// bounded time. Closing a socket with unread bytes would reset the connection, and the client could lose
+    /// the last response. The discarded bytes arrived after the connection had ended; the client sends those
+    /// requests again on a new connection.
     pub(super) async fn close(&mut self) {
         if SockRef::from(&*self.stream).shutdown(Shutdown::Write).is_err() {
-            return; // the client has closed it
+            return; // the client has closed the connection
         }
         let _ = timeout(LINGER_TIMEOUT, self.discard_rest()).await;
     }
--- a/src/net/client/long_statement.rs
+++ b/src/net/client/long_statement.rs
@@ -1,18 +1,18 @@
-//! Long statements: the hex digits in the middle are not copied for parsing.
+//! Parsing of long statements without copying the hex digits in the middle of a value.
 
 use std::ops::Range;
 
 use crate::net::buffers::BufferChain;
 
-/// Where the text of a query starts in its message.
+/// Offset of the query text in its message: the type byte and the length field.
 const TEXT_OFFSET: usize = 5;
-/// Bytes at the start and the end of a long statement that are parsed.
+/// Number of bytes that are parsed at each end of a long statement.
 const PARSED_END_BYTES: usize = 4096;
 
-/// The text of a query without the part that needs no parsing.
+/// Text of a query without the part that need not be parsed.
 pub(super) struct AbridgedText {
-    /// Bytes of the message that are left out: an even number of hex digits inside a value, so that what
-    /// remains parses as the whole text does.
+    /// Range of the message that is left out: an even number of hex digits inside a value, so that the
+    /// remaining text parses to the same result as the whole text.
     omitted: Range<usize>,
 }
 
@@ -26,7 +26,7 @@
         Self { omitted }
     }
 
-    /// Copies what is to be parsed into one piece.
+    /// Replaces the content of `text` by the text that is to be parsed.
     pub(super) fn copy(&self, message: &BufferChain, text: &mut Vec<u8>) {
         text.clear();
         for part in [TEXT_OFFSET..self.omitted.start, self.omitted.end..message.len()] {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Where in the message a range of the copied text stands.
+    /// Converts a range of the copied text to a range of the message.
     pub(super) fn message_range(&self, text_range: &Range<usize>) -> Range<usize> {
         self.message_offset(text_range.start)..self.message_offset(text_range.end)
     }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Looks at every byte without an early exit, which the compiler vectorizes.
+/// Returns whether all bytes are hex digits. Has no early exit, so that the compiler can vectorize the loop.
 fn is_hex(slice: &[u8]) -> bool {
     slice.iter().fold(true, |all, byte| all & byte.is_ascii_hexdigit())
 }
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -1,9 +1,8 @@
-//! The client side: the listener, and one task for each connection.
+//! The client side of the proxy: the listener, and one task for each client connection.
 //!
-//! A connection reads simple queries, submits them to the driver and writes the final answers, complete and
-//! in order. [`ClientService`] owns the listener's loop, the connections and the phases in which the process
-//! leaves service. Each connection's task is spawned on the local set, ends with its connection, and logs its
-//! error.
+//! A connection task reads simple queries, submits them to the driver and writes complete responses in order.
+//! [`ClientService`] owns the accept loop, the connections and the service phase. Each connection task is
+//! spawned on the local task set, ends with its connection, and logs the error that ended it.
 
 mod class_table;
 mod connection;
--- a/src/net/client/pause_detector.rs
+++ b/src/net/client/pause_detector.rs
@@ -1,36 +1,37 @@
-//! Detects that the process was paused, from how late a periodic task runs.
+//! Detection of process pauses by the delay of a periodic task.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Delay of the periodic task from which on the process counts as paused.
+/// Smallest delay of the periodic task that counts as a process pause.
 const MIN_PAUSE: Duration = Duration::from_millis(150);
 
-/// The last process pause.
+/// A process pause.
 #[derive(Clone, Copy)]
 struct Pause {
     ended_at: Instant,
     length: Duration,
 }
 
-/// Notes process pauses.
+/// Detects and records process pauses.
 pub(super) struct PauseDetector {
+    /// Interval of the periodic task.
     interval: Duration,
     last_run: Cell<Instant>,
     last_pause: Cell<Pause>,
 }
 
 impl PauseDetector {
-    /// For a task that calls [`Self::record_run`] at this interval.
+    /// Creates a detector for a task that calls [`Self::record_run`] at `interval`.
     pub(super) fn new(interval: Duration) -> Self {
         let now = Instant::now();
         let no_pause = Pause { ended_at: now, length: Duration::ZERO };
         Self { interval, last_run: Cell::new(now), last_pause: Cell::new(no_pause) }
     }
 
-    /// The process runs now.
+    /// Records a run of the periodic task, and a pause if the run is late.
     pub(super) fn record_run(&self) {
         let delay = self.last_run.replace(Instant::now()).elapsed().saturating_sub(self.interval);
         if delay >= MIN_PAUSE {
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Length of a pause that ended just now; zero without one.
-    pub(super) fn current_pause(&self) -> Duration {
+    /// Returns the length of a pause that ended within the last interval, or zero if there was none.
+    pub(super) fn recent_pause(&self) -> Duration {
         self.record_run();
         let pause = self.last_pause.get();
         if pause.ended_at.elapsed() < self.interval {
--- a/src/net/client/query.rs
+++ b/src/net/client/query.rs
@@ -1,4 +1,4 @@
-//! Simple queries: parsing, submission to the driver, and the final answer.
+//! Simple queries: parsing, validation, submission to the driver, and the response to the client.
 
 use std::io::{self, IoSlice};
 use std::time::Duration;
@@ -17,7 +17,7 @@
 use crate::net::server::{Answer, Query};
 
 impl Connection<'_> {
-    pub(super) async fn query(&mut self, message: ReceivedMessage) -> io::Result<Flow> {
+    pub(super) async fn handle_query(&mut self, message: ReceivedMessage) -> io::Result<Flow> {
         let text = AbridgedText::new(&message.bytes);
         let parsed = {
             let mut scratch = self.shared.scratch.borrow_mut();
@@ -37,14 +37,14 @@
                 })
                 .await
             }
-            Some(postgres::Query::Routed(statement)) => self.route(statement, message, &text).await,
+            Some(postgres::Query::Routed(statement)) => self.handle_routed(statement, message, &text).await,
             None => self.fail_query("42601", "not a statement that this proxy can route").await,
         }
     }
 
-    /// An empty query is the load balancer's health check.
+    /// Answers an empty query, which is the load balancer's health check.
     async fn answer_empty_query(&self) -> io::Result<Flow> {
-        if self.shared.phase.current() != ServicePhase::Open {
+        if self.shared.phase.current() != ServicePhase::InService {
             return self.fail_query("57P03", "the proxy is out of service").await;
         }
         self.reply(|out| {
@@ -54,8 +54,9 @@
         .await
     }
 
-    /// Checks a statement, since a data server would decline it or close its connection, and submits it.
-    async fn route(
+    /// Validates a statement and submits it. A data server would reject an invalid statement, or close the
+    /// pooled connection that it came on.
+    async fn handle_routed(
         &mut self,
         statement: Statement,
         message: ReceivedMessage,
@@ -75,7 +76,8 @@
             IdStatus::InUse => {
                 return self.fail_query("08P01", "the statement has the id of another open request").await;
             }
-            // Its client has come again before the end of its first connection was read.
+            // The client has reconnected and retries before this process has read the close of the earlier
+            // connection.
             IdStatus::Abandoned(request) => self.shared.driver.client_gone(request),
             IdStatus::Free => {}
         }
@@ -90,29 +92,31 @@
         text: &AbridgedText,
     ) -> io::Result<Flow> {
         let timeout_range = text.message_range(&statement.timeout_range);
-        let id = statement.id.clone();
+        let client_request_id = statement.id.clone();
         let request = self.new_request(statement, class, message.bytes.len(), message.received_at);
-        self.no_request = None;
+        self.no_request_guard = None;
         let query = Query { message: message.bytes, timeout_range, reservation: self.reservation.take() };
         let (request, mut response) = self.shared.driver.submit(request, query);
-        let id_guard = self.shared.request_ids.claim(id, self.number, request, self.stream.clone());
+        let id_guard =
+            self.shared.request_ids.register(client_request_id, self.id, request, self.stream.clone());
         let mut phase = self.shared.phase.subscribe();
         let response = tokio::select! {
             biased;
             response = &mut response => response,
-            _ = phase.wait_for(|phase| *phase == ServicePhase::Ended) => {
+            _ = phase.wait_for(|phase| *phase == ServicePhase::DrainEnded) => {
                 self.shared.driver.client_gone(request);
                 return self.fail_connection("57P01", "the proxy is shutting down").await;
             }
-            () = self.inbound.client_gone() => {
+            () = self.inbound.wait_until_gone() => {
                 self.shared.driver.client_gone(request);
                 return Ok(Flow::End);
             }
         };
         drop(id_guard);
         match response {
-            Ok(response) => self.answer(response).await,
-            // Its client was seen to be gone before anything was sent for it.
+            Ok(response) => self.send_response(response).await,
+            // The driver dropped the request without a response: it found the client disconnected before it
+            // wrote an attempt.
             Err(_) => Ok(Flow::End),
         }
     }
@@ -126,8 +130,9 @@
     ) -> NewRequest {
         let NamedClass { id, class } = class;
         let has_session = matches!(class.consistency, Consistency::Write | Consistency::Causal);
-        // No client waits longer over all its retries, and no request outlasts the process. What it waited
-        // behind others on its connection was its client's time too.
+        // The class deadline is the longest that a client waits, retries included. Time that the request
+        // spent behind earlier requests on its connection counts against its timeout. `request_time_left`
+        // ends the request before the process shuts down.
         let timeout = statement.timeout.min(class.deadline).saturating_sub(received_at.elapsed());
         NewRequest {
             client_request_id: statement.id,
@@ -142,17 +147,17 @@
         }
     }
 
-    async fn answer(&mut self, response: Response<Answer>) -> io::Result<Flow> {
+    async fn send_response(&mut self, response: Response<Answer>) -> io::Result<Flow> {
         match response {
             Response::Served(answer) => self.write_value(answer).await,
-            Response::Rejected(retry_after) => self.answer_rejected(retry_after).await,
+            Response::Rejected(retry_after) => self.send_rejection(retry_after).await,
             Response::Failed => {
                 self.fail_query("40003", "no answer from a data server; the statement may have run").await
             }
         }
     }
 
-    async fn answer_rejected(&self, retry_after: Option<Duration>) -> io::Result<Flow> {
+    async fn send_rejection(&self, retry_after: Option<Duration>) -> io::Result<Flow> {
         let retry_after_ms = retry_after.map(|after| after.as_millis().to_string());
         self.reply(|out| {
             let text = "no server can take this in time";
@@ -162,8 +167,9 @@
         .await
     }
 
-    /// Writes a value. A large one is written as it comes; where its rest fails, the connection fails too:
-    /// what was written can't be taken back, and the client must be able to tell.
+    /// Writes a value. A large value is streamed as the data server sends it. If the stream fails midway, the
+    /// client connection is closed: bytes already written cannot be retracted, and the client must not take
+    /// the value for complete.
     async fn write_value(&self, mut answer: Answer) -> io::Result<Flow> {
         let mut ready = Vec::new();
         postgres::push_ready_for_query(&mut ready);
--- a/src/net/client/rejection_log.rs
+++ b/src/net/client/rejection_log.rs
@@ -1,22 +1,24 @@
-//! Log lines about rejected clients, at a bounded rate.
+//! Rate limit for the log lines about rejected clients.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Time between two lines.
+/// Minimum time between two log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Counts rejected clients between log lines.
 #[derive(Default)]
 pub(super) struct RejectionLog {
+    /// Clients rejected since the last log line.
     rejected: Cell<u64>,
     logged_at: Cell<Option<Instant>>,
 }
 
 impl RejectionLog {
-    /// Counts one more; gives the count when a line is due.
+    /// Counts a rejected client. Returns the count since the last log line if a line is due, `None`
+    /// otherwise.
     pub(super) fn record(&self) -> Option<u64> {
         let rejected = self.rejected.get() + 1;
         if self.logged_at.get().is_some_and(|at| at.elapsed() < LOG_INTERVAL) {
--- a/src/net/client/request_ids.rs
+++ b/src/net/client/request_ids.rs
@@ -1,4 +1,4 @@
-//! The ids that clients gave to their requests in flight. No two requests in flight may share one.
+//! Client-assigned ids of the requests in flight. No two requests in flight may have the same id.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -6,30 +6,30 @@
 
 use tokio::net::TcpStream;
 
-use super::connection_table::ConnectionNumber;
+use super::connection_table::ConnectionId;
 use crate::api::RequestId;
 use crate::net::driver::ClientHandle;
 
-/// Which request has an id.
-struct Owner {
-    connection: ConnectionNumber,
+/// Request that has an id, and its connection.
+struct IdOwner {
+    connection: ConnectionId,
     request: RequestId,
     client: Rc<TcpStream>,
 }
 
-/// What is known of an id that a statement names.
+/// Status of an id that a statement names.
 pub(super) enum IdStatus {
-    /// No request in flight has it.
+    /// No request in flight has the id.
     Free,
-    /// A request has it whose client has closed its connection.
+    /// A request in flight has the id, and its client has closed the connection.
     Abandoned(RequestId),
-    /// A request has it whose client is connected.
+    /// A request in flight has the id, and its client is connected.
     InUse,
 }
 
-/// Ids of requests in flight.
+/// Table of the ids of requests in flight.
 #[derive(Default)]
-pub(super) struct RequestIds(RefCell<HashMap<String, Owner>>);
+pub(super) struct RequestIds(RefCell<HashMap<String, IdOwner>>);
 
 impl RequestIds {
     pub(super) fn len(&self) -> usize {
@@ -44,24 +44,24 @@
         }
     }
 
-    /// Gives an id to a request until the guard is dropped, or until another request takes it over.
-    pub(super) fn claim(
+    /// Registers the id of a request until the guard is dropped, or until another request registers the id.
+    pub(super) fn register(
         &self,
         id: String,
-        connection: ConnectionNumber,
+        connection: ConnectionId,
         request: RequestId,
         client: Rc<TcpStream>,
     ) -> IdGuard<'_> {
-        self.0.borrow_mut().insert(id.clone(), Owner { connection, request, client });
+        self.0.borrow_mut().insert(id.clone(), IdOwner { connection, request, client });
         IdGuard { ids: self, id, connection }
     }
 }
 
-/// A request's id.
+/// Removes the id of a request when dropped, unless another connection's request has registered the id.
 pub(super) struct IdGuard<'i> {
     ids: &'i RequestIds,
     id: String,
-    connection: ConnectionNumber,
+    connection: ConnectionId,
 }
 
 impl Drop for IdGuard<'_> {
--- a/src/net/client/service.rs
+++ b/src/net/client/service.rs
@@ -1,4 +1,4 @@
-//! The listener's loop, admission of clients, and the orders that concern all of them.
+//! The accept loop, admission and eviction of clients, and operations that affect all clients.
 
 use std::collections::HashMap;
 use std::io;
@@ -11,7 +11,7 @@
 use tokio::time::MissedTickBehavior;
 
 use super::class_table::NamedClass;
-use super::connection::{self, Admission};
+use super::connection::{self, InitialStage};
 use super::service_phase::ServicePhase;
 use super::shared::Shared;
 use crate::api::Settings;
@@ -19,43 +19,46 @@
 use crate::net::hot_restart::frame::Successor;
 use crate::net::server::PgDriver;
 
-/// Share of the usual number of clients from which on idle connections are evicted.
-const EVICTION_SHARE: f64 = 0.5;
-/// Share of the client limit that clients without a request may have. Beyond it a new client must send one at
-/// once.
+/// Idle connections are evicted while the number of clients is at least this share of the usual number.
+const EVICTION_THRESHOLD_SHARE: f64 = 0.5;
+/// Share of the client limit that clients without a request may use. Beyond it, a new client gets a short
+/// deadline for its first request.
 const MAX_SHARE_WITHOUT_REQUEST: f64 = 0.25;
-/// Interval of the search for connections to evict.
+/// Interval between searches for connections to evict.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
-/// Clients over the limit that get an error at the same time; further ones are closed unread.
+/// Largest number of clients over the limit that are connected at the same time to receive an error. Further
+/// clients are closed without one.
 const MAX_REJECTED_AT_ONCE: usize = 8;
-/// Time for which clients still arrive after the load balancer was told to send no more: it asks each 0.1 s,
-/// and sends some for 0.2 s after that.
-const ARRIVALS_AFTER_NOTICE: Duration = Duration::from_millis(600);
-/// Pause after a failed accept, which must neither end nor spin the loop.
+/// Time from the first failing health check to the closing of idle connections. The load balancer checks
+/// every 0.1 s and may send clients for 0.2 s after a failed check.
+const OUT_OF_SERVICE_NOTICE_PERIOD: Duration = Duration::from_millis(600);
+/// Pause after a failed accept, which must neither end the accept loop nor make it spin.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 const LISTEN_BACKLOG: u32 = 1024;
 
-/// What the client side is set up with.
+/// Options of the client side.
 pub struct ClientOptions {
-    /// Largest number of clients; further ones are rejected.
+    /// Largest number of clients; further clients are rejected.
     pub max_clients: usize,
-    /// Number of clients beyond which each takes a socket from the data servers' side.
+    /// Number of clients whose sockets are reserved; each further client takes a socket from the data
+    /// servers.
     pub usual_clients: usize,
-    /// Sockets of both sides together.
+    /// Number of sockets for clients and data servers together.
     pub sockets: usize,
-    /// The classes of requests, by name.
+    /// Classes of requests, by name.
     pub classes: HashMap<String, NamedClass>,
 }
 
-/// The client side of a process. Clones share it.
+/// Handle to the client side of a process. Clones refer to the same state.
 #[derive(Clone)]
 pub struct ClientService(pub(super) Rc<Shared>);
 
-/// Listens at an address, which another process may have left a moment ago, or may still have.
+/// Opens a listener. The address may still be in use by another process of this proxy, or may have been
+/// released a moment ago.
 ///
 /// # Errors
 ///
-/// Those of the system.
+/// Returns the error of the system call that failed.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_reuseaddr(true)?;
@@ -65,28 +68,28 @@
 }
 
 impl ClientService {
-    /// A client side without clients.
+    /// Creates a client side without clients.
     pub fn new(driver: PgDriver, options: ClientOptions, pool: BufferPool) -> Self {
         Self(Rc::new(Shared::new(driver, options, pool)))
     }
 
-    /// Accepts clients until a graceful shutdown closes the listener. `successor_task` has a copy of the
-    /// listener for successors; the accept queue stays open as long as that task runs. Must run inside a
+    /// Accepts clients until a graceful shutdown closes the listener. `successor_task` holds a duplicate of
+    /// the listener for a successor, which keeps the accept queue open while the task runs. Must run inside a
     /// [`tokio::task::LocalSet`].
     pub async fn run(&self, listener: TcpListener, successor_task: Option<JoinHandle<()>>) {
         self.accept_until_closed(&listener).await;
-        // A successor has the same accept queue.
+        // A successor shares the accept queue and accepts the connections in it.
         if !self.has_successor() {
             if let Some(task) = successor_task {
                 task.abort();
                 let _ = task.await;
             }
             if let Err(e) = self.drain_accept_queue(listener).await {
-                log::warn!("can't drain the accept queue: {e}");
+                log::warn!("draining the accept queue failed: {e}");
             }
         }
         self.0.update_shutdown(|shutdown| shutdown.listener_closed());
-        self.0.shutdown_progress.notify_waiters();
+        self.0.shutdown_notify.notify_waiters();
     }
 
     async fn accept_until_closed(&self, listener: &TcpListener) {
@@ -96,21 +99,22 @@
         sweep.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                // A client that arrives when the successor takes over belongs to the successor.
+                // Checked before the listener: a client that arrives while the successor takes over is left
+                // to the successor.
                 biased;
                 Ok(()) = successor_accepts.changed() => {}
                 _ = phase.wait_for(|phase| *phase >= ServicePhase::ListenerClosed) => return,
                 _ = sweep.tick() => {
                     self.0.pauses.record_run();
-                    while self.is_crowded() && self.0.connections.evict_one() {}
+                    while self.needs_eviction() && self.0.connections.evict_one() {}
                 }
                 accepted = listener.accept(), if !*successor_accepts.borrow() => self.admit(accepted).await,
             }
         }
     }
 
-    /// Accepts all that is left in the accept queue, since the system has accepted these connections. Asks
-    /// the system and not the runtime, whose readiness is as old as its last poll.
+    /// Accepts the connections left in the accept queue, which the kernel has already established. Calls
+    /// `accept` directly, since the runtime's readiness state is as old as its last poll.
     async fn drain_accept_queue(&self, listener: TcpListener) -> io::Result<()> {
         let queue = listener.into_std()?;
         loop {
@@ -136,82 +140,89 @@
         };
         let shared = &self.0;
         let limit = self.limit();
-        let made_room = self.is_crowded() && shared.connections.evict_one();
-        let is_full = shared.connections.len() >= limit && !made_room;
-        if is_full {
+        let made_room = self.needs_eviction() && shared.connections.evict_one();
+        let at_limit = shared.connections.len() >= limit && !made_room;
+        if at_limit {
             shared.log_rejection();
         }
         if shared.connections.len() >= limit + MAX_REJECTED_AT_ONCE {
-            return tokio::task::yield_now().await; // evicted connections must get to end
+            return tokio::task::yield_now().await; // lets the tasks of evicted connections end
         }
         let without_request = shared.connections.without_request() as f64;
-        let must_hurry = without_request >= limit as f64 * MAX_SHARE_WITHOUT_REQUEST;
-        connection::spawn(shared, stream, Admission::New { is_full, must_hurry });
+        let short_deadline = without_request >= limit as f64 * MAX_SHARE_WITHOUT_REQUEST;
+        connection::spawn(shared, stream, InitialStage::Startup { at_limit, short_deadline });
     }
 
-    fn is_crowded(&self) -> bool {
-        let usual = self.0.usual_clients().min(self.limit());
-        self.0.connections.len() as f64 >= usual as f64 * EVICTION_SHARE
+    fn needs_eviction(&self) -> bool {
+        let usual_clients = self.0.usual_clients().min(self.limit());
+        self.0.connections.len() as f64 >= usual_clients as f64 * EVICTION_THRESHOLD_SHARE
     }
 
-    /// Takes over a connection between requests; `started` if its startup is done.
+    /// Serves a connection that another process has handed over between requests. `started` says whether its
+    /// startup is complete.
     pub fn adopt(&self, stream: TcpStream, started: bool) {
         self.0.reduced_limit.set(self.0.reduced_limit.get().map(|limit| limit + 1));
-        let admission =
-            if started { Admission::Started } else { Admission::New { is_full: false, must_hurry: false } };
-        connection::spawn(&self.0, stream, admission);
+        let initial_stage = if started {
+            InitialStage::Ready
+        } else {
+            InitialStage::Startup { at_limit: false, short_deadline: false }
+        };
+        connection::spawn(&self.0, stream, initial_stage);
     }
 
-    /// Takes new settings, whose classes go by `names`, for requests that come from now on.
+    /// Applies new settings to requests that arrive from now on. `names` holds the names of the classes in
+    /// the order of the settings.
     pub fn reconfigure(&self, settings: Settings, names: &[String]) {
         self.0.classes.borrow_mut().reconfigure(&self.0.driver, settings, names);
     }
 
-    /// Takes the proxy out of service: empty queries, which health checks send, get an error from now on;
-    /// clients are served until the load balancer has noticed, and are then closed between requests. The
-    /// process goes on.
+    /// Takes the proxy out of service without ending the process. Empty queries, which health checks send,
+    /// get an error at once. Clients are served until the load balancer has seen the error, and are then
+    /// closed between requests.
     pub fn take_out_of_service(&self) {
         if self.is_out_of_service() {
             return;
         }
-        self.0.phase.order(ServicePhase::Announced);
+        self.0.phase.set_by_operator(ServicePhase::FailingHealthChecks);
         let shared = self.0.clone();
-        let order = shared.phase.last_order();
+        let change_count = shared.phase.operator_change_count();
         spawn_local(async move {
-            tokio::time::sleep(ARRIVALS_AFTER_NOTICE).await;
-            if shared.phase.last_order() == order {
-                shared.phase.order(ServicePhase::OutOfService);
+            tokio::time::sleep(OUT_OF_SERVICE_NOTICE_PERIOD).await;
+            if shared.phase.operator_change_count() == change_count {
+                shared.phase.set_by_operator(ServicePhase::OutOfService);
             }
         });
     }
 
-    /// Returns to service after [`Self::take_out_of_service`].
+    /// Returns the proxy to service after [`Self::take_out_of_service`].
     pub fn return_to_service(&self) {
-        self.0.phase.order(ServicePhase::Open);
+        self.0.phase.set_by_operator(ServicePhase::InService);
     }
 
-    /// Whether the proxy was taken out of service, or shuts down.
+    /// Returns whether the proxy is out of service, about to be, or draining clients for a shutdown.
     pub fn is_out_of_service(&self) -> bool {
-        self.0.phase.current() != ServicePhase::Open
+        self.0.phase.current() != ServicePhase::InService
     }
 
-    /// Largest number of clients.
+    /// Returns the current client limit, which is lower while another process serves a part of the clients.
     pub fn limit(&self) -> usize {
         self.0.limit()
     }
 
-    /// Reduces the limit while another process has a part of the clients.
+    /// Sets a reduced client limit while another process serves a part of the clients; `None` restores the
+    /// full limit.
     pub fn set_limit(&self, limit: Option<usize>) {
         self.0.reduced_limit.set(limit);
     }
 
-    /// Restores the full limit and accepts clients: no other process does any more.
+    /// Restores the full client limit and accepts clients again, because no other process does any more.
     pub fn clear_limit(&self) {
         self.set_limit(None);
         self.0.successor_accepts.send_replace(false);
     }
 
-    /// Accepts no more clients and keeps those that are connected; gives how many these are.
+    /// Stops accepting clients and keeps those that are connected. Returns the number of clients kept, which
+    /// becomes the client limit.
     pub fn stop_accepting(&self) -> usize {
         let kept = self.0.connections.len().min(self.limit());
         self.set_limit(Some(kept));
@@ -219,19 +230,20 @@
         kept
     }
 
-    /// Sets who takes over connections once the listener is closed.
+    /// Sets the successor that takes over connections once the listener is closed; `None` if there is none
+    /// any more.
     pub fn set_successor(&self, successor: Option<Successor>) {
         self.0.successor.replace(successor);
-        self.0.shutdown_progress.notify_waiters();
+        self.0.shutdown_notify.notify_waiters();
     }
 
-    /// Sets a newer process that has a listener of its own, or that it has ended.
+    /// Sets a newer process that serves in parallel with a listener of its own; `None` when it has ended.
     pub fn set_parallel_successor(&self, other: Option<Successor>) {
         self.0.parallel_successor.replace(other);
-        self.0.shutdown_progress.notify_waiters();
+        self.0.shutdown_notify.notify_waiters();
     }
 
-    /// Whether a successor takes over connections.
+    /// Returns whether a successor takes over connections.
     pub fn has_successor(&self) -> bool {
         self.0.successor.borrow().is_some()
     }
--- a/src/net/client/service_phase.rs
+++ b/src/net/client/service_phase.rs
@@ -1,36 +1,38 @@
-//! Whether the proxy accepts clients and keeps those that it has.
+//! Service phase of the proxy: whether it accepts clients and keeps those that are connected.
 
 use std::cell::Cell;
 
 use tokio::sync::watch;
 
-/// How far the proxy has withdrawn from service. The order is that of withdrawal.
+/// Phase of the proxy on its way from service to the end of a graceful shutdown, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub(super) enum ServicePhase {
-    /// In service.
-    Open,
-    /// The load balancer in front is told to send no more clients; those that still come are served.
-    Announced,
-    /// Connections end between requests, and new ones are rejected.
+    /// Accepts and serves clients.
+    InService,
+    /// Health checks of the load balancer fail, so that it sends no more clients. Clients that still connect
+    /// are served.
+    FailingHealthChecks,
+    /// Connections are closed between requests, and new ones are rejected.
     OutOfService,
-    /// Graceful shutdown: connections end between requests; a new one is accepted for one request.
+    /// Graceful shutdown: connections are closed between requests, and a new one is accepted for one request.
     Draining,
-    /// The same, and nobody listens.
+    /// Graceful shutdown as in [`Self::Draining`], with the listener closed.
     ListenerClosed,
-    /// The drain deadline has passed.
-    Ended,
+    /// The drain is complete or its deadline has passed: requests that are still in flight fail.
+    DrainEnded,
 }
 
-/// Holds the phase, and lets tasks wait for a change.
+/// Holds the service phase and notifies tasks of changes.
 pub(super) struct PhaseControl {
     phase: watch::Sender<ServicePhase>,
-    /// Counts the operators' orders, so that a delayed step can tell whether it was overtaken.
-    orders: Cell<u64>,
+    /// Number of phase changes that operators requested. A delayed change compares it to find out whether an
+    /// operator has requested another phase since.
+    operator_changes: Cell<u64>,
 }
 
 impl PhaseControl {
     pub(super) fn new() -> Self {
-        Self { phase: watch::Sender::new(ServicePhase::Open), orders: Cell::new(0) }
+        Self { phase: watch::Sender::new(ServicePhase::InService), operator_changes: Cell::new(0) }
     }
 
     pub(super) fn current(&self) -> ServicePhase {
@@ -41,20 +43,20 @@
         self.phase.subscribe()
     }
 
-    /// Number of the operators' last order.
-    pub(super) fn last_order(&self) -> u64 {
-        self.orders.get()
+    /// Returns the number of phase changes that operators have requested.
+    pub(super) fn operator_change_count(&self) -> u64 {
+        self.operator_changes.get()
     }
 
-    /// An operator's order; without effect once the process shuts down.
-    pub(super) fn order(&self, target: ServicePhase) {
-        self.orders.set(self.orders.get() + 1);
+    /// Sets the phase that an operator requested. Has no effect once a graceful shutdown drains clients.
+    pub(super) fn set_by_operator(&self, target: ServicePhase) {
+        self.operator_changes.set(self.operator_changes.get() + 1);
         self.phase.send_if_modified(|phase| {
             *phase < ServicePhase::Draining && std::mem::replace(phase, target) != target
         });
     }
 
-    /// Moves a graceful shutdown on, never back.
+    /// Advances a graceful shutdown to `target`; never moves the phase back.
     pub(super) fn advance(&self, target: ServicePhase) {
         self.phase.send_if_modified(|phase| *phase < target && std::mem::replace(phase, target) != target);
     }
--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -1,4 +1,4 @@
-//! What all client connections of a process share.
+//! State that all client connections of a process share.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 use crate::net::hot_restart::frame::Successor;
 use crate::net::server::PgDriver;
 
-/// State of the client side.
+/// State of the client side, shared by the accept loop and all connection tasks.
 pub(super) struct Shared {
     pub driver: PgDriver,
     pub pool: BufferPool,
@@ -29,23 +29,24 @@
     pub request_ids: RequestIds,
     pub phase: PhaseControl,
     pub pauses: PauseDetector,
-    /// For texts that must be contiguous while they are parsed; one for all connections, so that none is
-    /// idle.
+    /// Contiguous copy of the text that is being parsed. One buffer serves all connections, so that idle
+    /// connections hold none.
     pub scratch: RefCell<Vec<u8>>,
-    /// Connections that are served; the others have ended, and wait for their clients to close.
-    pub served: Cell<usize>,
-    /// Largest number of clients while another process has a part of them.
+    /// Number of connections from which requests are read. The other connections have ended and wait for
+    /// their clients to close.
+    pub active_connections: Cell<usize>,
+    /// Client limit while another process serves a part of the clients; `None` for the full limit.
     pub reduced_limit: Cell<Option<usize>>,
-    /// The successor accepts new clients.
+    /// Whether the successor accepts new clients in place of this process.
     pub successor_accepts: watch::Sender<bool>,
-    /// Takes over connections between requests once the listener is closed.
+    /// Successor that takes over connections between requests once the listener is closed.
     pub successor: RefCell<Option<Successor>>,
-    /// A newer process with a listener of its own at the same address, which clients find when they come
-    /// again. It takes this process for ended when this is dropped.
+    /// Newer process with a listener of its own at the same address, to which clients connect when they
+    /// reconnect. It regards this process as ended when this handle is dropped.
     pub parallel_successor: RefCell<Option<Successor>>,
     pub shutdown: RefCell<Option<GracefulShutdown>>,
-    /// Something happened that may bring the end of a graceful shutdown closer.
-    pub shutdown_progress: Notify,
+    /// Notified of events that may advance a graceful shutdown.
+    pub shutdown_notify: Notify,
     sockets: SocketShare,
     rejections: RejectionLog,
 }
@@ -62,47 +63,48 @@
             phase: PhaseControl::new(),
             pauses: PauseDetector::new(SWEEP_INTERVAL),
             scratch: RefCell::default(),
-            served: Cell::new(0),
+            active_connections: Cell::new(0),
             reduced_limit: Cell::default(),
             successor_accepts: watch::Sender::new(false),
             successor: RefCell::default(),
             parallel_successor: RefCell::default(),
             shutdown: RefCell::default(),
-            shutdown_progress: Notify::new(),
+            shutdown_notify: Notify::new(),
             sockets: SocketShare::new(max_clients, usual_clients, sockets),
             rejections: RejectionLog::default(),
         }
     }
 
-    /// Largest number of clients now.
+    /// Returns the current client limit.
     pub(super) fn limit(&self) -> usize {
         self.reduced_limit.get().unwrap_or(self.sockets.max_clients())
     }
 
-    /// Number of clients up to which data servers keep their usual share of the sockets.
+    /// Returns the number of clients up to which data servers keep their usual share of the sockets.
     pub(super) fn usual_clients(&self) -> usize {
         self.sockets.usual_clients()
     }
 
-    /// Leaves data servers the sockets that clients don't need.
+    /// Updates the number of sockets that are left to the data servers.
     pub(super) fn share_sockets(&self) {
         self.sockets.update(&self.connections, &self.driver);
     }
 
-    /// Tells a graceful shutdown, if one is under way, of a change.
+    /// Applies `update` to the graceful shutdown, if one is in progress.
     pub(super) fn update_shutdown(&self, update: impl FnOnce(&mut GracefulShutdown)) {
         if let Some(shutdown) = &mut *self.shutdown.borrow_mut() {
             update(shutdown);
         }
     }
 
-    /// Waits until a connection that was accepted at `accepted_at` may be closed in its idle state.
+    /// Waits until an idle connection in state `state` may be closed. `accepted_at` is the time at which this
+    /// process accepted or took over the connection, on the driver's clock.
     pub(super) async fn idle_deadline(&self, state: IdleState, is_started: bool, accepted_at: Duration) {
         let mut phase = self.phase.subscribe();
         loop {
             let current = *phase.borrow_and_update();
-            // Who connects while the proxy is out of service gets an error; its startup packet may be on its
-            // way.
+            // A client that connects while the proxy is out of service gets an error after its startup
+            // packet, which may not have arrived yet.
             if current == ServicePhase::OutOfService && is_started {
                 return;
             }
@@ -128,22 +130,23 @@
         Some(self.driver.clock().to_instant(deadline))
     }
 
-    /// How much of the time that its client waits a request may take that comes now.
+    /// Returns the time that a request arriving now may take: `timeout`, or less during a graceful shutdown.
     pub(super) fn request_time_left(&self, timeout: Duration) -> Duration {
         let now = self.driver.clock().now();
         let shutdown = self.shutdown.borrow();
         shutdown.as_ref().map_or(timeout, |shutdown| shutdown.request_time_left(now, timeout))
     }
 
-    /// Logs that a client is rejected because there are too many.
+    /// Counts a client that is rejected because the client limit is reached, and logs the count if a log line
+    /// is due.
     pub(super) fn log_rejection(&self) {
         if let Some(rejected) = self.rejections.record() {
             log::warn!(
-                "rejected {rejected} clients: {} are connected, {} without a request yet, {} idle and {} with a \
-                 request in flight",
+                "rejected {rejected} clients: {} connections, {} idle without a request yet, {} idle between \
+                 requests, {} requests in flight",
                 self.connections.len(),
-                self.connections.idle(IdleReason::NoRequestYet),
-                self.connections.idle(IdleReason::BetweenRequests),
+                self.connections.idle_count(IdleReason::NoRequestYet),
+                self.connections.idle_count(IdleReason::BetweenRequests),
                 self.request_ids.len()
             );
         }
--- a/src/net/client/shutdown.rs
+++ b/src/net/client/shutdown.rs
@@ -8,28 +8,32 @@
 use super::service::ClientService;
 use super::service_phase::ServicePhase;
 
-/// Time in which the last errors are written after the drain deadline.
+/// Time after the drain deadline in which the remaining clients are sent an error.
 const FINAL_ERRORS_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Where a graceful shutdown is, and when that changes by itself.
-struct Progress {
+/// Phase of a graceful shutdown, and the time at which it changes next if no other event occurs.
+struct ShutdownProgress {
     phase: ShutdownPhase,
     next_transition: Duration,
 }
 
 impl ClientService {
-    /// Drains all clients. Returns once no answer is owed, or at the drain deadline; then whatever is still
-    /// in flight ends with an error.
+    /// Drains all clients. Returns when every request has its response, or at the drain deadline; requests
+    /// that are still in flight then end with an error.
     pub async fn shut_down(&self) {
         let shared = &*self.0;
         let clock = shared.driver.clock();
-        let pause = shared.pauses.current_pause();
-        let shutdown =
-            GracefulShutdown::new(clock.now(), shared.driver.max_deadline(), shared.served.get(), pause);
+        let pause = shared.pauses.recent_pause();
+        let shutdown = GracefulShutdown::new(
+            clock.now(),
+            shared.driver.max_deadline(),
+            shared.active_connections.get(),
+            pause,
+        );
         let deadline = clock.to_instant(shutdown.deadline());
         shared.shutdown.replace(Some(shutdown));
         loop {
-            let mut changed = std::pin::pin!(shared.shutdown_progress.notified());
+            let mut changed = std::pin::pin!(shared.shutdown_notify.notified());
             changed.as_mut().enable();
             let progress = self.shutdown_progress();
             match progress.phase {
@@ -43,24 +47,24 @@
                 () = sleep_until(clock.to_instant(progress.next_transition)) => {}
             }
         }
-        // Clients of ended connections may still have to read their last answers.
+        // Clients of ended connections may still have to read their last response.
         let _ = timeout_at(deadline, self.all_disconnected()).await;
-        shared.phase.advance(ServicePhase::Ended);
+        shared.phase.advance(ServicePhase::DrainEnded);
         let _ = timeout(FINAL_ERRORS_TIMEOUT, self.all_disconnected()).await;
     }
 
-    fn shutdown_progress(&self) -> Progress {
+    fn shutdown_progress(&self) -> ShutdownProgress {
         let now = self.0.driver.clock().now();
         let handed_over = self.has_successor() || self.0.parallel_successor.borrow().is_some();
         let mut shutdown = self.0.shutdown.borrow_mut();
-        let shutdown = shutdown.as_mut().expect("it was set above and is never cleared");
+        let shutdown = shutdown.as_mut().expect("shut_down has set the shutdown, and nothing clears it");
         shutdown.set_handed_over(handed_over);
-        Progress { phase: shutdown.phase(now), next_transition: shutdown.next_transition(now) }
+        ShutdownProgress { phase: shutdown.phase(now), next_transition: shutdown.next_transition(now) }
     }
 
     async fn all_disconnected(&self) {
         loop {
-            let changed = self.0.shutdown_progress.notified();
+            let changed = self.0.shutdown_notify.notified();
             if self.0.connections.is_empty() {
                 return;
             }
--- a/src/net/client/socket_share.rs
+++ b/src/net/client/socket_share.rs
@@ -1,4 +1,4 @@
-//! How the sockets of a process are shared between clients and data servers.
+//! Division of the process's sockets between clients and data servers.
 
 use std::cell::Cell;
 
@@ -6,23 +6,25 @@
 use crate::net::driver::ServerCommand;
 use crate::net::server::PgDriver;
 
-/// The share moves in steps of so many clients.
-const CLIENT_STEP: usize = 4;
+/// Step by which the number of sockets for clients changes.
+const CLIENT_COUNT_STEP: usize = 4;
 
-/// Gives data servers the sockets that clients don't need.
+/// Leaves the sockets that clients do not need to the data servers.
 pub(super) struct SocketShare {
     max_clients: usize,
     usual_clients: usize,
+    /// Sockets of clients and data servers together.
     sockets: usize,
-    left_to_servers: Cell<usize>,
+    /// Socket limit that was last sent to the data servers' side.
+    server_sockets: Cell<usize>,
 }
 
 impl SocketShare {
-    /// Shares out `sockets`: clients get what `usual_clients` need, and up to `max_clients` when they come in
-    /// crowds.
+    /// Divides `sockets`: clients keep sockets for `usual_clients` reserved, and take up to `max_clients`
+    /// under load.
     pub(super) fn new(max_clients: usize, usual_clients: usize, sockets: usize) -> Self {
-        let left_to_servers = Cell::new(sockets - usual_clients);
-        Self { max_clients, usual_clients, sockets, left_to_servers }
+        let server_sockets = Cell::new(sockets - usual_clients);
+        Self { max_clients, usual_clients, sockets, server_sockets }
     }
 
     pub(super) fn max_clients(&self) -> usize {
@@ -33,12 +35,13 @@
         self.usual_clients
     }
 
-    /// Follows the number of connections. Clients that are only rejected have a reserve of their own.
+    /// Updates the data servers' socket limit to the number of client connections. The sockets of clients
+    /// over the limit, which are only rejected, are not part of `sockets`.
     pub(super) fn update(&self, connections: &ConnectionTable, driver: &PgDriver) {
-        let clients = connections.len().next_multiple_of(CLIENT_STEP) + CLIENT_STEP;
-        let left = self.sockets - clients.clamp(self.usual_clients, self.max_clients);
-        if self.left_to_servers.replace(left) != left {
-            driver.command(ServerCommand::SetSocketLimit(left));
+        let clients = connections.len().next_multiple_of(CLIENT_COUNT_STEP) + CLIENT_COUNT_STEP;
+        let server_sockets = self.sockets - clients.clamp(self.usual_clients, self.max_clients);
+        if self.server_sockets.replace(server_sockets) != server_sockets {
+            driver.command(ServerCommand::SetSocketLimit(server_sockets));
         }
     }
 }
--- a/src/net/client/startup.rs
+++ b/src/net/client/startup.rs
@@ -10,18 +10,19 @@
 use super::service_phase::ServicePhase;
 use crate::net::postgres::{self, Startup};
 
-/// Time in which a client that is to be rejected must say who it is, to get an error.
+/// Time limit for receiving the startup packet of a client that is to be rejected. A slower client does not
+/// get the rejection error.
 const REJECTED_STARTUP_TIMEOUT: Duration = Duration::from_millis(100);
-/// Bytes of the length field of a startup packet.
+/// Size in bytes of the length field of a startup packet.
 const LENGTH_BYTES: usize = 4;
-/// The shortest startup packet: its length and the protocol version.
+/// Size in bytes of the shortest startup packet: the length field and the protocol version.
 const MIN_STARTUP_BYTES: usize = 8;
 
 impl Connection<'_> {
-    /// Reads startup packets until one begins a session or ends the connection. The client is rejected if
-    /// `is_full`.
-    pub(super) async fn start(&mut self, is_full: bool) -> io::Result<Flow> {
-        let timeout = if is_full { REJECTED_STARTUP_TIMEOUT } else { MESSAGE_TIMEOUT };
+    /// Reads startup packets until one starts a session or ends the connection. Rejects the client if
+    /// `at_limit`.
+    pub(super) async fn run_startup(&mut self, at_limit: bool) -> io::Result<Flow> {
+        let timeout = if at_limit { REJECTED_STARTUP_TIMEOUT } else { MESSAGE_TIMEOUT };
         let deadline = Some(Instant::now() + timeout);
         loop {
             let length =
@@ -30,10 +31,10 @@
                 return self.fail_connection("08P01", "invalid length of startup packet").await;
             }
             let Some(length) = length.filter(|n| self.inbound.bytes().len() >= *n) else {
-                // A client that has sent a part of its packet is slow, but not idle.
+                // A client that has sent part of its packet is slow but not idle, and must not be evicted.
                 let is_idle = self.inbound.bytes().is_empty();
                 let connections = &self.shared.connections;
-                let _idle = is_idle.then(|| connections.mark_idle(IdleReason::NoRequestYet, self.number));
+                let _idle_guard = is_idle.then(|| connections.mark_idle(IdleReason::NoRequestYet, self.id));
                 if !self.read_more(deadline).await? {
                     return Ok(Flow::End);
                 }
@@ -42,11 +43,11 @@
             let packet = self.inbound.split_to(length).bytes;
             let body: Vec<u8> = packet.slices(LENGTH_BYTES..length).flatten().copied().collect();
             match postgres::parse_startup(&body) {
-                Some(Startup::Encryption) => self.write(b"N").await?, // declined
+                Some(Startup::Encryption) => self.write(b"N").await?, // declines encryption
                 Some(Startup::Session(minor_version)) => {
-                    return self.begin_session(minor_version, is_full).await
+                    return self.begin_session(minor_version, at_limit).await
                 }
-                Some(Startup::Cancel) => return Ok(Flow::End), // no query here can be cancelled by key
+                Some(Startup::Cancel) => return Ok(Flow::End), // the proxy sends no BackendKeyData
                 Some(Startup::Unsupported(_)) | None => {
                     return self.fail_connection("0A000", "unsupported frontend protocol").await;
                 }
@@ -54,14 +55,14 @@
         }
     }
 
-    async fn begin_session(&mut self, minor_version: u16, is_full: bool) -> io::Result<Flow> {
-        if is_full {
+    async fn begin_session(&mut self, minor_version: u16, at_limit: bool) -> io::Result<Flow> {
+        if at_limit {
             return self.fail_connection("53300", TOO_MANY_CLIENTS).await;
         }
         if self.shared.phase.current() == ServicePhase::OutOfService {
             return self.fail_connection("57P03", "the proxy is out of service").await;
         }
-        self.write(&postgres::encode_welcome(minor_version)).await?;
+        self.write(&postgres::encode_startup_response(minor_version)).await?;
         Ok(Flow::Continue)
     }
 }
--- a/src/net/postgres/frame.rs
+++ b/src/net/postgres/frame.rs
@@ -1,4 +1,4 @@
-//! Framing: startup packets, message headers, and the lengths that messages of each type may have.
+//! Framing: startup packets, message headers, and the valid lengths of messages by type.
 
 use winnow::binary::{be_u32, u8 as any_byte};
 use winnow::error::ContextError;
@@ -6,29 +6,30 @@
 
 use super::MAX_RESPONSE_BYTES;
 
-/// Request code of a cancellation, in place of a protocol version.
+/// Code of a cancel request, sent in place of a protocol version.
 const CANCEL_CODE: u32 = 80_877_102;
-/// Request code of TLS encryption.
+/// Code of a request for TLS encryption.
 const TLS_CODE: u32 = 80_877_103;
-/// Request code of GSSAPI encryption.
+/// Code of a request for GSSAPI encryption.
 const GSSAPI_CODE: u32 = 80_877_104;
-/// The length field counts itself.
+/// Size in bytes of the length field, which counts itself.
 const LENGTH_FIELD_BYTES: usize = 4;
 
-/// What a client opens its connection with.
+/// Kind of startup packet with which a client opens a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Startup {
-    /// A session, with the minor protocol version that it asks for.
+    /// Start of a session, with the requested minor protocol version.
     Session(u16),
-    /// It asks for encryption, by TLS or GSSAPI.
+    /// Request for encryption by TLS or GSSAPI.
     Encryption,
-    /// It cancels another connection's query.
+    /// Request to cancel the query of another connection.
     Cancel,
-    /// Another version of the protocol.
+    /// Unsupported protocol version or request code.
     Unsupported(u32),
 }
 
-/// Reads the body of a startup packet, which is all but its length.
+/// Parses the body of a startup packet, which follows the length field. Returns `None` if the body is too
+/// short for a protocol version.
 pub fn parse_startup(mut body: &[u8]) -> Option<Startup> {
     let code = be_u32::<_, ContextError>.parse_next(&mut body).ok()?;
     let major_version = code >> 16;
@@ -40,16 +41,16 @@
     })
 }
 
-/// The header of a message.
+/// Header of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MessageHeader {
-    /// Its type byte.
+    /// Type byte.
     pub kind: u8,
-    /// Its length in bytes, with the type byte.
+    /// Length of the whole message in bytes, type byte included.
     pub length: usize,
 }
 
-/// Reads a message header; `None` for a length that is too short for its own field.
+/// Parses a message header. Returns `None` if the length is smaller than the length field itself.
 pub fn parse_header(bytes: [u8; 5]) -> Option<MessageHeader> {
     let mut header = (any_byte::<_, ContextError>, be_u32::<_, ContextError>);
     let (kind, length) = header.parse_next(&mut &bytes[..]).ok()?;
@@ -58,8 +59,8 @@
     is_valid.then(|| MessageHeader { kind, length: length.saturating_add(1) })
 }
 
-/// Whether a message from a data server may have this type and length in bytes. The proxy does not wait for the rest of
-/// a message that claims to be longer.
+/// Returns whether a message from a data server may have this type and length in bytes. The proxy does not
+/// wait for the rest of a message whose header gives a greater length.
 pub fn is_plausible_length(header: MessageHeader) -> bool {
     let lengths = match header.kind {
         b'Z' => 6..=6,
--- a/src/net/postgres/mod.rs
+++ b/src/net/postgres/mod.rs
@@ -1,7 +1,7 @@
-//! Version 3 of PostgreSQL's wire protocol, as far as simple queries need it.
+//! The subset of PostgreSQL's wire protocol, version 3, that simple queries need.
 //!
-//! All functions are pure: bytes in, values out, and back. None panics on what a peer sent, and none allocates by a
-//! length that a peer claims.
+//! All functions are pure: they parse bytes into values or encode values into bytes. No function panics on
+//! bytes from a peer or allocates memory by a length that a peer sent.
 
 mod encode;
 mod frame;
@@ -9,8 +9,8 @@
 mod statement;
 
 pub use encode::{
-    encode_query_header, encode_simple_query, encode_startup_packet, encode_welcome, push_command_complete,
-    push_empty_query_response, push_error, push_ready_for_query, Severity,
+    encode_query_header, encode_simple_query, encode_startup_packet, encode_startup_response,
+    push_command_complete, push_empty_query_response, push_error, push_ready_for_query, Severity,
 };
 pub use frame::{is_plausible_length, parse_header, parse_startup, MessageHeader, Startup};
 pub use server_message::{
@@ -21,15 +21,17 @@
 
 use winnow::error::{ContextError, ErrMode};
 
-/// The longest value in bytes.
+/// Length in bytes of the longest value.
 pub const MAX_VALUE_BYTES: usize = 4 << 20;
-/// Room in bytes for what surrounds a value in a statement or a response.
-const MAX_ENVELOPE_BYTES: usize = 16 * 1024;
-/// The longest query taken from a client: such a value in hex, and its statement.
-pub const MAX_QUERY_BYTES: usize = 2 * MAX_VALUE_BYTES + MAX_ENVELOPE_BYTES;
-/// The longest startup packet in bytes, as in PostgreSQL.
+/// Largest number of bytes around a value in a statement or a response.
+const MAX_VALUE_OVERHEAD_BYTES: usize = 16 * 1024;
+/// Length in bytes of the longest query message accepted from a client: the longest value in hex, and the
+/// statement around it.
+pub const MAX_QUERY_BYTES: usize = 2 * MAX_VALUE_BYTES + MAX_VALUE_OVERHEAD_BYTES;
+/// Length in bytes of the longest startup packet, as in PostgreSQL.
 pub const MAX_STARTUP_BYTES: usize = 10_000;
-/// The longest response taken from a data server: such a value, whether in hex or not.
-pub const MAX_RESPONSE_BYTES: usize = 2 * MAX_VALUE_BYTES + MAX_ENVELOPE_BYTES;
+/// Length in bytes of the longest response accepted from a data server. The longest value fits into it in hex
+/// as well as in binary.
+pub const MAX_RESPONSE_BYTES: usize = 2 * MAX_VALUE_BYTES + MAX_VALUE_OVERHEAD_BYTES;
 
 type ParseFailure = ErrMode<ContextError>;
--- a/src/net/postgres/statement.rs
+++ b/src/net/postgres/statement.rs
@@ -1,4 +1,5 @@
-//! The statements that clients send: a select or an insert, with a comment that holds the routing fields.
+//! Parsing of the statements that clients send: a select or an insert, followed by a comment with the routing
+//! fields.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -12,40 +13,41 @@
 
 use super::{ParseFailure, MAX_VALUE_BYTES};
 
-/// Fields of the comment without which a statement can't be routed.
+/// Fields of the comment that routing requires.
 const REQUIRED_FIELDS: [&str; 4] = ["c", "cluster", "d", "id"];
 
-/// What a simple query asks for.
+/// Content of a simple query.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Query {
-    /// Nothing.
+    /// No statement.
     Empty,
-    /// A session setting, which has no effect here; holds the tag that completes it.
+    /// Command on session settings, which has no effect in the proxy; holds its command tag.
     Setting(&'static str),
-    /// A statement to be routed.
+    /// Statement to be routed.
     Routed(Statement),
 }
 
 /// A statement with the routing fields of its comment.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Statement {
-    /// It is an insert.
+    /// Whether the statement is an insert.
     pub is_write: bool,
-    /// The quoted key, as it was sent.
+    /// Key from the statement text, without its quotes; doubled quotes inside stay doubled.
     pub key: String,
-    /// Field `id`: unique among the requests in flight.
+    /// Field `id`: id of the request, unique among the requests in flight.
     pub id: String,
-    /// Field `c`: the class.
+    /// Field `c`: name of the request's class.
     pub class: String,
-    /// Field `cluster`: the replica set.
+    /// Field `cluster`: number of the replica set.
     pub group: u64,
-    /// Field `d`: how long the client waits.
+    /// Field `d`: the client's timeout, sent in milliseconds.
     pub timeout: Duration,
-    /// Where in the text the digits of `d` stand.
+    /// Range of the digits of `d` in the text, in bytes.
     pub timeout_range: Range<usize>,
-    /// Field `r`: the client marked it as a retry.
+    /// Field `r`: whether the client marked the statement as a retry.
     pub is_retry: bool,
-    /// Field `after`: the position that the read must see, in Unix milliseconds.
+    /// Field `after`: smallest replication position that the read must see, in Unix milliseconds; `None` if
+    /// the comment has no such field.
     pub after_unix_ms: Option<f64>,
 }
 
@@ -58,7 +60,8 @@
     value_range: Range<usize>,
 }
 
-/// Reads the text of a simple query, without the zero byte that ends it.
+/// Parses the text of a simple query, given without its terminating zero byte. Returns `None` if the text is
+/// not empty, not a command on session settings and not a statement that can be routed.
 pub fn parse_query(text: &[u8]) -> Option<Query> {
     std::str::from_utf8(text).ok()?;
     let setting = |word: &'static str| (literal(Caseless(word)), multispace1::<_, ParseFailure>).value(word);
@@ -82,7 +85,7 @@
     for field in fields {
         set_field(&mut statement, field)?;
     }
-    is_plain_id(&statement.id).then_some(statement).ok_or_else(malformed)
+    is_valid_id(&statement.id).then_some(statement).ok_or_else(malformed)
 }
 
 fn comment<'t>(text: &mut Text<'t>) -> Result<Vec<Field<'t>>, ParseFailure> {
@@ -99,7 +102,8 @@
     Ok(Field { name, value, value_range })
 }
 
-/// Requires the fields that routing needs, and no name twice: which of two values a data server would use is unknown.
+/// Checks that all required fields are present and that no name occurs twice. Duplicates are rejected because
+/// it is unknown which of the two values a data server would use.
 fn check_field_names(fields: &[Field<'_>]) -> Result<(), ParseFailure> {
     let mut names: Vec<_> = fields.iter().map(|field| field.name).collect();
     names.sort_unstable();
@@ -108,7 +112,8 @@
     (has_required && !has_duplicate).then_some(()).ok_or_else(malformed)
 }
 
-/// Unknown fields are ignored here; the data server gets them with the rest of the text.
+/// Sets the part of `statement` that a field holds. Ignores unknown fields, which the data server gets with
+/// the rest of the text.
 fn set_field(statement: &mut Statement, field: Field<'_>) -> Result<(), ParseFailure> {
     match field.name {
         "id" => statement.id = field.value.to_owned(),
@@ -125,13 +130,13 @@
     Ok(())
 }
 
-/// A number of digits alone: `parse` would accept a sign.
+/// Parses a number that consists of digits alone; `parse` would also accept a sign.
 fn whole_number(value: &str) -> Result<u64, ParseFailure> {
     let number = value.parse::<u64>().ok();
     number.filter(|_| value.bytes().all(|byte| byte.is_ascii_digit())).ok_or_else(malformed)
 }
 
-fn is_plain_id(id: &str) -> bool {
+fn is_valid_id(id: &str) -> bool {
     !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_".contains(&byte))
 }
 
@@ -143,7 +148,8 @@
     terminated(literal(Caseless(word)), multispace0).void()
 }
 
-/// A quoted string, without its quotes. A doubled quote stands for one and is left doubled.
+/// Parses a quoted string and returns it without its quotes. A doubled quote, which stands for one quote,
+/// stays doubled.
 fn quoted<'t>(text: &mut Text<'t>) -> Result<&'t [u8], ParseFailure> {
     let inside = repeat::<_, _, (), _, _>(0.., alt((take_till(1.., b'\'').void(), literal("''").void())));
     delimited(b'\'', inside.take(), b'\'').parse_next(text)
@@ -162,7 +168,7 @@
     delimited((head, columns), terminated(quoted, multispace0), tail).parse_next(text)
 }
 
-/// Whether a quoted value is binary data in hex, not longer than a data server accepts.
+/// Returns whether a quoted value is binary data in hex and not longer than a data server accepts.
 fn is_hex_bytea(value: &[u8]) -> bool {
     let digits = value.strip_prefix(br"\x").filter(|hex| hex.len() <= 2 * MAX_VALUE_BYTES);
     digits.is_some_and(|hex| hex.len() % 2 == 0 && hex.iter().all(u8::is_ascii_hexdigit))
