--- a/src/net/client/long_statement.rs
+++ b/src/net/client/long_statement.rs
@@ -7,7 +7,7 @@
 /// Offset of the query text in its message: the type byte and the length field.
 const TEXT_OFFSET: usize = 5;
 /// Number of bytes that are parsed at each end of a long statement.
-const PARSED_END_BYTES: usize = 4096;
+const PARSED_BYTES_PER_END: usize = 4096;
 
 /// Text of a query without the part that need not be parsed.
 pub(super) struct AbridgedText {
@@ -18,15 +18,15 @@
 
 impl AbridgedText {
     pub(super) fn new(message: &BufferChain) -> Self {
-        let start = TEXT_OFFSET + PARSED_END_BYTES;
-        let end = message.len().saturating_sub(PARSED_END_BYTES) & !1 | start & 1;
+        let start = TEXT_OFFSET + PARSED_BYTES_PER_END;
+        let end = message.len().saturating_sub(PARSED_BYTES_PER_END) & !1 | start & 1;
         let is_long = start < end && end < message.len();
         let omitted =
             if is_long && message.slices(start..end).all(is_hex) { start..end } else { start..start };
         Self { omitted }
     }
 
-    /// Replaces the content of `text` by the text that is to be parsed.
+    /// Replaces the content of `text` by a contiguous copy of the text that is to be parsed.
     pub(super) fn copy(&self, message: &BufferChain, text: &mut Vec<u8>) {
         text.clear();
         for part in [TEXT_OFFSET..self.omitted.start, self.omitted.end..message.len()] {
--- a/src/net/client/rejection_log.rs
+++ b/src/net/client/rejection_log.rs
@@ -8,7 +8,7 @@
 /// Minimum time between two log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Counts rejected clients between log lines.
+/// Counter of rejected clients between log lines.
 #[derive(Default)]
 pub(super) struct RejectionLog {
     /// Clients rejected since the last log line.
--- a/src/net/client/service.rs
+++ b/src/net/client/service.rs
@@ -158,11 +158,11 @@
         self.0.connections.len() as f64 >= usual_clients as f64 * EVICTION_THRESHOLD_SHARE
     }
 
-    /// Serves a connection that another process has handed over between requests. `started` says whether its
-    /// startup is complete.
-    pub fn adopt(&self, stream: TcpStream, started: bool) {
+    /// Serves an idle connection that the predecessor has handed over, and raises a reduced client limit by
+    /// one. `startup_complete` says whether the client's startup is done.
+    pub fn adopt(&self, stream: TcpStream, startup_complete: bool) {
         self.0.reduced_limit.set(self.0.reduced_limit.get().map(|limit| limit + 1));
-        let initial_stage = if started {
+        let initial_stage = if startup_complete {
             InitialStage::Ready
         } else {
             InitialStage::Startup { at_limit: false, short_deadline: false }
--- a/src/net/client/socket_share.rs
+++ b/src/net/client/socket_share.rs
@@ -9,7 +9,8 @@
 /// Step by which the number of sockets for clients changes.
 const CLIENT_COUNT_STEP: usize = 4;
 
-/// Leaves the sockets that clients do not need to the data servers.
+/// Division of the process's sockets between clients and data servers. Data servers get the sockets that
+/// clients do not need.
 pub(super) struct SocketShare {
     max_clients: usize,
     usual_clients: usize,
@@ -20,8 +21,8 @@
 }
 
 impl SocketShare {
-    /// Divides `sockets`: clients keep sockets for `usual_clients` reserved, and take up to `max_clients`
-    /// under load.
+    /// Divides `sockets`: `usual_clients` sockets are reserved for clients, and clients may take up to
+    /// `max_clients` sockets under load.
     pub(super) fn new(max_clients: usize, usual_clients: usize, sockets: usize) -> Self {
         let server_sockets = Cell::new(sockets - usual_clients);
         Self { max_clients, usual_clients, sockets, server_sockets }
@@ -35,8 +36,8 @@
         self.usual_clients
     }
 
-    /// Updates the data servers' socket limit to the number of client connections. The sockets of clients
-    /// over the limit, which are only rejected, are not part of `sockets`.
+    /// Adjusts the data servers' socket limit to the number of client connections. Clients over the limit,
+    /// which are only rejected, use sockets that are not part of `sockets`.
     pub(super) fn update(&self, connections: &ConnectionTable, driver: &PgDriver) {
         let clients = connections.len().next_multiple_of(CLIENT_COUNT_STEP) + CLIENT_COUNT_STEP;
         let server_sockets = self.sockets - clients.clamp(self.usual_clients, self.max_clients);
