--- a/src/components.rs
+++ b/src/components.rs
@@ -13,7 +13,7 @@
 use pipittack::endpoint_list::EndpointList;
 use pipittack::net::admin::{self, AdminApi, OutOfServiceList};
 use pipittack::net::buffers::BufferPool;
-use pipittack::net::client::{ClientOptions, ClientService, NamedClass};
+use pipittack::net::client::{ClientOptions, ClientService, ConfiguredClass};
 use pipittack::net::discovery::{EndpointRegistry, SharedEndpointRegistry};
 use pipittack::net::hot_restart::frame::{Hello, Predecessor};
 use pipittack::net::hot_restart::handover::{self, SharedResources};
@@ -58,9 +58,9 @@
     }
 }
 
-fn classes_by_name(settings: &Settings, names: &NameTable) -> HashMap<String, NamedClass> {
+fn classes_by_name(settings: &Settings, names: &NameTable) -> HashMap<String, ConfiguredClass> {
     let classes = settings.classes.iter().cloned().enumerate();
-    let classes = classes.map(|(index, class)| NamedClass { id: ClassId(index), class });
+    let classes = classes.map(|(index, class)| ConfiguredClass { id: ClassId(index), class });
     names.classes().iter().cloned().zip(classes).collect()
 }
 
--- a/src/net/client/class_table.rs
+++ b/src/net/client/class_table.rs
@@ -15,7 +15,7 @@
 
 /// A class and its id in the driver.
 #[derive(Debug, Clone)]
-pub struct NamedClass {
+pub struct ConfiguredClass {
     /// Id that the driver assigned.
     pub id: ClassId,
     /// Settings of the class.
@@ -24,23 +24,23 @@
 
 /// A class that a reload removed, until its grace period ends.
 struct RemovedClass {
-    entry: NamedClass,
+    entry: ConfiguredClass,
     expires_at: Instant,
 }
 
 /// The current and the recently removed classes, by name.
 pub(super) struct ClassTable {
-    current: HashMap<String, NamedClass>,
+    current: HashMap<String, ConfiguredClass>,
     removed: HashMap<String, RemovedClass>,
 }
 
 impl ClassTable {
-    pub(super) fn new(current: HashMap<String, NamedClass>) -> Self {
+    pub(super) fn new(current: HashMap<String, ConfiguredClass>) -> Self {
         Self { current, removed: HashMap::new() }
     }
 
     /// Returns the class with this name. A current class takes precedence over a removed one.
-    pub(super) fn get(&self, name: &str) -> Option<NamedClass> {
+    pub(super) fn get(&self, name: &str) -> Option<ConfiguredClass> {
         let removed = self.removed.get(name).filter(|removed| Instant::now() < removed.expires_at);
         self.current.get(name).or(removed.map(|removed| &removed.entry)).cloned()
     }
@@ -54,7 +54,7 @@
         self.mark_current_removed();
         let reserved: Vec<_> = self.removed.values().map(|removed| removed.entry.id).collect();
         let ids = driver.reconfigure(settings, &kept_ids, &reserved);
-        let entries = ids.into_iter().zip(classes).map(|(id, class)| NamedClass { id, class });
+        let entries = ids.into_iter().zip(classes).map(|(id, class)| ConfiguredClass { id, class });
         self.current = names.iter().cloned().zip(entries).collect();
     }
 
--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -20,5 +20,5 @@
 mod socket_share;
 mod startup;
 
-pub use class_table::NamedClass;
+pub use class_table::ConfiguredClass;
 pub use service::{listen, ClientOptions, ClientService};
--- a/src/net/client/query.rs
+++ b/src/net/client/query.rs
@@ -5,7 +5,7 @@
 
 use tokio::time::Instant;
 
-use super::class_table::NamedClass;
+use super::class_table::ConfiguredClass;
 use super::connection::{Connection, Flow};
 use super::inbound::ReceivedMessage;
 use super::long_statement::AbridgedText;
@@ -87,7 +87,7 @@
     async fn submit(
         &mut self,
         statement: Statement,
-        class: &NamedClass,
+        class: &ConfiguredClass,
         message: ReceivedMessage,
         text: &AbridgedText,
     ) -> io::Result<Flow> {
@@ -124,11 +124,11 @@
     fn new_request(
         &self,
         statement: Statement,
-        class: &NamedClass,
+        class: &ConfiguredClass,
         statement_bytes: usize,
         received_at: Instant,
     ) -> NewRequest {
-        let NamedClass { id, class } = class;
+        let ConfiguredClass { id, class } = class;
         let has_session = matches!(class.consistency, Consistency::Write | Consistency::Causal);
         // The class deadline is the longest that a client waits, retries included. Time that the request
         // spent behind earlier requests on its connection counts against its timeout. `request_time_left`
--- a/src/net/client/service.rs
+++ b/src/net/client/service.rs
@@ -10,7 +10,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::MissedTickBehavior;
 
-use super::class_table::NamedClass;
+use super::class_table::ConfiguredClass;
 use super::connection::{self, InitialStage};
 use super::service_phase::ServicePhase;
 use super::shared::Shared;
@@ -46,7 +46,7 @@
     /// Number of sockets for clients and data servers together.
     pub sockets: usize,
     /// Classes of requests, by name.
-    pub classes: HashMap<String, NamedClass>,
+    pub classes: HashMap<String, ConfiguredClass>,
 }
 
 /// Handle to the client side of a process. Clones refer to the same state.
