--- a/src/net/client/service.rs
+++ b/src/net/client/service.rs
@@ -216,7 +216,7 @@
     }
 
     /// Restores the full client limit and accepts clients again, because no other process does any more.
-    pub fn clear_limit(&self) {
+    pub fn resume_accepting(&self) {
         self.set_limit(None);
         self.0.successor_accepts.send_replace(false);
     }
--- a/src/net/hot_restart/shared_resources.rs
+++ b/src/net/hot_restart/shared_resources.rs
@@ -68,7 +68,7 @@
 
     /// Takes all resources back, as the other process is gone.
     pub(super) fn reclaim(&self) {
-        self.clients.clear_limit();
+        self.clients.resume_accepting();
         self.set_share(FULL_SHARE);
         self.driver.peer_gone();
     }
