--- a/src/net/client/service.rs
+++ b/src/net/client/service.rs
@@ -160,7 +160,7 @@
 
     /// Serves an idle connection that the predecessor has handed over, and raises a reduced client limit by
     /// one. `startup_complete` says whether the client's startup is done.
-    pub fn adopt(&self, stream: TcpStream, startup_complete: bool) {
+    pub fn take_over_connection(&self, stream: TcpStream, startup_complete: bool) {
         self.0.reduced_limit.set(self.0.reduced_limit.get().map(|limit| limit + 1));
         let initial_stage = if startup_complete {
             InitialStage::Ready
--- a/src/net/hot_restart/predecessor.rs
+++ b/src/net/hot_restart/predecessor.rs
@@ -211,7 +211,7 @@
 fn adopt(client: ReceivedClient, resources: &SharedResources) {
     let stream = std::net::TcpStream::from(client.descriptor);
     match stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
-        Ok(stream) => resources.clients.adopt(stream, client.startup_complete),
+        Ok(stream) => resources.clients.take_over_connection(stream, client.startup_complete),
         Err(e) => log::warn!("a client connection could not be taken over: {e}"),
     }
 }
