--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -74,7 +74,7 @@
 }
 
 /// Keeps a connection in the connection table while its task runs. The connection counts as active until no
-/// more requests are read from it; after that the task only waits for the client to close.
+/// more requests are read from it; after that the task only closes or hands over the connection.
 struct ConnectionGuard {
     shared: Rc<Shared>,
     id: ConnectionId,
@@ -262,11 +262,11 @@
 
     async fn wait_for_bytes(&mut self, state: IdleState, deadline: Option<Instant>) -> io::Result<Wait> {
         let is_idle = state != IdleState::PartialMessage;
-        let is_started = self.stage == Stage::Ready;
+        let is_ready = self.stage == Stage::Ready;
         Ok(tokio::select! {
             biased;
             read = self.inbound.read() => Wait::Read(read?),
-            () = self.shared.idle_deadline(state, is_started, self.accepted_at), if is_idle => Wait::Close,
+            () = self.shared.idle_deadline(state, is_ready, self.accepted_at), if is_idle => Wait::Close,
             () = self.eviction.notified(), if is_idle => Wait::Close,
             () = sleep_until(deadline.unwrap_or_else(Instant::now)), if deadline.is_some() => Wait::TimedOut,
         })
--- a/src/net/client/query.rs
+++ b/src/net/client/query.rs
@@ -55,7 +55,7 @@
     }
 
     /// Validates a statement and submits it. A data server would reject an invalid statement, or close the
-    /// pooled connection that it came on.
+    /// pooled connection on which it received the statement.
     async fn handle_routed(
         &mut self,
         statement: Statement,
@@ -115,8 +115,8 @@
         drop(id_guard);
         match response {
             Ok(response) => self.send_response(response).await,
-            // The driver dropped the request without a response: it found the client disconnected before it
-            // wrote an attempt.
+            // The driver dropped the request without a response, because its client had disconnected before
+            // an attempt was written.
             Err(_) => Ok(Flow::End),
         }
     }
--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -97,15 +97,16 @@
         }
     }
 
-    /// Waits until an idle connection in state `state` may be closed. `accepted_at` is the time at which this
-    /// process accepted or took over the connection, on the driver's clock.
-    pub(super) async fn idle_deadline(&self, state: IdleState, is_started: bool, accepted_at: Duration) {
+    /// Waits until an idle connection in state `state` may be closed. `is_ready` says whether its startup is
+    /// done. `accepted_at` is the time at which this process accepted or took over the connection, on the
+    /// driver's clock.
+    pub(super) async fn idle_deadline(&self, state: IdleState, is_ready: bool, accepted_at: Duration) {
         let mut phase = self.phase.subscribe();
         loop {
             let current = *phase.borrow_and_update();
             // A client that connects while the proxy is out of service gets an error after its startup
             // packet, which may not have arrived yet.
-            if current == ServicePhase::OutOfService && is_started {
+            if current == ServicePhase::OutOfService && is_ready {
                 return;
             }
             let deadline = self.shutdown_deadline(current, state, accepted_at);
