--- a/core/src/api/action.rs
+++ b/core/src/api/action.rs
@@ -1,71 +1,71 @@
-//! What the engine asks its caller to do.
+//! Actions that the engine asks its caller to carry out.
 
 use std::time::Duration;
 
 use super::ids::{AttemptNumber, RequestId, ServerId, TimerId};
 
-/// Something to be done.
+/// An action that the caller carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Forward the request to a server: start its next attempt.
+    /// Forward the request to a server as its next attempt.
     Forward {
-        /// The request.
+        /// Request to forward.
         request: RequestId,
-        /// The server.
+        /// Server that the attempt is sent to.
         server: ServerId,
-        /// Time after which the attempt is given up.
+        /// Time after which the caller ends the attempt with [`Outcome::Timeout`](super::Outcome::Timeout).
         timeout: Duration,
     },
-    /// Final answer: rejected, so that a retry is harmless.
+    /// Final answer: the request is rejected, and the client may safely retry it.
     Reject {
-        /// The request.
+        /// Rejected request.
         request: RequestId,
-        /// When the client should retry.
+        /// Time after which the client should retry; `None` if the answer suggests none.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed, with no promise about execution.
+    /// Final answer: the request failed, and it may have been executed.
     Fail {
-        /// The request.
+        /// Failed request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     Cancel {
-        /// The request.
+        /// Request that the attempt belongs to.
         request: RequestId,
-        /// The attempt.
+        /// Number of the attempt within its request.
         attempt: AttemptNumber,
     },
-    /// Check a server's health.
+    /// Send a health check to a server.
     HealthCheck {
-        /// The server.
+        /// Server to check.
         server: ServerId,
     },
-    /// Open a watch on the endpoint list, or close it.
+    /// Open or close the watch on the endpoint list.
     Watch {
-        /// Open it.
+        /// `true` opens the watch, `false` closes it.
         on: bool,
     },
     /// Poll the complete endpoint list once.
     Poll,
-    /// Close idle connections to a server.
+    /// Close the idle connections to a server.
     CloseIdle {
-        /// The server.
+        /// Server whose idle connections are closed.
         server: ServerId,
     },
-    /// Send a gossip message to another proxy instance, or to all.
+    /// Send a gossip message to one other proxy instance or to all of them.
     Gossip {
-        /// Its index; `None` for all.
+        /// Index of the recipient; `None` for all instances.
         to: Option<u32>,
-        /// At most 256 bytes.
+        /// Encoded message, at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Step the engine with [`Event::Timer`](super::Event::Timer) after some time.
+    /// Step the engine with [`Event::Timer`](super::Event::Timer) after a delay.
     SetTimer {
-        /// How long.
+        /// Delay from now.
         after: Duration,
-        /// Which timer.
+        /// Timer id that the event carries.
         id: TimerId,
     },
-    /// A log line for operators.
+    /// Write this line to the log.
     Log(String),
 }
--- a/core/src/api/attempt.rs
+++ b/core/src/api/attempt.rs
@@ -1,84 +1,86 @@
-//! How attempts end, and what servers report of themselves.
+//! Outcomes of attempts, and the state that servers report about themselves.
 
 use std::time::Duration;
 
 use super::ids::{AttemptNumber, RequestId, ServerId};
 
-/// How an attempt ended.
+/// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The server executed the attempt and responded.
     Success,
-    /// The server answered with an error; it may have been executed.
+    /// The server responded with an error; the attempt may have been executed.
     ServerError,
-    /// The server's own admission control rejected it; it was not executed.
+    /// The server's own admission control rejected the attempt; it was not executed.
     Rejected,
-    /// No response in time; it may have been executed.
+    /// The server did not respond in time; the attempt may have been executed.
     Timeout,
-    /// No connection; it was not executed.
+    /// No connection to the server could be established; the attempt was not executed.
     ConnectFailed,
-    /// The connection broke; it may have been executed.
+    /// The connection broke; the attempt may have been executed.
     Reset,
-    /// Cancelled by this proxy; it may have been executed.
+    /// The proxy cancelled the attempt; it may have been executed.
     Cancelled,
-    /// Never sent.
+    /// The proxy never sent the attempt.
     NotSent,
-    /// Declined without execution: the server is not the primary, or its data is too old.
+    /// The server declined the attempt without executing it: the server is not the primary, or its data is
+    /// too old.
     Misdirected,
 }
 
 impl Outcome {
-    /// Whether the server responded.
+    /// Returns whether the server responded.
     pub fn is_response(self) -> bool {
         matches!(self, Self::Success | Self::Misdirected | Self::Rejected | Self::ServerError)
     }
 
-    /// Whether this outcome proves that the attempt was not executed.
+    /// Returns whether this outcome proves that the attempt was not executed.
     pub fn rules_out_execution(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent | Self::Misdirected)
     }
 }
 
-/// What a response says of its server.
+/// Server state carried by a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ServerStatus {
-    /// Replication position: the time up to which it has applied all commits; for a write that succeeded, its
-    /// commit time.
+    /// Replication position of the server: the time up to which it has applied all commits. For a successful
+    /// write, the commit time of the write. `None` if the response carries no position.
     pub position: Option<Duration>,
-    /// Whether it is the primary; `None` where the response does not say.
+    /// Whether the server is the primary; `None` if the response does not say.
     pub primary: Option<bool>,
 }
 
-/// A server's load report, as old as its transport made it.
+/// Load report of a server. Its age depends on how the report was transported.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
-    /// Replication position.
+    /// Replication position when the report was made; `None` if not reported.
     pub position: Option<Duration>,
-    /// Whether it was the primary.
+    /// Whether the server was the primary when the report was made; `None` if not reported.
     pub primary: Option<bool>,
-    /// Requests in progress.
+    /// Number of requests that the server was executing; `None` if not reported.
     pub in_flight: Option<f64>,
-    /// Requests that wait for service.
+    /// Number of requests that were queued at the server; `None` if not reported.
     pub queued: Option<f64>,
 }
 
-/// The end of an attempt.
+/// The end of an attempt, as the caller observed it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptEnded {
-    /// Its request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// Its number.
+    /// Number of the attempt within its request.
     pub attempt: AttemptNumber,
-    /// The server it was sent to.
+    /// Server that the attempt was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time from sending the attempt to its end, as the caller measured it. The engine uses its own clock
+    /// instead.
     pub round_trip: Duration,
-    /// The request has its final answer, by this attempt or earlier.
+    /// Whether the request has its final answer, from this attempt or an earlier one.
     pub request_complete: bool,
-    /// What the response says of the server.
+    /// Server state carried by the response; `None` without a response or if it carries none.
     pub status: Option<ServerStatus>,
-    /// The load report that came with it.
+    /// Load report that arrived with the response, if any.
     pub load_report: Option<LoadReport>,
 }
--- a/core/src/api/class.rs
+++ b/core/src/api/class.rs
@@ -1,75 +1,78 @@
-//! Classes of requests and the tenants that share the service.
+//! Classes of requests, and the tenants that share the service.
 
 use std::time::Duration;
 
 /// Whether a request may be executed more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Any number of executions has the effect of one.
+    /// Repeated execution has the same effect as a single one.
     Idempotent,
-    /// It carries an idempotency key: servers discard a repeat.
+    /// The request carries an idempotency key, by which servers discard repeats.
     WithKey {
-        /// Which servers know the key.
+        /// Servers that recognize the key.
         scope: KeyScope,
-        /// How long the key is remembered, from the first send that may have been executed.
+        /// How long servers remember the key, counted from when the first attempt that may have been executed
+        /// was sent.
         window: Duration,
     },
-    /// It must not be sent again once it may have been executed.
+    /// The request must not be sent again once it may have been executed.
     NonIdempotent,
 }
 
-/// The servers that recognize an idempotency key.
+/// Servers that recognize an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyScope {
     /// Every server.
     All,
-    /// Those in the zone of the server that got the first attempt.
+    /// Servers in the zone of the server that received the first attempt.
     Zone,
-    /// Those of the request's own group.
+    /// Servers of the request's group.
     Group,
 }
 
-/// The consistency that a class of requests needs.
+/// Consistency that a class of requests requires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Consistency {
-    /// A write: only the primary executes it.
+    /// Write: only the primary executes it.
     Write,
-    /// A linearizable read: it sees all commits from before its arrival.
+    /// Linearizable read: it sees every commit made before the read arrived.
     Linearizable,
-    /// A causal read: it sees all writes of its session.
+    /// Causal read: it sees every write of its session.
     Causal,
-    /// A read of data that is at most this old when the attempt is sent.
+    /// Read with bounded staleness: the data is at most this old when the attempt is sent.
     BoundedStaleness(Duration),
-    /// A read that any member may serve.
+    /// Read that any member of the group may serve.
     Eventual,
 }
 
-/// A class of requests.
+/// Class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// What one request is worth, compared with those of other classes.
+    /// Value of one request of this class relative to requests of other classes.
     pub priority_weight: f64,
     /// Response time within which a request earns its full weight.
     pub latency_objective: Duration,
-    /// How much the objective grows by each unit of the request's own work.
+    /// Factor by which the request's own work extends the latency objective. The engine validates it and does
+    /// not use it.
     pub latency_objective_stretch: f64,
-    /// Time after which the client gives up over all its retries.
+    /// Total time, over all retries, after which the client gives up.
     pub deadline: Duration,
-    /// Share of the weight that a response past the objective earns.
+    /// Share of the weight, from 0 to 1, that a response earns after the latency objective.
     pub late_weight: f64,
-    /// Whether it may be executed more than once.
+    /// Whether requests of this class may be executed more than once.
     pub idempotency: Idempotency,
-    /// The consistency it needs.
+    /// Consistency that requests of this class require.
     pub consistency: Consistency,
-    /// Responses are streamed.
+    /// Whether responses are streamed.
     pub streaming: bool,
 }
 
-/// One of those who share the cluster.
+/// Tenant of the service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests a second, over all proxy instances, up to which its requests keep their full weight.
+    /// Requests per second, summed over all proxy instances, up to which the tenant's requests keep their
+    /// full weight.
     pub quota_per_s: f64,
-    /// Its share of the service.
+    /// Tenant's share of the service. The engine validates it and does not use it.
     pub share: f64,
 }
--- a/core/src/api/endpoint.rs
+++ b/core/src/api/endpoint.rs
@@ -4,46 +4,46 @@
 
 use super::ids::{GroupId, MachineKindId, ServerId, ZoneId};
 
-/// What the endpoint list says of a server's process.
+/// State of a server's process in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes requests.
+    /// The server accepts requests.
     Healthy,
-    /// Completes what it has; nothing new may be sent.
+    /// The server completes its requests in progress and must not be sent new ones.
     Draining,
-    /// No longer listed.
+    /// The server is no longer listed.
     Removed,
 }
 
-/// An entry of the endpoint list.
+/// Entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// The server.
+    /// Server that the entry describes.
     pub server: ServerId,
-    /// The zone it runs in.
+    /// Zone that the server runs in.
     pub zone: ZoneId,
-    /// The kind of its machine.
+    /// Kind of the server's machine. The engine does not use it.
     pub machine_kind: MachineKindId,
-    /// The replica set it belongs to.
+    /// Replica set that the server belongs to.
     pub group: GroupId,
-    /// The list names it as the primary.
+    /// Whether the list names the server as the primary.
     pub listed_primary: bool,
-    /// State of its process.
+    /// State of the server's process.
     pub state: EndpointState,
-    /// Its capacity compared with the others'.
+    /// Capacity of the server relative to the other servers.
     pub relative_capacity: f64,
-    /// When its process last started, where that was not long ago.
+    /// When the server's process last started; `None` if the start is unknown or long ago.
     pub started_at: Option<Duration>,
 }
 
-/// A message from discovery.
+/// Update from discovery.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EndpointUpdate {
-    /// A watch event: the entries that changed.
+    /// Watch event with the entries that changed.
     Changes(Vec<Endpoint>),
     /// The complete list.
     Full(Vec<Endpoint>),
-    /// The complete list as an earlier run of this instance cached it.
+    /// The complete list as an earlier process of this proxy instance cached it.
     Cached(Vec<Endpoint>),
     /// A poll failed or the watch broke.
     Failed,
--- a/core/src/api/event.rs
+++ b/core/src/api/event.rs
@@ -1,4 +1,4 @@
-//! What the engine is fed.
+//! Events that the caller passes to the engine.
 
 use super::attempt::{AttemptEnded, LoadReport};
 use super::endpoint::EndpointUpdate;
@@ -8,51 +8,54 @@
 use super::settings::Settings;
 use super::snapshot::StateSnapshot;
 
-/// Something that happened.
+/// An event that the caller observed.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// Discovery reported.
+    /// Discovery sent an update.
     Endpoints(EndpointUpdate),
-    /// Operators took a server out of service: it drains, whatever the endpoint list says, until they return
-    /// it.
+    /// Operators took a server out of service. It drains, regardless of its state in the endpoint list, until
+    /// they return it to service.
     TakenOutOfService(ServerId),
-    /// Operators returned a server to service; its process may have been restarted.
+    /// Operators returned a server to service. Its process may have restarted in the meantime.
     ReturnedToService(ServerId),
-    /// New settings for requests that come from now on. A class that an open request has keeps its index.
+    /// New settings, which apply to requests that arrive from now on. They must keep the index of every class
+    /// that open requests use.
     Settings(Box<Settings>),
     /// A request arrived.
     Request(Request),
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// The first part of a streamed response was passed on: the request can't be retried any more.
+    /// The first part of a streamed response was forwarded to the client, so the request can no longer be
+    /// retried.
     StreamStarted {
-        /// Its request.
+        /// Request whose response is streamed.
         request: RequestId,
-        /// Its number.
+        /// Number of the attempt within its request.
         attempt: AttemptNumber,
     },
     /// A health check ended.
     HealthChecked {
-        /// The server.
+        /// Server that was checked.
         server: ServerId,
-        /// It answered.
+        /// Whether the server passed the check.
         ok: bool,
-        /// The load report that came back.
+        /// Load report that arrived with the response, if any.
         load_report: Option<LoadReport>,
     },
-    /// The predecessor process of this instance handed over its state.
+    /// The predecessor process of this proxy instance handed over its state.
     SnapshotReceived(Box<StateSnapshot>),
-    /// The peer process of this instance, which serves as well, sent a message.
+    /// The peer process, which serves for the same proxy instance, sent a message, or the channel to it
+    /// changed state.
     PeerMessage(PeerMessage),
-    /// A timer came due.
+    /// A timer expired.
     Timer(TimerId),
     /// The client closed its connection.
     ClientGone(RequestId),
     /// Another proxy instance sent a gossip message.
     Gossip {
-        /// Its index.
+        /// Index of the sender.
         from: u32,
-        /// The message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
 }
--- a/core/src/api/failover_settings.rs
+++ b/core/src/api/failover_settings.rs
@@ -1,19 +1,20 @@
-//! What operators may set about failovers.
+//! Operators' settings for failover.
 
 /// Limits and thresholds of write buffering; `docs/failover.md` describes each.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FailoverSettings {
-    /// Largest number of buffered writes, over all replica sets.
+    /// Maximum number of buffered writes over all replica sets.
     pub max_buffered_writes: usize,
-    /// Largest number of bytes of their statements, over all replica sets.
+    /// Maximum total size, in bytes, of the buffered statements over all replica sets.
     pub max_buffered_bytes: u64,
     /// Share of both limits that one replica set may use.
     pub max_share_per_set: f64,
-    /// Silence of a primary, in multiples of its usual response time, after which it is suspected.
+    /// Multiple of a primary's mean response time that the threshold for suspecting a silent primary allows.
     pub suspicion_factor: f64,
-    /// A write is rejected at once where the chance of a primary before its deadline is lower than this.
+    /// Minimum probability that the replica set takes writes again before a write's deadline; with a lower
+    /// one the write is rejected at once.
     pub min_recovery_chance: f64,
-    /// Past half of its time, a write stays buffered only where that chance is at least this.
+    /// Minimum probability that applies instead once about half of the write's time has passed.
     pub min_late_recovery_chance: f64,
 }
 
@@ -30,13 +31,13 @@
     }
 }
 
-/// A failover setting that is out of range.
+/// A failover setting is out of range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{name} must be {expected}")]
 pub struct InvalidFailoverSetting {
-    /// Its key in the operators' file.
+    /// Key of the setting in the operators' file.
     pub name: &'static str,
-    /// The values that are valid.
+    /// Description of the valid values.
     pub expected: &'static str,
 }
 
@@ -45,7 +46,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first setting that is not, with the values that are valid.
+    /// Returns the first setting that is out of range, with its valid values.
     pub fn validate(&self) -> Result<(), InvalidFailoverSetting> {
         let is_share = |value: f64| (0.0..=1.0).contains(&value);
         check(self.max_buffered_writes > 0, "hold-count", "a whole number of 1 or more")?;
--- a/core/src/api/ids.rs
+++ b/core/src/api/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers of requests, attempts, servers and of entries in the caller's tables.
+//! Identifiers of requests, attempts and servers, and indices into the caller's tables.
 
 macro_rules! id {
     ($(#[$doc:meta])* $name:ident($inner:ty)) => {
@@ -8,30 +8,30 @@
     };
 }
 
-id!(/// A client request; never reused.
+id!(/// Identifies a client request; never reused.
     RequestId(u64));
-id!(/// A database server; stays the same over restarts of its process.
+id!(/// Identifies a database server; unchanged when its process restarts.
     ServerId(u32));
-id!(/// A replica set: a primary and its replicas.
+id!(/// Identifies a replica set: a primary and its replicas.
     GroupId(u64));
 id!(/// Index into [`Settings::classes`](super::Settings::classes).
     ClassId(usize));
 id!(/// Index into [`Settings::tenants`](super::Settings::tenants).
     TenantId(usize));
-id!(/// A zone, by the caller's own numbering.
+id!(/// Index of a zone in the caller's table.
     ZoneId(usize));
-id!(/// A machine kind, by the caller's own numbering.
+id!(/// Index of a machine kind in the caller's table.
     MachineKindId(usize));
-id!(/// Number of an attempt within its request, from 0 in the order of sending.
+id!(/// Number of an attempt within its request, from 0 in sending order.
     AttemptNumber(u32));
-id!(/// A timer; the engine chooses the number.
+id!(/// Identifies a timer; the engine chooses the number.
     TimerId(u64));
 
-/// Identifies one attempt of one request.
+/// Identifies an attempt across all requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The request.
+    /// Request that the attempt belongs to.
     pub request: RequestId,
-    /// The attempt's number within it.
+    /// Number of the attempt within its request.
     pub number: AttemptNumber,
 }
--- a/core/src/api/mod.rs
+++ b/core/src/api/mod.rs
@@ -1,7 +1,8 @@
-//! The routing engine's API: its settings, the events that it is fed and the actions that it answers with.
+//! The routing engine's API: its settings, the events that it receives and the actions that it returns.
 //!
-//! Times are [`Duration`](std::time::Duration)s on the caller's own clock, whose zero is the caller's choice.
-//! Classes, zones, tenants and machine kinds are indices into the caller's own tables; no names occur here.
+//! Times are [`Duration`](std::time::Duration)s since the zero of the caller's clock, which the caller
+//! chooses. Classes, zones, tenants and machine kinds are indices into the caller's tables; the API contains
+//! no names.
 
 mod action;
 mod attempt;
--- a/core/src/api/request.rs
+++ b/core/src/api/request.rs
@@ -1,30 +1,30 @@
-//! A client request as the engine sees it.
+//! Client requests as the engine receives them.
 
 use std::time::Duration;
 
 use super::ids::{ClassId, GroupId, RequestId, TenantId};
 
-/// A client request.
+/// Client request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    /// Its id.
+    /// Identifier of the request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// The replica set it is for.
+    /// Replica set that the request is for.
     pub group: GroupId,
-    /// Its tenant, where there are any.
+    /// Tenant that sent the request; `None` if the service has no tenants.
     pub tenant: Option<TenantId>,
-    /// Time until the client abandons it.
+    /// Time until the client gives up.
     pub time_left: Duration,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry. The engine does not use it.
     pub is_retry: bool,
-    /// Size of its statement in bytes, where that is known.
+    /// Size of the statement in bytes; 0 if unknown.
     pub statement_bytes: u64,
-    /// Expected work, as time on a standard core.
+    /// Expected work, as processing time on a standard core; `None` if unknown. The engine does not use it.
     pub expected_work: Option<Duration>,
-    /// The session.
+    /// Session that the request belongs to, if any.
     pub session: Option<String>,
-    /// Time since the commit of the session's last write, where clients send it with each read.
+    /// Time since the commit of the session's last write; `None` unless the client sends it.
     pub last_write_age: Option<Duration>,
 }
--- a/core/src/api/settings.rs
+++ b/core/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! All that a proxy instance is told at its start or by a new configuration.
+//! Settings of a proxy instance, given at its start or by a new configuration.
 
 use std::time::Duration;
 
@@ -6,187 +6,193 @@
 use super::failover_settings::FailoverSettings;
 use super::ids::ZoneId;
 
-/// Shortest warm-up in seconds that the capacity of a starting server is computed with.
+/// Shortest warm-up, in seconds, that the capacity share of a starting server is computed with; avoids a
+/// division by zero.
 const MIN_WARM_UP_SECS: f64 = 1e-3;
-/// Shortest deadline of a class in seconds.
+/// Shortest valid deadline of a class, in seconds.
 const MIN_DEADLINE_SECS: f64 = 1e-6;
 
-/// What a replica does with a read for which its data is too old.
+/// What a replica does with a read that its data is too old for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StaleReadPolicy {
-    /// Answers from the data that it has.
+    /// The replica answers with the data that it has.
     AnswerStale,
-    /// Declines at once.
+    /// The replica declines the read at once.
     Decline,
-    /// Waits up to this long, then declines.
+    /// The replica waits up to this long for newer data, then declines the read.
     WaitThenDecline(Duration),
 }
 
-/// Where the commit position of a session's last write comes from.
+/// Source of the commit position of a session's last write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SessionTokens {
-    /// Clients send it with each read.
+    /// Clients send the position with each read.
     FromClient,
-    /// The proxy tracks it from the writes that it saw acknowledged.
+    /// The proxy tracks the position from the acknowledged writes that pass through it.
     Tracked,
 }
 
-/// How the role in the endpoint list follows the primary.
+/// How the role in the endpoint list follows the actual primary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListedRole {
-    /// With a delay.
+    /// The listed role follows the primary with a delay.
     Delayed,
-    /// As it was at the start.
+    /// The listed role is the initial one and never changes.
     Static,
-    /// Not at all.
+    /// The list contains no roles.
     Absent,
 }
 
-/// How servers send load reports.
+/// When servers send load reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReports {
-    /// With every response and health check.
+    /// Servers send a load report with every response and every health check.
     Piggyback,
-    /// With health checks only.
+    /// Servers send load reports with health checks only.
     OnHealthCheck,
-    /// Never.
+    /// Servers send no load reports.
     Never,
 }
 
 /// How updates of the endpoint list arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Discovery pushes them.
+    /// Discovery pushes updates without a subscription.
     Push,
-    /// After [`Action::Watch`](super::Action::Watch) or [`Action::Poll`](super::Action::Poll) only.
+    /// Updates arrive only after [`Action::Watch`](super::Action::Watch) or
+    /// [`Action::Poll`](super::Action::Poll).
     Subscribe,
 }
 
-/// What the site allows.
+/// Limits of the deployment on what the engine may do.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Largest number of attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
-    /// [`Action::Cancel`](super::Action::Cancel) is permitted.
+    /// Whether [`Action::Cancel`](super::Action::Cancel) is permitted.
     pub allow_cancel: bool,
-    /// [`Action::Gossip`](super::Action::Gossip) is permitted.
+    /// Whether [`Action::Gossip`](super::Action::Gossip) is permitted.
     pub allow_gossip: bool,
-    /// [`Action::HealthCheck`](super::Action::HealthCheck) is permitted.
+    /// Whether [`Action::HealthCheck`](super::Action::HealthCheck) is permitted.
     pub allow_health_checks: bool,
-    /// Two attempts of one request may be in flight together. Has no effect: the engine sends no hedged
-    /// requests.
+    /// Whether two attempts of one request may be in flight at once. Has no effect: the engine sends no
+    /// hedged requests.
     pub allow_hedging: bool,
-    /// Rejected clients are told when to retry.
+    /// Whether rejected clients are told when to retry.
     pub send_retry_after: bool,
-    /// The longest retry-after that a client honours.
+    /// Longest retry-after that clients honour.
     pub max_retry_after: Duration,
-    /// Time after which a connection that is not up has failed.
+    /// Time within which a connection must be established; after it the connection attempt has failed.
     pub connect_timeout: Duration,
-    /// Largest number of attempts that share a connection.
+    /// Maximum number of attempts that share a connection. The engine does not use it.
     pub max_streams_per_connection: u32,
 }
 
-/// Figures of the rules that bind every instance.
+/// Parameters of the service rules, which bind every proxy instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceRules {
-    /// How far past a request's deadline its final answer still counts.
+    /// Time after a request's deadline within which its final answer still counts as in time.
     pub answer_grace_period: Duration,
-    /// Without a watch, the longest interval between polls of discovery.
+    /// Maximum interval between polls of discovery while there is no watch.
     pub poll_interval: Duration,
-    /// Share of its capacity that a server has when it starts.
+    /// Share of its full capacity, from 0 to 1, that a server has when its process starts.
     pub initial_capacity_share: f64,
-    /// Time after its start at which it has all of it.
+    /// Time from the start of its process until a server has its full capacity.
     pub warm_up: Duration,
-    /// Multiple of its present capacity at which a warming server is overloaded...
+    /// Multiple of the present capacity of a warming server; the server is overloaded if it receives that
+    /// rate for [`overload_duration`](Self::overload_duration).
     pub overload_factor: f64,
-    /// ...when it is sent that much for so long.
+    /// Time for which a warming server must receive that rate to count as overloaded.
     pub overload_duration: Duration,
-    /// Time within which no more attempts may be sent to a draining server.
+    /// Time after a server starts to drain within which attempts to it must stop.
     pub drain_grace_period: Duration,
-    /// A server that is no longer listed may still be sent requests; only one listed as draining may not.
+    /// Whether a server that was removed from the list may still be sent requests. If so, only listing as
+    /// draining forbids them.
     pub removed_may_serve: bool,
 }
 
 impl ServiceRules {
-    /// The share of its capacity that a server has at least, so many seconds after its start.
+    /// Returns the guaranteed capacity share, from 0 to 1, of a server `secs_since_start` seconds after its
+    /// start.
     pub fn min_capacity_share(&self, secs_since_start: f64) -> f64 {
         let warmed_up = secs_since_start.max(0.0) / self.warm_up.as_secs_f64().max(MIN_WARM_UP_SECS);
         (self.initial_capacity_share + (1.0 - self.initial_capacity_share) * warmed_up).min(1.0)
     }
 }
 
-/// Prices of the means that the engine may use, in shares of the service.
+/// Costs of the engine's optional measures, as shares of the value of the service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Prices {
-    /// An attempt in another zone, for each request.
+    /// Cost of one attempt in another zone per request.
     pub cross_zone: f64,
-    /// A health check, for each request.
+    /// Cost of one health check per request. The engine validates it and does not use it.
     pub health_check: f64,
-    /// A gossip message of 256 bytes, for each request.
+    /// Cost of one gossip message of 256 bytes per request.
     pub gossip: f64,
-    /// Server work that led to no response.
+    /// Cost of server work that leads to no response. The engine validates it and does not use it.
     pub wasted_work: f64,
-    /// Weight of requests that fail after their latency objective.
+    /// Weight of requests that fail after their latency objective. The engine validates it and does not use
+    /// it.
     pub late_failure: f64,
 }
 
-/// The engine's settings.
+/// Settings of the engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// This proxy instance's index.
+    /// Index of this proxy instance.
     pub instance_index: u32,
-    /// How many proxy instances there are.
+    /// Number of proxy instances.
     pub instance_count: u32,
-    /// The zone this instance runs in.
+    /// Zone that this proxy instance runs in.
     pub zone: ZoneId,
-    /// Shortest time between two steps.
+    /// Minimum time between two steps of the engine.
     pub min_step_interval: Duration,
-    /// Classes of requests.
+    /// Classes of requests, by [`ClassId`](super::ClassId).
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants, by [`TenantId`](super::TenantId); empty if the service has none.
     pub tenants: Vec<Tenant>,
-    /// Weight of a request past its tenant's quota, as a share of its class's.
+    /// Weight of a request over its tenant's quota, as a share of its class's weight.
     pub over_quota_weight: f64,
-    /// What a replica does whose data is too old.
+    /// What a replica does with a read that its data is too old for.
     pub stale_read_policy: StaleReadPolicy,
     /// Whether every response carries a replication position.
     pub responses_carry_position: bool,
-    /// Where session tokens come from.
+    /// Source of the session tokens.
     pub session_tokens: SessionTokens,
-    /// How the endpoint list's role follows the primary.
+    /// How the role in the endpoint list follows the actual primary.
     pub listed_role: ListedRole,
-    /// Load reports.
+    /// When servers send load reports.
     pub load_reports: LoadReports,
-    /// How the endpoint list arrives.
+    /// How updates of the endpoint list arrive.
     pub discovery: DiscoveryMode,
-    /// What is allowed.
+    /// Limits of the deployment.
     pub limits: Limits,
-    /// Figures of the rules.
+    /// Parameters of the service rules.
     pub rules: ServiceRules,
-    /// Prices.
+    /// Costs of optional measures.
     pub prices: Prices,
-    /// Failover and write buffering.
+    /// Settings for failover and write buffering.
     pub failover: FailoverSettings,
 }
 
-/// Settings that no engine can work with.
+/// Settings that the engine can't work with.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum SettingsError {
-    /// There are no classes.
-    #[error("no classes of requests")]
+    /// The settings define no class of requests.
+    #[error("the settings define no request class")]
     NoClasses,
-    /// A figure is not a finite number, or outside its range.
-    #[error("{0} is out of range")]
+    /// The named value is not finite or lies outside its range.
+    #[error("{0} is not a finite number within its valid range")]
     OutOfRange(&'static str),
 }
 
 impl Settings {
-    /// Checks that the engine can work with every figure.
+    /// Checks that the engine can work with every value.
     ///
     /// # Errors
     ///
-    /// Names the first figure that it can't work with.
+    /// Returns the first invalid value.
     pub fn validate(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
--- a/core/src/api/snapshot.rs
+++ b/core/src/api/snapshot.rs
@@ -1,78 +1,80 @@
-//! The state that a process hands over to its successor in a hot restart.
+//! State that a process hands over to its successor in a hot restart.
 //!
-//! The serialized field names are those of the hand-over format, which other builds read and write.
+//! The serialized field names belong to the handover format, which other builds read and write.
 
 use serde::{Deserialize, Serialize};
 
-/// Kinds of failover.
+/// Kind of failover.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailoverKind {
-    /// The primary handed over.
+    /// The primary handed over its role.
     Planned,
-    /// It died, hung or was partitioned.
+    /// The primary died, hung or was partitioned.
     Unplanned,
 }
 
-/// What is known of the failovers of a server's replica set.
+/// Failover state of a server's replica set.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct ReplicaSetSnapshot {
-    /// The epoch: how many primaries the set has had.
+    /// Epoch of the replica set: the number of primaries that it has had.
     pub epoch: u64,
-    /// The server was deposed and is not known to have noticed.
+    /// Whether the server was deposed and has not acknowledged it.
     pub deposed: bool,
-    /// A failover under way: its kind, and how many seconds it has lasted.
+    /// Kind of the failover in progress and its duration so far in seconds; `None` if there is none.
     #[serde(rename = "change")]
     pub failover: Option<(FailoverKind, f64)>,
 }
 
-/// What is known of one server; times are in seconds on the sender's clock.
+/// State of one server. Times are seconds on the sender's clock.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ServerSnapshot {
-    /// The server.
+    /// Numeric id of the server.
     pub server: u32,
-    /// Its last reported replication position.
+    /// Last reported replication position; `None` if the server reported none.
     pub position: Option<f64>,
-    /// When it last responded.
+    /// Time of the server's last response; 0 if it never responded.
     #[serde(rename = "heard")]
     pub last_response: f64,
-    /// It was the primary when it last responded.
+    /// Whether the sender regards the server as the primary; `false` if the server never responded.
     pub primary: bool,
-    /// When it reported that it is a replica, if that was its last report.
+    /// When the server reported that it is a replica; `None` if it has not, or has become the primary since.
     pub replica_at: Option<f64>,
-    /// When its process started, as far as that is known.
+    /// When the server's process started; `None` if unknown.
     pub started: Option<f64>,
-    /// The work that it may still be sent while it warms up.
+    /// Remaining work, in average requests, that the server may be sent while it warms up.
     #[serde(rename = "budget")]
     pub warm_up_budget: f64,
-    /// Its concurrency limit.
+    /// Concurrency limit of the server, in attempts; `None` if the sender did not include it.
     #[serde(rename = "window")]
     pub concurrency_limit: Option<f64>,
-    /// Since when it gives no responses, and whether its process was seen to be dead.
+    /// Since when the server has been down, and whether its process was found dead; `None` if the server is
+    /// up.
     pub down: Option<(f64, bool)>,
-    /// The failovers of its replica set.
+    /// Failover state of the server's replica set.
     #[serde(rename = "news")]
     pub replica_set: ReplicaSetSnapshot,
 }
 
-/// All that the successor of a process must know.
+/// State that the successor of a process needs.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StateSnapshot {
-    /// The position that reads of sessions without a token must see; `None` where nothing is known of
-    /// sessions.
+    /// Replication position that reads of sessions without a token must see; `None` if the sender knows
+    /// nothing about sessions.
     #[serde(rename = "floor")]
     pub session_floor: Option<f64>,
-    /// The last commit of each session that wrote recently.
+    /// Sessions that wrote recently, each with the commit position of its last write in seconds.
     #[serde(rename = "marks")]
     pub session_tokens: Vec<(String, f64)>,
-    /// The servers.
+    /// State of each known server.
     pub servers: Vec<ServerSnapshot>,
 }
 
 impl StateSnapshot {
-    /// Moves its times to a clock whose zero lies `offset_secs` before the sender's.
+    /// Shifts all times by `offset_secs`, to a clock whose zero lies that many seconds before that of the
+    /// sender's clock.
     pub fn shift(&mut self, offset_secs: f64) {
         if let Some(floor) = &mut self.session_floor {
             *floor += offset_secs;
