--- a/core/src/api/settings.rs
+++ b/core/src/api/settings.rs
@@ -200,7 +200,7 @@
         self.classes.iter().try_for_each(Class::validate)?;
         self.tenants.iter().try_for_each(Tenant::validate)?;
         check_range("the number of instances", f64::from(self.instance_count), 1.0, f64::MAX)?;
-        check_range("the weight past a quota", self.over_quota_weight, 0.0, f64::MAX)?;
+        check_range("the weight of requests over their quota", self.over_quota_weight, 0.0, f64::MAX)?;
         check_range("the attempt limit", f64::from(self.limits.max_attempts), 1.0, f64::MAX)?;
         check_range("the initial capacity share", self.rules.initial_capacity_share, 0.0, 1.0)?;
         check_range("the overload factor", self.rules.overload_factor, 0.0, f64::MAX)?;
--- a/core/src/routing/cluster/endpoints.rs
+++ b/core/src/routing/cluster/endpoints.rs
@@ -1,4 +1,4 @@
-//! Applies the endpoint list to the servers and groups.
+//! Applies updates of the endpoint list to servers and groups.
 
 use crate::api::{Endpoint, Settings};
 use crate::time::secs;
@@ -6,30 +6,30 @@
 use super::Cluster;
 use crate::routing::server::{RemovalRule, Server};
 
-/// How much of the endpoint list an update has.
+/// Which entries of the endpoint list an update contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::routing) enum UpdateScope {
     /// Only the entries that changed.
     Changes,
-    /// All entries.
+    /// Every entry; a server without one is no longer listed.
     Complete,
 }
 
 impl Cluster {
-    /// Applies an update of the endpoint list. `draw` returns random numbers below 1.
+    /// Applies an update of the endpoint list. `next_random` returns numbers from 0 to below 1.
     pub fn apply_endpoints(
         &mut self,
         entries: &[Endpoint],
         scope: UpdateScope,
         now: f64,
         settings: &Settings,
-        mut draw: impl FnMut() -> f64,
+        mut next_random: impl FnMut() -> f64,
     ) {
         if scope == UpdateScope::Complete {
-            self.servers.values_mut().for_each(|server| server.listing_mut().unlist());
+            self.servers.values_mut().for_each(|server| server.listing_mut().mark_unlisted());
         }
         for entry in entries {
-            self.apply_entry(entry, now, settings, &mut draw);
+            self.apply_entry(entry, now, settings, &mut next_random);
         }
         self.drop_removed_servers(settings);
         self.rebuild_groups(now, settings);
@@ -40,16 +40,16 @@
         entry: &Endpoint,
         now: f64,
         settings: &Settings,
-        draw: &mut impl FnMut() -> f64,
+        next_random: &mut impl FnMut() -> f64,
     ) {
         let server = self.servers.entry(entry.server).or_insert_with(|| Server::new(entry, now, settings));
         server.apply_entry(entry, RemovalRule::from_settings(settings));
         let warm_up_secs = secs(settings.rules.warm_up);
         let started_at = entry.started_at.map(secs).filter(|started_at| now - started_at < warm_up_secs);
         if let Some(started_at) = started_at.filter(|at| server.warm_up().is_newer_start(*at)) {
-            // All instances learn of a start at once: a random part of a request keeps their first ones
-            // apart.
-            server.process_started(started_at, draw());
+            // All instances learn of a start at the same time. A random fraction of a request as the initial
+            // budget spreads their first attempts over time.
+            server.process_started(started_at, next_random());
         }
         let group = self.groups.get_or_create(server.group());
         if entry.listed_primary && !server.listing().is_listed_primary() && !server.is_closed() {
@@ -58,7 +58,7 @@
         server.listing_mut().apply_role(entry);
     }
 
-    /// Drops servers that are not listed, unless they may still serve or have attempts in flight.
+    /// Removes servers that are not listed, unless they may still serve or have attempts in flight.
     fn drop_removed_servers(&mut self, settings: &Settings) {
         let removed_may_serve = RemovalRule::from_settings(settings) == RemovalRule::MayServe;
         self.servers.retain(|_, server| {
--- a/core/src/routing/cluster/mod.rs
+++ b/core/src/routing/cluster/mod.rs
@@ -1,8 +1,8 @@
 //! The servers and their replica sets.
 //!
-//! Owns the server table, the groups, the servers that operators took out of service, and how long failovers
-//! take. It keeps servers and groups consistent: each event that concerns both is applied here. Times are
-//! seconds on the engine's clock.
+//! Owns the server table, the groups, the set of servers that operators took out of service, the durations of
+//! failovers and the counts of primary losses. Events that concern both a server and its group are applied
+//! here, so that the two stay consistent. Times are seconds on the engine's clock.
 
 mod endpoints;
 mod primary_watch;
@@ -19,25 +19,25 @@
 use super::group::{Group, GroupTable};
 use super::server::{KnownRole, Server, StatusReport};
 
-/// A server with its id.
+/// A server and its id.
 #[derive(Clone, Copy)]
 pub(super) struct Member<'c> {
-    /// Its id.
+    /// Id of the server.
     pub id: ServerId,
-    /// The server.
+    /// State of the server.
     pub server: &'c Server,
 }
 
-/// A response of a server.
+/// A response from a server to an attempt.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ServerResponse {
-    /// The server.
+    /// Server that responded.
     pub server: ServerId,
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
     /// When the attempt was sent.
     pub sent_at: f64,
-    /// Seconds that it took.
+    /// Response time in seconds.
     pub took_secs: f64,
 }
 
@@ -52,66 +52,66 @@
 }
 
 impl Cluster {
-    /// A server, where it is known.
+    /// Returns a server; `None` if the id is unknown.
     pub fn server(&self, id: ServerId) -> Option<&Server> {
         self.servers.get(&id)
     }
 
-    /// A server, where it is known, to be changed.
+    /// Returns a mutable server; `None` if the id is unknown.
     pub fn server_mut(&mut self, id: ServerId) -> Option<&mut Server> {
         self.servers.get_mut(&id)
     }
 
-    /// All servers in the order of their ids.
+    /// Returns all servers in the order of their ids.
     pub fn servers(&self) -> impl Iterator<Item = Member<'_>> {
         self.servers.iter().map(|(id, server)| Member { id: *id, server })
     }
 
-    /// The groups.
+    /// Returns the groups.
     pub fn groups(&self) -> &GroupTable {
         &self.groups
     }
 
-    /// The groups, to be changed.
+    /// Returns the mutable groups.
     pub fn groups_mut(&mut self) -> &mut GroupTable {
         &mut self.groups
     }
 
-    /// How long failovers take.
+    /// Returns the durations of past failovers of all groups.
     pub fn failover_durations(&self) -> &FailoverDurations {
         &self.failover_durations
     }
 
-    /// The members of a group in the order of their ids.
+    /// Returns the members of a group in the order of their ids.
     pub fn members(&self, group: GroupId) -> impl Iterator<Item = Member<'_>> + Clone {
         let ids = self.groups.get(group).map_or(&[][..], Group::members);
         ids.iter().filter_map(|id| Some(Member { id: *id, server: self.servers.get(id)? }))
     }
 
-    /// The group of a server.
+    /// Returns the group of a server; `None` if the server is unknown.
     pub fn group_of(&self, server: ServerId) -> Option<GroupId> {
         self.servers.get(&server).map(Server::group)
     }
 
-    /// The primary of a group.
+    /// Returns the primary of a group, if one is known.
     pub fn primary(&self, group: GroupId) -> Option<ServerId> {
         self.groups.get(group).and_then(Group::primary)
     }
 
-    /// The primary of a group with no member down. Where one is down, the others get more from this instance
-    /// alone.
+    /// Returns the primary of a group without a member that is down. If one is down, this proxy instance
+    /// sends the other members more than their usual share.
     pub fn primary_of_complete_group(&self, group: GroupId) -> Option<ServerId> {
         let any_down = self.members(group).any(|member| !member.server.is_up());
         self.primary(group).filter(|_| !any_down)
     }
 
-    /// The group whose primary a server is, to be changed.
+    /// Returns the mutable group whose primary is this server, if there is one.
     pub fn led_group_mut(&mut self, server: ServerId) -> Option<&mut Group> {
         let group = self.group_of(server)?;
         self.groups.get_mut(group).filter(|group| group.primary() == Some(server))
     }
 
-    /// Whether a server is the primary of a group that is in no failover.
+    /// Returns whether a server is the primary of a group without a failover in progress.
     pub fn is_steady_primary(&self, server: ServerId) -> bool {
         let group = self.group_of(server).and_then(|group| self.groups.get(group));
         group.is_some_and(|group| {
@@ -119,7 +119,8 @@
         })
     }
 
-    /// Operators took a server out of service: it drains, whatever the endpoint list says.
+    /// Takes a server out of service at the operators' request. The server drains, regardless of its state in
+    /// the endpoint list.
     pub fn take_out_of_service(&mut self, id: ServerId, now: f64) {
         self.out_of_service.insert(id);
         if let Some(server) = self.servers.get_mut(&id) {
@@ -128,7 +129,7 @@
         self.groups.server_draining(id, now);
     }
 
-    /// Operators returned a server to service.
+    /// Returns a server to service at the operators' request.
     pub fn return_to_service(&mut self, id: ServerId, now: f64, settings: &Settings) {
         if !self.out_of_service.remove(&id) {
             return;
@@ -138,7 +139,7 @@
         }
     }
 
-    /// The peer process learned that a server drains or is removed.
+    /// Forbids new attempts to a server that drains or was removed according to the peer process.
     pub fn withdraw(&mut self, id: ServerId, now: f64) {
         if let Some(server) = self.servers.get_mut(&id) {
             server.listing_mut().withdraw();
@@ -146,7 +147,7 @@
         self.groups.server_draining(id, now);
     }
 
-    /// A server responded.
+    /// Records a response from a server.
     pub fn response_received(&mut self, response: ServerResponse, now: f64) {
         if let Some(server) = self.servers.get_mut(&response.server) {
             server.replication_mut().response_received(now);
@@ -157,7 +158,7 @@
         }
     }
 
-    /// A server reported its state.
+    /// Records the state that a server reported about itself.
     pub fn record_status(&mut self, id: ServerId, report: StatusReport, now: f64) {
         let Some(server) = self.servers.get_mut(&id) else { return };
         let set = self.groups.get_or_create(server.group()).replica_set_mut();
@@ -169,8 +170,8 @@
         server.replication_mut().record(&StatusReport { is_primary, ..report }, known);
     }
 
-    /// A server sent a load report. It is as old as a primary's position in it; a replica's may be older
-    /// still.
+    /// Records a server's load report. The reported position serves as the time at which the report was true.
+    /// This is exact for a primary; for a replica the report may be newer than its position.
     pub fn record_load_report(&mut self, id: ServerId, report: Option<LoadReport>, now: f64) {
         let Some(report) = report else { return };
         let Some(position) = report.position.map(secs) else { return };
@@ -179,8 +180,8 @@
         self.record_status(id, status, now);
     }
 
-    /// A write asks a member of a group without a primary which server is the primary. Returns the member, or
-    /// `None` where the write has to wait.
+    /// Returns the member that a write is sent to next to find out which server is the primary; `None` if the
+    /// write has to wait.
     pub fn next_member_to_ask(
         &mut self,
         group: GroupId,
--- a/core/src/routing/cluster/primary_watch.rs
+++ b/core/src/routing/cluster/primary_watch.rs
@@ -1,4 +1,4 @@
-//! Watches each group's primary: how long it has been silent, compared with what is usual there.
+//! Watches how long each group's primary has been silent.
 
 use crate::api::{Action, Settings};
 use crate::failover::{Phase, PrimaryLossCause, PrimaryLossEvidence, PrimaryObservation, SilenceThreshold};
@@ -8,8 +8,8 @@
 use crate::routing::server::{DownCause, DownState, Server};
 
 impl Cluster {
-    /// Compares the silence of each primary with the threshold. `slowest_mean_secs` is the mean response time
-    /// of the slowest class.
+    /// Compares the silence of each primary with its threshold and logs changes of the failover phase.
+    /// `slowest_mean_secs` is the mean response time, in seconds, of the slowest class.
     pub fn observe_primaries(
         &mut self,
         now: f64,
@@ -18,12 +18,12 @@
         slowest_mean_secs: f64,
         actions: &mut Vec<Action>,
     ) {
-        for (id, group) in self.groups.iter_mut() {
-            let Some(watched) = group.replica_set().watched_primary() else { continue };
-            let Some(server) = self.servers.get(&watched) else { continue };
+        for (group_id, group) in self.groups.iter_mut() {
+            let Some(primary_id) = group.replica_set().watched_primary() else { continue };
+            let Some(server) = self.servers.get(&primary_id) else { continue };
             let queued_writes = group.queued_writes();
             let set = group.replica_set_mut();
-            let unanswered = in_flight.unanswered_at(watched, |sent_at| set.is_response_owed(sent_at));
+            let unanswered = in_flight.unanswered_at(primary_id, |sent_at| set.is_response_owed(sent_at));
             let silence_threshold = SilenceThreshold {
                 typical_response_secs: slowest_mean_secs,
                 slowdown: 1.0 / server.warm_up().capacity_share(now, &settings.rules),
@@ -38,20 +38,21 @@
                 queued_writes,
             };
             let Some(phase) = set.observe_primary(now, &observation) else { continue };
-            let mut text = format!("group {} entered phase {phase}, {queued_writes} writes buffered", id.0);
+            let mut log_line =
+                format!("group {} entered phase {phase}, {queued_writes} writes buffered", group_id.0);
             if matches!(set.phase(), Phase::Suspected { .. } | Phase::NoPrimary { .. }) {
                 let cause = loss_cause(server);
                 let evidence = PrimaryLossEvidence {
-                    server: watched,
+                    server: primary_id,
                     cause,
                     cause_count: self.primary_losses.record(cause),
                     observation,
                     response_times: set.response_times(),
                     now,
                 };
-                text += &format!(": {evidence}");
+                log_line += &format!(": {evidence}");
             }
-            actions.push(Action::Log(text));
+            actions.push(Action::Log(log_line));
         }
     }
 }
--- a/core/src/routing/cluster/upkeep.rs
+++ b/core/src/routing/cluster/upkeep.rs
@@ -1,4 +1,4 @@
-//! The periodic upkeep of all servers.
+//! Periodic upkeep of all servers.
 
 use crate::api::{Action, Settings};
 use crate::server_throughput::WarmCapacity;
@@ -6,16 +6,17 @@
 use super::Cluster;
 use crate::routing::group::Group;
 use crate::routing::in_flight::InFlightTable;
-use crate::routing::server::{Server, WarmRate};
+use crate::routing::server::{Server, WarmServerRate};
 
 impl Cluster {
-    /// The replication position that all servers which may be read from have passed; infinite without any.
+    /// Returns the replication position that every server which may be sent reads has reached; infinite if
+    /// there is no such server.
     pub fn lowest_position(&self) -> f64 {
-        let open = self.servers.values().filter(|server| !server.is_closed());
-        open.map(|server| server.replication().position()).fold(f64::INFINITY, f64::min)
+        let available = self.servers.values().filter(|server| !server.is_closed());
+        available.map(|server| server.replication().position()).fold(f64::INFINITY, f64::min)
     }
 
-    /// Releases expired reservations and finds each server's oldest attempt anew.
+    /// Releases expired reservations and recomputes the send time of each server's oldest attempt in flight.
     pub fn refresh_load(&mut self, now: f64, in_flight: &InFlightTable) {
         self.servers.values_mut().for_each(|server| server.refresh_load(now));
         for attempt in in_flight.iter() {
@@ -25,7 +26,7 @@
         }
     }
 
-    /// The capacity of the servers that have warmed up.
+    /// Returns the total capacity of the servers that are warm.
     pub fn warm_capacity(&self, now: f64, settings: &Settings) -> WarmCapacity {
         let is_warm = |server: &&Server| !server.is_closed() && server.is_warm(now, &settings.rules);
         let all = self.servers.values().filter(is_warm).map(Server::relative_capacity).sum();
@@ -37,7 +38,8 @@
     }
 
     /// Ends the periods of concurrency limits, refills warm-up budgets and sends the health checks that are
-    /// due. `warm_requests_per_s` is the rate of a warm server of relative capacity 1.
+    /// due. `warm_requests_per_s` is the rate, in requests per second, of a warm server of relative capacity
+    /// 1.
     pub fn maintain_servers(
         &mut self,
         now: f64,
@@ -49,7 +51,7 @@
         for (id, server) in &mut self.servers {
             let queued = self.groups.get(server.group()).map_or(0, Group::queued);
             server.end_limit_period_if_due(now, queued, &settings.rules);
-            let warm_rate = WarmRate {
+            let warm_rate = WarmServerRate {
                 requests_per_s: warm_requests_per_s,
                 relative_capacity: server.relative_capacity(),
             };
--- a/core/src/routing/server/faults.rs
+++ b/core/src/routing/server/faults.rs
@@ -1,61 +1,63 @@
-//! How a server's faults count: backoff, suspicion, down state and health checks.
+//! Fault handling of a server: backoff, suspicion, down state and health checks.
 
 use super::{DownCause, DownState, Server, FIRST_TRIAL_DELAY_SECS};
 use crate::concurrency_limit::MIN_LIMIT;
 
-/// Shortest backoff in seconds after a rejection.
+/// Minimum backoff in seconds after a rejection.
 const MIN_BACKOFF_SECS: f64 = 0.1;
-/// Longest backoff in seconds after a rejection.
+/// Maximum backoff in seconds after a rejection.
 const MAX_BACKOFF_SECS: f64 = 1.0;
-/// Log odds of the suspicion above which a server counts as down.
+/// Suspicion, as log odds, above which a server counts as down.
 const MAX_SUSPICION: f64 = 2.0;
-/// Part of the first trial's delay within which a response counts as recent.
+/// Share of the delay of the first trial within which a response counts as recent.
 const RECENT_RESPONSE_SHARE: f64 = 0.5;
 
-/// What a lost attempt changed.
+/// Effect of a lost attempt on the state of its server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::routing) enum SuspicionChange {
-    /// The server counts as down from now on.
+    /// The server has changed from up to down.
     Down,
-    /// Its state is as before.
+    /// The server stays up or stays down.
     Unchanged,
 }
 
 impl Server {
-    /// It refused a connection.
+    /// Records that the server refused a connection.
     pub fn connection_refused(&mut self, now: f64) {
         self.connection_refused_at = now;
     }
 
-    /// Whether it refused a connection less than so many seconds ago.
+    /// Returns whether the server refused a connection within the last `secs` seconds.
     pub fn refused_within(&self, now: f64, secs: f64) -> bool {
         self.connection_refused_at > 0.0 && now - self.connection_refused_at < secs
     }
 
-    /// Whether it responded so recently that a failed connection says only that it is short of them.
+    /// Returns whether the last response is so recent that a failed connection shows only a shortage of
+    /// connections, not a dead server.
     pub fn responded_recently(&self, now: f64) -> bool {
         now - self.replication.last_response_at() < RECENT_RESPONSE_SHARE * FIRST_TRIAL_DELAY_SECS
     }
 
-    /// It rejected an attempt: it gets no further ones for a moment, and fewer at a time.
+    /// Reacts to a rejected attempt: pauses attempts to the server for the backoff and lowers its concurrency
+    /// limit by one.
     pub fn back_off(&mut self, now: f64) {
         let backoff = (MIN_BACKOFF_SECS / (1.0 - self.error_share(now))).min(MAX_BACKOFF_SECS);
         self.backoff_until = now + backoff;
         self.concurrency_limit.limit = (self.concurrency_limit.limit - 1.0).max(MIN_LIMIT);
     }
 
-    /// It responded: nothing speaks against it any more. Returns its state if it was down.
+    /// Clears the suspicion after a response. Returns the down state if the server was down.
     pub fn clear_suspicion(&mut self) -> Option<DownState> {
         self.suspicion = 0.0;
         self.down.take()
     }
 
-    /// The evidence that it does not respond, as log odds.
+    /// Returns the evidence that the server does not respond, as log odds.
     pub fn suspicion(&self) -> f64 {
         self.suspicion
     }
 
-    /// An attempt got no response, which adds these log odds to the suspicion.
+    /// Adds `log_odds` to the suspicion after an attempt without a response.
     pub fn attempt_lost(&mut self, now: f64, log_odds: f64, cause: DownCause) -> SuspicionChange {
         self.suspicion += log_odds;
         if let Some(down) = &mut self.down {
@@ -69,22 +71,22 @@
         SuspicionChange::Down
     }
 
-    /// Takes over from another process that it is down.
+    /// Restores the down state from the snapshot of another process, unless the server is already down.
     pub fn restore_down(&mut self, since: f64, now: f64, cause: DownCause) {
         self.down.get_or_insert_with(|| DownState::new(since, now, cause));
     }
 
-    /// Whether a health check is in flight.
+    /// Returns whether a health check is in flight.
     pub fn is_health_check_pending(&self) -> bool {
         self.is_health_check_pending
     }
 
-    /// Seconds since its position was last asked for by a health check.
+    /// Returns the seconds since a health check was last sent to learn the server's position.
     pub fn secs_since_position_check(&self, now: f64) -> f64 {
         now - self.position_checked_at
     }
 
-    /// Whether a health check is due before its next trial.
+    /// Returns whether the server is down and a health check is due before the next trial.
     pub fn needs_health_check(&self, now: f64) -> bool {
         let is_due = self.down.as_ref().is_some_and(|down| down.needs_health_check(now));
         is_due
@@ -93,18 +95,18 @@
             && !self.listing.is_out_of_service()
     }
 
-    /// A health check is sent.
+    /// Records that a health check is sent.
     pub fn health_check_sent(&mut self) {
         self.is_health_check_pending = true;
     }
 
-    /// A health check is sent to learn its position.
+    /// Records that a health check is sent to learn the server's position.
     pub fn position_check_sent(&mut self, now: f64) {
         self.is_health_check_pending = true;
         self.position_checked_at = now;
     }
 
-    /// A health check succeeded.
+    /// Records that a health check succeeded.
     pub fn health_check_succeeded(&mut self) {
         self.is_health_check_pending = false;
         if let Some(down) = &mut self.down {
@@ -112,7 +114,7 @@
         }
     }
 
-    /// A health check failed.
+    /// Records that a health check failed.
     pub fn health_check_failed(&mut self, now: f64) {
         self.is_health_check_pending = false;
         if let Some(down) = &mut self.down {
--- a/core/src/routing/server/listing.rs
+++ b/core/src/routing/server/listing.rs
@@ -1,20 +1,20 @@
-//! Whether a server may be sent attempts, by the endpoint list and by the operators.
+//! Whether a server may be sent attempts, according to the endpoint list and the operators.
 //!
-//! Owns the server's entry in the endpoint list, as far as it permits attempts or names a role.
+//! Owns the parts of the server's entry in the endpoint list that permit or forbid attempts or name a role.
 
 use crate::api::{Endpoint, EndpointState, Settings};
 
-/// Whether removal from the endpoint list forbids further attempts.
+/// Whether the removal of a server from the endpoint list forbids further attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::routing) enum RemovalRule {
-    /// A removed server may still be used, unless it was draining.
+    /// A removed server may still be used unless it was withdrawn before, for example by draining.
     MayServe,
     /// A removed server must not be used.
     MustNotServe,
 }
 
 impl RemovalRule {
-    /// The rule that the settings state.
+    /// Returns the rule that the settings define.
     pub fn from_settings(settings: &Settings) -> Self {
         if settings.rules.removed_may_serve {
             Self::MayServe
@@ -24,43 +24,43 @@
     }
 }
 
-/// A server's entry in the endpoint list, and what operators say of the server.
+/// State of a server in the endpoint list, and whether operators have taken it out of service.
 #[derive(Default)]
 pub(in crate::routing) struct Listing {
     is_listed: bool,
-    /// Listed as draining, or removed where that forbids attempts.
+    /// The server drains, or was removed and its removal forbids attempts.
     is_withdrawn: bool,
     is_out_of_service: bool,
     is_listed_primary: bool,
 }
 
 impl Listing {
-    /// Whether the endpoint list has the server.
+    /// Returns whether the endpoint list contains the server.
     pub fn is_listed(&self) -> bool {
         self.is_listed
     }
 
-    /// Whether the endpoint list names it as the primary.
+    /// Returns whether the endpoint list names the server as the primary.
     pub fn is_listed_primary(&self) -> bool {
         self.is_listed_primary
     }
 
-    /// Whether operators have it out of service.
+    /// Returns whether operators have taken the server out of service.
     pub fn is_out_of_service(&self) -> bool {
         self.is_out_of_service
     }
 
-    /// Whether it takes no new attempts, by the endpoint list or by the operators.
+    /// Returns whether the endpoint list or the operators forbid new attempts to the server.
     pub fn is_closed(&self) -> bool {
         self.is_withdrawn || self.is_out_of_service
     }
 
-    /// A complete endpoint list begins: what it doesn't name is not listed.
-    pub fn unlist(&mut self) {
+    /// Marks the server as not listed, before a complete endpoint list is applied.
+    pub fn mark_unlisted(&mut self) {
         self.is_listed = false;
     }
 
-    /// Takes over the state of an entry.
+    /// Applies the state of the server's entry in the endpoint list.
     pub fn apply_state(&mut self, state: EndpointState, removal: RemovalRule) {
         let is_removed = state == EndpointState::Removed;
         self.is_listed = !is_removed;
@@ -68,22 +68,22 @@
         self.is_withdrawn = must_not_serve || state == EndpointState::Draining;
     }
 
-    /// Takes over the role of an entry.
+    /// Applies the role of the server's entry in the endpoint list.
     pub fn apply_role(&mut self, entry: &Endpoint) {
         self.is_listed_primary = entry.listed_primary;
     }
 
-    /// It takes no new attempts until the endpoint list names it again.
+    /// Forbids new attempts until a later entry of the endpoint list permits them.
     pub fn withdraw(&mut self) {
         self.is_withdrawn = true;
     }
 
-    /// Operators took it out of service.
+    /// Records that operators took the server out of service.
     pub fn take_out_of_service(&mut self) {
         self.is_out_of_service = true;
     }
 
-    /// Operators returned it to service.
+    /// Records that operators returned the server to service.
     pub fn return_to_service(&mut self) {
         self.is_out_of_service = false;
     }
--- a/core/src/routing/server/load.rs
+++ b/core/src/routing/server/load.rs
@@ -1,19 +1,20 @@
-//! The attempts that one server works on for this proxy instance.
+//! Load that this proxy instance puts on one server.
 //!
-//! Owns their number, their expected work and the send time of the oldest one. An abandoned attempt counts
-//! until its reservation expires, because a server usually completes work whose client gave up.
+//! Owns the number of attempts that occupy the server, their expected work and the send time of the oldest
+//! attempt in flight. An abandoned attempt counts until its reservation expires, because a server usually
+//! completes a request even if its client gave up.
 
-/// An attempt that has ended here and may still occupy the server.
+/// Capacity reserved for an attempt that has ended for the proxy but may still occupy the server.
 struct Reservation {
     expires_at: f64,
     expected_secs: f64,
 }
 
-/// Accounting of one server's attempts; times are seconds on the engine's clock.
+/// Counts of one server's attempts. Times are seconds on the engine's clock.
 pub(in crate::routing) struct AttemptLoad {
     in_flight: f64,
     expected_secs: f64,
-    /// Infinite where nothing is in flight.
+    /// Infinite if no attempt is in flight.
     oldest_sent_at: f64,
     reservations: Vec<Reservation>,
 }
@@ -25,41 +26,42 @@
 }
 
 impl AttemptLoad {
-    /// Attempts that occupy the server.
+    /// Returns the number of attempts that occupy the server.
     pub fn in_flight(&self) -> f64 {
         self.in_flight
     }
 
-    /// Seconds that the attempts in flight are expected to take together.
+    /// Returns the total expected duration, in seconds, of the attempts that occupy the server.
     pub fn expected_secs(&self) -> f64 {
         self.expected_secs
     }
 
-    /// When the oldest attempt was sent; infinite where nothing is in flight.
+    /// Returns when the oldest attempt in flight was sent; infinite if none is in flight.
     pub fn oldest_sent_at(&self) -> f64 {
         self.oldest_sent_at
     }
 
-    /// Counts an attempt that is sent now.
+    /// Counts an attempt that is sent at `now`.
     pub fn start(&mut self, now: f64, expected_secs: f64) {
         self.in_flight += 1.0;
         self.expected_secs += expected_secs;
         self.oldest_sent_at = self.oldest_sent_at.min(now);
     }
 
-    /// Ends an attempt, which occupies the server until `expires_at`.
+    /// Records the end of an attempt, which occupies the server until `expires_at`.
     pub fn end(&mut self, now: f64, expires_at: f64, expected_secs: f64) {
         self.reservations.push(Reservation { expires_at, expected_secs });
         self.release_expired(now);
     }
 
-    /// Releases expired reservations and forgets the oldest attempt; [`Self::observe_sent_at`] finds it anew.
+    /// Releases expired reservations and resets the send time of the oldest attempt. The caller then passes
+    /// each attempt in flight to [`Self::observe_sent_at`].
     pub fn refresh(&mut self, now: f64) {
         self.oldest_sent_at = f64::INFINITY;
         self.release_expired(now);
     }
 
-    /// An attempt that was sent at this time is in flight.
+    /// Updates the send time of the oldest attempt with an attempt in flight.
     pub fn observe_sent_at(&mut self, sent_at: f64) {
         self.oldest_sent_at = self.oldest_sent_at.min(sent_at);
     }
--- a/core/src/routing/server/replication.rs
+++ b/core/src/routing/server/replication.rs
@@ -1,88 +1,94 @@
-//! What a server has reported of its replication position and role.
+//! Replication position and role that a server has reported.
 //!
 //! Owns the position, the lag and the time of the last response. Times and positions are seconds on the
-//! engine's clock; position 0 means that none was reported. A position only grows, except where a server
-//! reports for the first time that it is a replica: what it said as a primary may never have been true.
+//! engine's clock; position 0 means that the server has reported none. The position never decreases, except
+//! when a server first reports that it is a replica: a position that it reported as a primary may have been
+//! wrong.
 
-/// A server's report of its own state.
+/// State that a server reports about itself.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::routing) struct StatusReport {
-    /// When the report was true.
+    /// Time at which the reported state was true.
     pub valid_at: f64,
-    /// When the attempt that brought it was sent, if an attempt did.
+    /// When the attempt was sent whose response carried the report; `None` if no attempt did.
     pub sent_at: Option<f64>,
-    /// Replication position.
+    /// Replication position; `None` if not reported.
     pub position: Option<f64>,
-    /// Whether the server says that it is the primary.
+    /// Whether the server claims to be the primary; `None` if not reported.
     pub is_primary: Option<bool>,
 }
 
-/// What the replica set knows of a server's role.
+/// Role of a server according to its replica set.
 #[derive(Debug, Clone, Copy)]
 pub(in crate::routing) struct KnownRole {
-    /// The set regards it as the primary.
+    /// Whether the replica set regards the server as the primary.
     pub is_primary: bool,
-    /// It was deposed and is not known to have noticed.
+    /// Whether the server was deposed and has not acknowledged it.
     pub is_deposed: bool,
 }
 
-/// A server's replication state.
+/// Replication state of a server.
 #[derive(Default)]
 pub(in crate::routing) struct ReplicationStatus {
     position: f64,
     lag_secs: f64,
     last_response_at: f64,
-    replica_since: Option<f64>,
+    reported_replica_at: Option<f64>,
 }
 
 impl ReplicationStatus {
-    /// The position that it reported last; 0 where it reported none.
+    /// Returns the last reported position; 0 if the server has reported none.
     pub fn position(&self) -> f64 {
         self.position
     }
 
-    /// How old its data was at its last report; infinite after a restart until it reports.
+    /// Returns the age of the server's data at its last report, in seconds; infinite from a restart until the
+    /// next report.
     pub fn lag_secs(&self) -> f64 {
         self.lag_secs
     }
 
-    /// When it last responded.
+    /// Returns the time of the last response; 0 if there was none.
     pub fn last_response_at(&self) -> f64 {
         self.last_response_at
     }
 
-    /// When it reported that it is a replica, if that was its last report.
+    /// Returns when the server last reported that it is a replica; `None` if it has not, or has become the
+    /// primary since.
     pub fn reported_replica_at(&self) -> Option<f64> {
-        self.replica_since
+        self.reported_replica_at
     }
 
-    /// Whether nothing is known of its position since its start.
+    /// Returns whether the server has reported no position since its process started.
     pub fn is_unknown(&self) -> bool {
         self.position == 0.0 || self.lag_secs.is_infinite()
     }
 
-    /// Its process may have restarted: its data counts as stale until it reports.
+    /// Marks the server's data as stale until its next report, because its process may have restarted.
     pub fn restarted(&mut self) {
         self.lag_secs = f64::INFINITY;
     }
 
-    /// It responded.
+    /// Records the time of a response.
     pub fn response_received(&mut self, now: f64) {
         self.last_response_at = now;
     }
 
-    /// Learns a report. `report.is_primary` is the role that counts; `known` is the set's view after it.
+    /// Records a report, in which `is_primary` is `None` for a claim that the caller ignores. `known` is the
+    /// server's role in the replica set once the report has been applied there.
     pub fn record(&mut self, report: &StatusReport, known: KnownRole) {
-        let first_as_replica = report.is_primary == Some(false) && self.replica_since.is_none();
+        let is_first_replica_report = report.is_primary == Some(false) && self.reported_replica_at.is_none();
         if report.is_primary == Some(true) && known.is_primary {
-            self.replica_since = None;
+            self.reported_replica_at = None;
         } else if report.is_primary == Some(false) && !known.is_primary {
-            let since = self.replica_since.map_or(report.valid_at, |since| since.max(report.valid_at));
-            self.replica_since = Some(since);
+            let reported_at =
+                self.reported_replica_at.map_or(report.valid_at, |previous| previous.max(report.valid_at));
+            self.reported_replica_at = Some(reported_at);
         }
-        // A deposed primary that has not noticed reports the present as its position, which is wrong.
+        // A deposed primary that is unaware of its deposition reports the current time as its position, which
+        // is wrong.
         let Some(position) = report.position.filter(|_| !known.is_deposed) else { return };
-        self.position = if first_as_replica { position } else { self.position.max(position) };
+        self.position = if is_first_replica_report { position } else { self.position.max(position) };
         if report.valid_at >= self.last_response_at {
             self.last_response_at = report.valid_at;
             self.lag_secs = (report.valid_at - position).max(0.0);
--- a/core/src/routing/server/warm_up.rs
+++ b/core/src/routing/server/warm_up.rs
@@ -1,22 +1,23 @@
-//! Slow start: how much work a server may be sent after its process has started.
+//! Slow start: limits the work that a server receives after its process has started.
 //!
-//! Owns the start time and the budget, which is counted in average requests. The upkeep refills the budget in
-//! proportion to the capacity that the service rules grant; each forwarded request spends its cost.
+//! Owns the start time and the budget, which is counted in average requests. The periodic upkeep refills the
+//! budget in proportion to the capacity that the service rules guarantee; each forwarded request consumes its
+//! cost.
 
 use crate::api::ServiceRules;
 use crate::time::secs;
 
-/// Part of the permitted work that is used, as a safety margin.
+/// Share of the permitted work that the proxy uses; the rest is a safety margin.
 const BUDGET_MARGIN: f64 = 0.7;
-/// The budget may grow to this many average requests even where the permitted rate is lower: otherwise an
-/// instance that sends little could never use its part.
+/// Minimum of the budget's cap, in average requests. Without it, an instance with a low request rate could
+/// never use its part of the permitted work.
 const MIN_BUDGET_CAP: f64 = 2.0;
-/// Part of the overload duration for which the budget accumulates.
+/// Share of the overload duration for which the budget accumulates.
 const ACCUMULATION_SHARE: f64 = 0.5;
-/// Least capacity share that is computed with.
+/// Lower bound of the capacity share.
 const MIN_CAPACITY_SHARE: f64 = 0.01;
 
-/// A server's warm-up; times are seconds on the engine's clock.
+/// Warm-up state of a server. Times are seconds on the engine's clock.
 pub(in crate::routing) struct WarmUp {
     started_at: Option<f64>,
     budget: f64,
@@ -29,53 +30,54 @@
 }
 
 impl WarmUp {
-    /// When the process started, where that is known.
+    /// Returns when the process started; `None` if unknown.
     pub fn started_at(&self) -> Option<f64> {
         self.started_at
     }
 
-    /// Work that may be sent, in average requests.
+    /// Returns the work that the server may still be sent, in average requests.
     pub fn budget(&self) -> f64 {
         self.budget
     }
 
-    /// The process started at this time.
+    /// Starts a warm-up of a process that started at `started_at`, with this initial budget in average
+    /// requests.
     pub fn restart(&mut self, started_at: f64, budget: f64) {
         self.started_at = Some(started_at);
         self.budget = budget;
     }
 
-    /// Takes over a start time that is later than the known one.
+    /// Sets the start time if this one is later than the known one.
     pub fn observe_start(&mut self, started_at: f64) {
         if self.is_newer_start(started_at) {
             self.started_at = Some(started_at);
         }
     }
 
-    /// Whether this start is later than the known one.
+    /// Returns whether `started_at` is later than the known start time, or none is known.
     pub fn is_newer_start(&self, started_at: f64) -> bool {
         self.started_at.is_none_or(|known| started_at > known)
     }
 
-    /// Lowers the budget to this value.
+    /// Lowers the budget to at most `budget`.
     pub fn cap_budget(&mut self, budget: f64) {
         self.budget = self.budget.min(budget);
     }
 
-    /// Spends budget for a request of this cost, in average requests.
+    /// Subtracts the cost of a request, in average requests, from the budget.
     pub fn spend(&mut self, cost: f64) {
         self.budget -= cost;
     }
 
-    /// The share of its capacity that the server has at least.
+    /// Returns the share of its full capacity that the server has at least; 1 if its start time is unknown.
     pub fn capacity_share(&self, now: f64, rules: &ServiceRules) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         rules.min_capacity_share(now - started_at).max(MIN_CAPACITY_SHARE)
     }
 
-    /// Refills the budget after `elapsed_secs`. `warm_rate` is the rate in requests a second that this
-    /// instance sends a warm server of the same size.
-    pub fn refill(&mut self, now: f64, elapsed_secs: f64, rules: &ServiceRules, warm_rate: WarmRate) {
+    /// Refills the budget for `elapsed_secs` seconds. `warm_rate` is the rate at which this proxy instance sends
+    /// requests to a warm server of the same capacity.
+    pub fn refill(&mut self, now: f64, elapsed_secs: f64, rules: &ServiceRules, warm_rate: WarmServerRate) {
         let capacity_share = self.capacity_share(now, rules);
         let rate = BUDGET_MARGIN
             * rules.overload_factor
@@ -87,11 +89,11 @@
     }
 }
 
-/// The rate that a warm server of some size serves for this instance.
+/// Request rate of a warm server, from this proxy instance alone.
 #[derive(Clone, Copy)]
-pub(in crate::routing) struct WarmRate {
-    /// Requests a second of a server of relative capacity 1.
+pub(in crate::routing) struct WarmServerRate {
+    /// Requests per second to a warm server of relative capacity 1.
     pub requests_per_s: f64,
-    /// The server's capacity compared with the others'.
+    /// Capacity of the server relative to the other servers.
     pub relative_capacity: f64,
 }
