--- a/core/src/routing/server/down_state.rs
+++ b/core/src/routing/server/down_state.rs
@@ -5,8 +5,8 @@
 
 /// Delay in seconds from the detection of a failure to the first trial.
 pub(in crate::routing) const FIRST_TRIAL_DELAY_SECS: f64 = 0.3;
-/// Maximum interval between trials in seconds. `MAX_TRIAL_SHARE` extends it for an instance with a low request
-/// rate.
+/// Maximum interval between trials in seconds. `MAX_TRIAL_SHARE` extends it for an instance with a low
+/// request rate.
 const MAX_TRIAL_INTERVAL_SECS: f64 = 2.0;
 /// Maximum share of a proxy instance's requests that trials of one server may use.
 const MAX_TRIAL_SHARE: f64 = 0.05;
@@ -73,7 +73,8 @@
         now >= self.next_trial_at && (self.health_check_passed || policy == TrialPolicy::ReadsOnly)
     }
 
-    /// Returns whether any read may be sent as a trial, without a health check, if no member of the group is up.
+    /// Returns whether any read may be sent as a trial, without a health check, if no member of the group is
+    /// up.
     pub fn is_last_resort_due(&self, now: f64) -> bool {
         now >= self.next_trial_at - self.trial_interval_secs + FIRST_TRIAL_DELAY_SECS
     }
--- a/core/src/routing/server/mod.rs
+++ b/core/src/routing/server/mod.rs
@@ -161,8 +161,8 @@
         self.errors.estimate(now, 0.0, &ATTEMPT_EWMA)
     }
 
-    /// Returns the seconds since the oldest attempt in flight was sent or the server last responded, whichever
-    /// is later; 0 if no attempt is in flight.
+    /// Returns the seconds since the oldest attempt in flight was sent or the server last responded,
+    /// whichever is later; 0 if no attempt is in flight.
     pub fn silence_secs(&self, now: f64) -> f64 {
         (now - self.load.oldest_sent_at().max(self.replication.last_response_at())).max(0.0)
     }
--- a/core/src/routing/server/warm_up.rs
+++ b/core/src/routing/server/warm_up.rs
@@ -75,8 +75,8 @@
         rules.min_capacity_share(now - started_at).max(MIN_CAPACITY_SHARE)
     }
 
-    /// Refills the budget for `elapsed_secs` seconds. `warm_rate` is the rate at which this proxy instance sends
-    /// requests to a warm server of the same capacity.
+    /// Refills the budget for `elapsed_secs` seconds. `warm_rate` is the rate at which this proxy instance
+    /// sends requests to a warm server of the same capacity.
     pub fn refill(&mut self, now: f64, elapsed_secs: f64, rules: &ServiceRules, warm_rate: WarmServerRate) {
         let capacity_share = self.capacity_share(now, rules);
         let rate = BUDGET_MARGIN
