--- a/core/src/routing/read_routing.rs
+++ b/core/src/routing/read_routing.rs
@@ -118,7 +118,7 @@
         let policy = if allow_health_checks { TrialPolicy::AfterHealthCheck } else { TrialPolicy::ReadsOnly };
         let is_due = |down: &DownState| {
             (self.read.is_fresh() && down.is_trial_due(now, policy))
-                || (self.up.is_empty() && down.is_last_resort_due(now))
+                || (self.up.is_empty() && down.is_last_resort_trial_due(now))
         };
         let due: Vec<_> =
             self.down.iter().filter(|member| member.server.down().is_some_and(is_due)).collect();
--- a/core/src/routing/server/down_state.rs
+++ b/core/src/routing/server/down_state.rs
@@ -75,7 +75,7 @@
 
     /// Returns whether any read may be sent as a trial, without a health check, if no member of the group is
     /// up.
-    pub fn is_last_resort_due(&self, now: f64) -> bool {
+    pub fn is_last_resort_trial_due(&self, now: f64) -> bool {
         now >= self.next_trial_at - self.trial_interval_secs + FIRST_TRIAL_DELAY_SECS
     }
 
