--- a/core/src/routing/outlier_detection.rs
+++ b/core/src/routing/outlier_detection.rs
@@ -146,7 +146,7 @@
         let settings = context.settings;
         let refused_within_secs = REFUSAL_TIMEOUT_SHARE * secs(settings.limits.connect_timeout);
         if end.outcome.is_response() {
-            let was_short = server.refused_within(now, MIN_RESTART_SECS);
+            let was_short = server.refused_connection_within(now, MIN_RESTART_SECS);
             self.refused.record(now, f64::from(u8::from(was_short)), &ATTEMPT_EWMA);
         } else if end.outcome == Outcome::ConnectFailed && end.took_secs < refused_within_secs {
             server.connection_refused(now);
@@ -174,7 +174,7 @@
     let may_be_dead = down.cause() == DownCause::Dead || !has_health_checks;
     let has_restarted = may_be_dead && context.now - down.since() > min_down_secs;
     if has_restarted && end.is_primary != Some(true) && lost_share < NETWORK_FAULT_SHARE {
-        server.recovered_from_death(context.now, context.settings);
+        server.recovered_after_restart(context.now, context.settings);
         actions.push(Action::Log(format!("server {} responds again", end.server.0)));
     }
 }
--- a/core/src/routing/read_routing.rs
+++ b/core/src/routing/read_routing.rs
@@ -220,7 +220,7 @@
             return None;
         }
         let is_unreported = |member: &&Member| {
-            member.server.load().in_flight() < 1.0 && member.server.replication().is_unknown()
+            member.server.load().in_flight() < 1.0 && member.server.replication().is_position_unknown()
         };
         open.iter().find(is_unreported).copied()
     }
--- a/core/src/routing/server/faults.rs
+++ b/core/src/routing/server/faults.rs
@@ -28,7 +28,7 @@
     }
 
     /// Returns whether the server refused a connection within the last `secs` seconds.
-    pub fn refused_within(&self, now: f64, secs: f64) -> bool {
+    pub fn refused_connection_within(&self, now: f64, secs: f64) -> bool {
         self.connection_refused_at > 0.0 && now - self.connection_refused_at < secs
     }
 
--- a/core/src/routing/server/mod.rs
+++ b/core/src/routing/server/mod.rs
@@ -182,7 +182,7 @@
 
     /// Starts a warm-up and resets the concurrency limit, because the process may have restarted while the
     /// server was down.
-    pub fn recovered_from_death(&mut self, now: f64, settings: &Settings) {
+    pub fn recovered_after_restart(&mut self, now: f64, settings: &Settings) {
         self.warm_up.restart(now, 0.0);
         self.concurrency_limit = ConcurrencyLimit::new(now, instance_share(settings));
     }
--- a/core/src/routing/server/replication.rs
+++ b/core/src/routing/server/replication.rs
@@ -60,7 +60,7 @@
     }
 
     /// Returns whether the server has reported no position since its process started.
-    pub fn is_unknown(&self) -> bool {
+    pub fn is_position_unknown(&self) -> bool {
         self.position == 0.0 || self.lag_secs.is_infinite()
     }
 
