--- a/core/src/routing/cluster/mod.rs
+++ b/core/src/routing/cluster/mod.rs
@@ -100,13 +100,13 @@
 
     /// Returns the primary of a group without a member that is down. If one is down, this proxy instance
     /// sends the other members more than their usual share.
-    pub fn primary_of_complete_group(&self, group: GroupId) -> Option<ServerId> {
+    pub fn primary_if_all_members_up(&self, group: GroupId) -> Option<ServerId> {
         let any_down = self.members(group).any(|member| !member.server.is_up());
         self.primary(group).filter(|_| !any_down)
     }
 
     /// Returns the mutable group whose primary is this server, if there is one.
-    pub fn led_group_mut(&mut self, server: ServerId) -> Option<&mut Group> {
+    pub fn group_with_primary_mut(&mut self, server: ServerId) -> Option<&mut Group> {
         let group = self.group_of(server)?;
         self.groups.get_mut(group).filter(|group| group.primary() == Some(server))
     }
--- a/core/src/routing/cluster/upkeep.rs
+++ b/core/src/routing/cluster/upkeep.rs
@@ -31,7 +31,7 @@
         let is_warm = |server: &&Server| !server.is_closed() && server.is_warm(now, &settings.rules);
         let all = self.servers.values().filter(is_warm).map(Server::relative_capacity).sum();
         let primaries = self.groups.iter().filter_map(|(id, _)| {
-            let primary = self.primary_of_complete_group(id)?;
+            let primary = self.primary_if_all_members_up(id)?;
             self.servers.get(&primary)
         });
         WarmCapacity { all, primaries: primaries.filter(is_warm).map(Server::relative_capacity).sum() }
--- a/core/src/routing/completion.rs
+++ b/core/src/routing/completion.rs
@@ -106,7 +106,7 @@
         let now = self.now;
         let is_steady_primary = self.cluster.is_steady_primary(end.server);
         let is_watched_primary =
-            is_large_fleet(&self.settings) && self.cluster.led_group_mut(end.server).is_some();
+            is_large_fleet(&self.settings) && self.cluster.group_with_primary_mut(end.server).is_some();
         let primary_late_share = is_watched_primary.then(|| self.primary_reads.observed_late_share(now));
         let Some(server) = self.cluster.server_mut(end.server) else { return };
         // An abandoned attempt is often still executed, and occupies the server for as long again.
@@ -142,7 +142,7 @@
     }
 
     fn record_primary_lateness(&mut self, end: &Completion) {
-        let Some(group) = self.cluster.led_group_mut(end.server) else { return };
+        let Some(group) = self.cluster.group_with_primary_mut(end.server) else { return };
         let class = &self.settings.classes[end.class.0];
         let attempt = PrimaryAttempt { class, elapsed_secs: end.took_secs, outcome: end.outcome };
         self.primary_reads.record(group.late_at_primary_mut(), self.now, &attempt, &ATTEMPT_EWMA);
@@ -153,7 +153,7 @@
         let is_warm = |server: &&Server| server.is_warm(self.now, &self.settings.rules);
         let server = self.cluster.server(end.server).filter(|_| end.is_success()).filter(is_warm);
         let Some(group) = server.map(Server::group) else { return };
-        let primary = self.cluster.primary_of_complete_group(group);
+        let primary = self.cluster.primary_if_all_members_up(group);
         self.throughput.record_response(primary == Some(end.server));
         self.costs.record_response(end.class.0, self.latencies.mean_secs(end.class), self.now);
     }
