--- a/core/src/api/snapshot.rs
+++ b/core/src/api/snapshot.rs
@@ -75,7 +75,7 @@
 impl StateSnapshot {
     /// Shifts all times by `offset_secs`, to a clock whose zero lies that many seconds before that of the
     /// sender's clock.
-    pub fn shift(&mut self, offset_secs: f64) {
+    pub fn shift_times(&mut self, offset_secs: f64) {
         if let Some(floor) = &mut self.session_floor {
             *floor += offset_secs;
         }
@@ -83,13 +83,13 @@
             *token += offset_secs;
         }
         for server in &mut self.servers {
-            server.shift(offset_secs);
+            server.shift_times(offset_secs);
         }
     }
 }
 
 impl ServerSnapshot {
-    fn shift(&mut self, offset_secs: f64) {
+    fn shift_times(&mut self, offset_secs: f64) {
         self.last_response += offset_secs;
         for time in [&mut self.position, &mut self.replica_at, &mut self.started].into_iter().flatten() {
             *time += offset_secs;
--- a/core/tests/action_hash/disturbances.rs
+++ b/core/tests/action_hash/disturbances.rs
@@ -172,7 +172,7 @@
     pub(crate) fn hot_restart(&mut self) {
         self.counters.snapshots += 1;
         let mut snapshot = self.engine.snapshot();
-        snapshot.shift(CLOCK_SHIFT.as_secs_f64());
+        snapshot.shift_times(CLOCK_SHIFT.as_secs_f64());
         self.clock_offset += CLOCK_SHIFT;
         self.drop_open_requests();
         let seed = self.random.bits();
--- a/core/tests/snapshot.rs
+++ b/core/tests/snapshot.rs
@@ -144,7 +144,7 @@
     write(&mut old, "stored");
     // The zero of the successor's clock lies 40 s after the other one's.
     let mut snapshot = old.engine.snapshot();
-    snapshot.shift(-40.0);
+    snapshot.shift_times(-40.0);
     let mut new = Bench::new(tracking());
     new.now = old.now - ms(40_000);
     new.engine = RoutingEngine::new(tracking(), 8).expect("valid");
--- a/src/net/driver/hot_restart.rs
+++ b/src/net/driver/hot_restart.rs
@@ -19,7 +19,7 @@
     /// Restores the state of the predecessor process, whose clock had its zero at `zero_unix_ms` in Unix
     /// milliseconds.
     pub fn restore(&self, mut snapshot: StateSnapshot, zero_unix_ms: f64) {
-        snapshot.shift((zero_unix_ms - self.0.clock.zero_unix_ms()) / 1e3);
+        snapshot.shift_times((zero_unix_ms - self.0.clock.zero_unix_ms()) / 1e3);
         let mut state = self.0.state.borrow_mut();
         for server in snapshot.servers.iter().filter(|server| !server.primary) {
             let position = server.position.and_then(|secs| Duration::try_from_secs_f64(secs).ok());
