--- a/core/src/api/class.rs
+++ b/core/src/api/class.rs
@@ -54,7 +54,7 @@
     pub latency_objective: Duration,
     /// Factor by which the request's own work extends the latency objective. The engine validates it and does
     /// not use it.
-    pub latency_objective_stretch: f64,
+    pub latency_objective_work_factor: f64,
     /// Total time, over all retries, after which the client gives up.
     pub deadline: Duration,
     /// Share of the weight, from 0 to 1, that a response earns after the latency objective.
--- a/core/src/api/settings.rs
+++ b/core/src/api/settings.rs
@@ -213,7 +213,12 @@
     fn validate(&self) -> Result<(), SettingsError> {
         check_range("a class's priority weight", self.priority_weight, 0.0, f64::MAX)?;
         check_range("a class's late weight", self.late_weight, 0.0, 1.0)?;
-        check_range("a class's latency objective stretch", self.latency_objective_stretch, 0.0, f64::MAX)?;
+        check_range(
+            "a class's latency objective stretch",
+            self.latency_objective_work_factor,
+            0.0,
+            f64::MAX,
+        )?;
         check_range("a class's deadline", self.deadline.as_secs_f64(), MIN_DEADLINE_SECS, f64::MAX)
     }
 }
--- a/core/src/primary_read_admission/tests.rs
+++ b/core/src/primary_read_admission/tests.rs
@@ -12,7 +12,7 @@
     let class = |priority_weight, idempotency, consistency| Class {
         priority_weight,
         latency_objective: Duration::from_millis(500),
-        latency_objective_stretch: 0.0,
+        latency_objective_work_factor: 0.0,
         deadline: Duration::from_millis(2000),
         late_weight: 0.0,
         idempotency,
--- a/core/src/request_cost/tests.rs
+++ b/core/src/request_cost/tests.rs
@@ -8,7 +8,7 @@
     Class {
         priority_weight: 1.0,
         latency_objective: Duration::from_millis(latency_objective_ms),
-        latency_objective_stretch: 0.0,
+        latency_objective_work_factor: 0.0,
         deadline: Duration::from_secs(8),
         late_weight: 0.0,
         idempotency: Idempotency::Idempotent,
--- a/core/tests/action_hash/settings.rs
+++ b/core/tests/action_hash/settings.rs
@@ -161,7 +161,7 @@
     Class {
         priority_weight: [1.0, 3.0, 0.5][index % 3],
         latency_objective: ms(200 + 60 * index as u64),
-        latency_objective_stretch: [0.0, 1.0][index % 2],
+        latency_objective_work_factor: [0.0, 1.0][index % 2],
         deadline: ms(1000 + 250 * index as u64),
         late_weight: [0.0, 0.5][index % 2],
         idempotency: effect,
--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -22,7 +22,7 @@
     Class {
         priority_weight: 1.0,
         latency_objective: ms(400),
-        latency_objective_stretch: 0.0,
+        latency_objective_work_factor: 0.0,
         deadline: ms(1500),
         late_weight: 0.0,
         idempotency,
--- a/src/settings/classes.rs
+++ b/src/settings/classes.rs
@@ -21,7 +21,7 @@
     Ok(Class {
         priority_weight: class.number_or("Credit", 1.0)?,
         latency_objective: class.duration("OnTimeMs")?,
-        latency_objective_stretch: class.number_or("AimStretch", 0.0)?,
+        latency_objective_work_factor: class.number_or("AimStretch", 0.0)?,
         deadline: class.duration("DeadlineMs")?,
         late_weight: class.number_or("LateValue", 0.0)?,
         idempotency,
--- a/testkit/src/fleet/rule_checker/tests.rs
+++ b/testkit/src/fleet/rule_checker/tests.rs
@@ -11,7 +11,7 @@
     let class = |idempotency, consistency| Class {
         priority_weight: 1.0,
         latency_objective: ms(500),
-        latency_objective_stretch: 0.0,
+        latency_objective_work_factor: 0.0,
         deadline: ms(2000),
         late_weight: 0.0,
         idempotency,
--- a/testkit/src/fleet/scenario/classes.rs
+++ b/testkit/src/fleet/scenario/classes.rs
@@ -19,7 +19,7 @@
     let mut class = Class {
         priority_weight: 1.0,
         latency_objective: Duration::from_millis(500),
-        latency_objective_stretch: 0.0,
+        latency_objective_work_factor: 0.0,
         deadline: Duration::from_millis(1500),
         late_weight: 0.0,
         idempotency,
--- a/testkit/tests/rules.rs
+++ b/testkit/tests/rules.rs
@@ -50,7 +50,7 @@
             let class = Class {
                 priority_weight,
                 latency_objective: ms(objective_ms),
-                latency_objective_stretch: 0.0,
+                latency_objective_work_factor: 0.0,
                 deadline: Duration::from_secs_f64(objective_s * deadline_factor.max(1.5)),
                 late_weight,
                 idempotency: if is_read { Idempotency::Idempotent } else { idempotency },
