--- a/core/src/api/event.rs
+++ b/core/src/api/event.rs
@@ -50,7 +50,7 @@
     /// A timer expired.
     Timer(TimerId),
     /// The client closed its connection.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// Another proxy instance sent a gossip message.
     Gossip {
         /// Index of the sender.
--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -183,7 +183,7 @@
             }
             Event::PeerMessage(message) => self.peer_message_received(message),
             Event::Timer(id) => self.timer.fired(id),
-            Event::ClientGone(request) => {
+            Event::ClientDisconnected(request) => {
                 self.requests.remove(&request);
                 self.cancel_attempts(request, actions);
             }
--- a/core/tests/action_hash/script.rs
+++ b/core/tests/action_hash/script.rs
@@ -286,7 +286,7 @@
             }
             Task::Leave(request) => {
                 if self.open.remove(&request).is_some() {
-                    events.push(Event::ClientGone(request));
+                    events.push(Event::ClientDisconnected(request));
                 }
             }
             Task::WholeList => {
--- a/core/tests/failover.rs
+++ b/core/tests/failover.rs
@@ -215,7 +215,7 @@
     let request = bench.request(UNIQUE_WRITE);
     let id = request.id;
     assert!(forwarded_to(&bench.step(vec![Event::Request(request)])).is_empty());
-    bench.step(vec![Event::ClientGone(id)]);
+    bench.step(vec![Event::ClientDisconnected(id)]);
     let after = end_at(&mut bench, 1, Outcome::Success, Some(true));
     assert!(forwarded_to(&after).is_empty(), "{after:?}");
 }
--- a/core/tests/rules.rs
+++ b/core/tests/rules.rs
@@ -143,7 +143,7 @@
         self.step(vec![
             Event::Gossip { from: 3, bytes: vec![pick; usize::from(pick % 8)] },
             checked,
-            Event::ClientGone(RequestId(9_999_999)),
+            Event::ClientDisconnected(RequestId(9_999_999)),
             Event::Timer(TimerId(u64::from(pick))),
         ]);
     }
--- a/core/tests/snapshot.rs
+++ b/core/tests/snapshot.rs
@@ -196,7 +196,7 @@
     let request = Request { session: Some("s".into()), ..bench.request(UNIQUE_WRITE) };
     let id = request.id;
     bench.step(vec![Event::Request(request)]);
-    bench.step(vec![Event::ClientGone(id)]);
+    bench.step(vec![Event::ClientDisconnected(id)]);
     bench.end(Outcome::Success, Some(true), ms(0));
     assert_eq!(read(&mut bench, "s"), 1);
 }
--- a/src/bin/simulator-adapter/event.rs
+++ b/src/bin/simulator-adapter/event.rs
@@ -33,7 +33,7 @@
             load_report: parse_load_report(fields.get(4), connections)?,
         },
         "BELL" => Event::Timer(TimerId(fields.integer(1, "Nonce")?)),
-        "WITHDRAWN" => Event::ClientGone(request()?),
+        "WITHDRAWN" => Event::ClientDisconnected(request()?),
         "PEER_DATA" => Event::Gossip {
             from: fields.integer_u32(1, "OriginPeer")?,
             bytes: hex::decode(fields.text(2, "Octets")?)
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -147,7 +147,7 @@
             let waited_ms = self.0.clock.now().saturating_sub(open.submitted_at).as_millis();
             let client_request_id = &open.client_request_id;
             log::debug!("client of request {client_request_id} disconnected after {waited_ms} ms");
-            state.events.push(Event::ClientGone(request));
+            state.events.push(Event::ClientDisconnected(request));
             self.0.event_queued.notify_one();
         }
     }
--- a/testkit/src/fleet/simulation/clients.rs
+++ b/testkit/src/fleet/simulation/clients.rs
@@ -87,7 +87,7 @@
     pub(super) fn client_gone(&mut self, process: usize, id: RequestId) {
         if self.processes[process].open.remove(&id).is_some() {
             self.fleet.checker.request_abandoned(id.0);
-            self.notify(process, Event::ClientGone(id));
+            self.notify(process, Event::ClientDisconnected(id));
         }
     }
 
