--- a/core/src/api/action.rs
+++ b/core/src/api/action.rs
@@ -48,7 +48,7 @@
     /// Poll the complete endpoint list once.
     Poll,
     /// Close the idle connections to a server.
-    CloseIdle {
+    CloseIdleConnections {
         /// Server whose idle connections are closed.
         server: ServerId,
     },
--- a/core/src/routing/outlier_detection.rs
+++ b/core/src/routing/outlier_detection.rs
@@ -154,7 +154,7 @@
         let is_idle = server.load().in_flight() < 1.0;
         let refused_share = self.refused.estimate(now, 0.0, &ATTEMPT_EWMA);
         if is_idle && is_large_fleet(settings) && refused_share > MAX_REFUSED_SHARE {
-            actions.push(Action::CloseIdle { server: end.server });
+            actions.push(Action::CloseIdleConnections { server: end.server });
         }
     }
 }
--- a/core/tests/action_hash/counters.rs
+++ b/core/tests/action_hash/counters.rs
@@ -40,7 +40,7 @@
             Action::HealthCheck { .. } => &mut self.probes,
             Action::Watch { .. } => &mut self.watches,
             Action::Poll => &mut self.fetches,
-            Action::CloseIdle { .. } => &mut self.closes,
+            Action::CloseIdleConnections { .. } => &mut self.closes,
             Action::Gossip { .. } => &mut self.gossip,
             Action::SetTimer { .. } => &mut self.timers,
             Action::Log(_) => &mut self.logs,
--- a/core/tests/action_hash/hash.rs
+++ b/core/tests/action_hash/hash.rs
@@ -113,7 +113,7 @@
                 self.byte(TAG_HEALTH_CHECK);
                 self.number(u64::from(server.0));
             }
-            Action::CloseIdle { server } => {
+            Action::CloseIdleConnections { server } => {
                 self.byte(TAG_CLOSE);
                 self.number(u64::from(server.0));
             }
--- a/core/tests/action_hash/script.rs
+++ b/core/tests/action_hash/script.rs
@@ -227,7 +227,7 @@
                 let late = self.random.duration_ms(0, 2);
                 self.after(after + late, Task::Timer { id: id.0, generation: self.generation });
             }
-            Action::CloseIdle { .. } | Action::Log(_) => {}
+            Action::CloseIdleConnections { .. } | Action::Log(_) => {}
         }
     }
 
--- a/core/tests/fleet/robustness.rs
+++ b/core/tests/fleet/robustness.rs
@@ -22,8 +22,7 @@
             served += u32::from(!is_dead);
             actions.extend(bench.end(outcome, Some(false).filter(|_| !is_dead), ms(10)));
         }
-        let closes_other =
-            |action: &Action| matches!(action, Action::CloseIdle { server } if *server != ServerId(3));
+        let closes_other = |action: &Action| matches!(action, Action::CloseIdleConnections { server } if *server != ServerId(3));
         assert!(!actions.iter().any(closes_other), "a dead server says nothing of the others: {actions:?}");
     }
     assert!(served >= 40, "{served} served");
--- a/core/tests/routing/outlier_detection.rs
+++ b/core/tests/routing/outlier_detection.rs
@@ -85,7 +85,10 @@
             while let Some(attempt) = bench.sent.pop() {
                 let after =
                     bench.end_attempt(attempt, Outcome::Success, Some(attempt.server == PRIMARY), ms(10));
-                closed += after.iter().filter(|action| matches!(action, Action::CloseIdle { .. })).count();
+                closed += after
+                    .iter()
+                    .filter(|action| matches!(action, Action::CloseIdleConnections { .. }))
+                    .count();
             }
             bench.pass(ms(400));
         }
--- a/src/bin/simulator-adapter/write.rs
+++ b/src/bin/simulator-adapter/write.rs
@@ -25,7 +25,7 @@
         Action::HealthCheck { server } => json!(["SOUND_OUT", instance, server.0]),
         Action::Watch { on } => json!(["TRACK", instance, on]),
         Action::Poll => json!(["LOOKUP", instance]),
-        Action::CloseIdle { server } => json!(["DROP_CONNS", instance, server.0]),
+        Action::CloseIdleConnections { server } => json!(["DROP_CONNS", instance, server.0]),
         Action::Gossip { to: Some(peer), bytes } => json!(["MEMO_TO", instance, peer, hex::encode(bytes)]),
         Action::Gossip { to: None, bytes } => json!(["MEMO_TO", instance, "all", hex::encode(bytes)]),
         Action::SetTimer { after, id } => json!(["AFTER", instance, millis(*after), id.0]),
--- a/src/net/driver/step.rs
+++ b/src/net/driver/step.rs
@@ -78,7 +78,7 @@
                 self.cancel(now, AttemptId { request, number: attempt }, state);
             }
             Action::HealthCheck { server } => self.command(ServerCommand::HealthCheck(server)),
-            Action::CloseIdle { server } => self.command(ServerCommand::CloseIdle(server)),
+            Action::CloseIdleConnections { server } => self.command(ServerCommand::CloseIdle(server)),
             Action::Watch { on } => self.command_discovery(DiscoveryCommand::Watch(on)),
             Action::Poll => self.command_discovery(DiscoveryCommand::Poll),
             Action::SetTimer { after, id } => state.timers.schedule(now + after, id),
--- a/testkit/src/fleet/simulation/stepping.rs
+++ b/testkit/src/fleet/simulation/stepping.rs
@@ -113,7 +113,7 @@
                 }
             }
             Action::Poll => self.poll(process),
-            Action::CloseIdle { server } => {
+            Action::CloseIdleConnections { server } => {
                 let server = server.0 as usize;
                 let idle = self.processes[process].idle.remove(&server).unwrap_or_default();
                 self.close_connections(server, idle.iter().map(|connection| connection.incarnation));
