--- a/core/src/api/event.rs
+++ b/core/src/api/event.rs
@@ -34,7 +34,7 @@
         attempt: AttemptNumber,
     },
     /// A health check ended.
-    HealthCheckEnded {
+    HealthChecked {
         /// Server that was checked.
         server: ServerId,
         /// Whether the server passed the check.
--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -176,9 +176,7 @@
                     open.stream_started();
                 }
             }
-            Event::HealthCheckEnded { server, ok, load_report } => {
-                self.health_checked(server, ok, load_report)
-            }
+            Event::HealthChecked { server, ok, load_report } => self.health_checked(server, ok, load_report),
             Event::SnapshotReceived(snapshot) => {
                 let (cluster, sessions) = (&mut self.cluster, &mut self.sessions);
                 snapshot::restore(*snapshot, cluster, sessions, &self.settings, self.now);
--- a/core/tests/action_hash/script.rs
+++ b/core/tests/action_hash/script.rs
@@ -317,7 +317,7 @@
         let ok = self.cluster.server(server).process == Process::Running;
         let reports = self.settings.load_reports != LoadReports::Never;
         let report = (ok && reports).then(|| self.report(server));
-        Event::HealthCheckEnded { server: ServerId(server), ok, load_report: report }
+        Event::HealthChecked { server: ServerId(server), ok, load_report: report }
     }
 
     fn report(&mut self, server: u32) -> LoadReport {
--- a/core/tests/common/mod.rs
+++ b/core/tests/common/mod.rs
@@ -268,7 +268,7 @@
             let report =
                 LoadReport { position: Some(self.now - lag), primary: Some(false), ..LoadReport::default() };
             let checked =
-                Event::HealthCheckEnded { server: ServerId(server), ok: true, load_report: Some(report) };
+                Event::HealthChecked { server: ServerId(server), ok: true, load_report: Some(report) };
             self.step(vec![checked]);
         }
     }
--- a/core/tests/failover.rs
+++ b/core/tests/failover.rs
@@ -97,7 +97,7 @@
 #[test]
 fn neither_the_role_nor_the_position_that_a_deposed_primary_reports_is_trusted() {
     let mut bench = steady();
-    bench.step(vec![Event::HealthCheckEnded {
+    bench.step(vec![Event::HealthChecked {
         server: ServerId(2),
         ok: true,
         load_report: Some(LoadReport {
@@ -176,7 +176,7 @@
     let replica_set =
         ReplicaSetSnapshot { epoch: 4, deposed: true, failover: Some((FailoverKind::Unplanned, 1.5)) };
     bench.step(vec![
-        Event::HealthCheckEnded {
+        Event::HealthChecked {
             server: ServerId(2),
             ok: true,
             load_report: Some(LoadReport {
@@ -195,7 +195,7 @@
     assert_eq!(forwarded_to(&bench.call(UNIQUE_WRITE)), [2]);
     bench.now += ms(10);
     end_at(&mut bench, 2, Outcome::Success, Some(true));
-    bench.step(vec![Event::HealthCheckEnded {
+    bench.step(vec![Event::HealthChecked {
         server: ServerId(1),
         ok: true,
         load_report: Some(LoadReport {
--- a/core/tests/routing/queueing.rs
+++ b/core/tests/routing/queueing.rs
@@ -165,7 +165,7 @@
         let position = Some(bench.now);
         let report = Some(LoadReport { position, primary: Some(true), ..LoadReport::default() });
         let mut actions =
-            bench.step(vec![Event::HealthCheckEnded { server: PRIMARY, ok: true, load_report: report }]);
+            bench.step(vec![Event::HealthChecked { server: PRIMARY, ok: true, load_report: report }]);
         actions.extend(bench.pass(ms(100)));
         assert_eq!((rejection_count(&actions), failure_count(&actions)), (0, 0));
     }
--- a/core/tests/routing/read_routing.rs
+++ b/core/tests/routing/read_routing.rs
@@ -134,7 +134,7 @@
         LoadReport { position: Some(bench.now - ms(100)), primary: Some(false), ..LoadReport::default() };
     bench.now += ms(5);
     let then =
-        bench.step(vec![Event::HealthCheckEnded { server: checked, ok: true, load_report: Some(report) }]);
+        bench.step(vec![Event::HealthChecked { server: checked, ok: true, load_report: Some(report) }]);
     assert_eq!(forwarded_to(&then), [checked.0]);
 }
 
--- a/core/tests/rules.rs
+++ b/core/tests/rules.rs
@@ -135,7 +135,7 @@
 
     /// Events that concern nothing the engine knows, or that may come at any time.
     fn send_unrelated_events(&mut self, pick: u8) {
-        let checked = Event::HealthCheckEnded {
+        let checked = Event::HealthChecked {
             server: ServerId(u32::from(pick)),
             ok: pick.is_multiple_of(2),
             load_report: None,
--- a/core/tests/snapshot.rs
+++ b/core/tests/snapshot.rs
@@ -116,7 +116,7 @@
                         ..LoadReport::default()
                     };
                     let checked =
-                        Event::HealthCheckEnded { server: *server, ok: true, load_report: Some(report) };
+                        Event::HealthChecked { server: *server, ok: true, load_report: Some(report) };
                     bench.step(vec![checked]);
                 }
                 Action::Forward { server, .. }
--- a/src/bin/simulator-adapter/event.rs
+++ b/src/bin/simulator-adapter/event.rs
@@ -27,7 +27,7 @@
         "HEADERS" => {
             Event::StreamStarted { request: request()?, attempt: AttemptNumber(fields.integer_u32(4, "Go")?) }
         }
-        "PING_RESULT" => Event::HealthCheckEnded {
+        "PING_RESULT" => Event::HealthChecked {
             server: ServerId(fields.integer_u32(2, "Server")?),
             ok: fields.text(1, "How")? == "ok",
             load_report: parse_load_report(fields.get(4), connections)?,
--- a/src/net/driver/servers.rs
+++ b/src/net/driver/servers.rs
@@ -18,7 +18,7 @@
 
     /// Reports the end of a health check: whether the server answered, and the load report that it sent.
     pub fn health_checked(&self, server: ServerId, ok: bool, load_report: Option<LoadReport>) {
-        self.queue_event(Event::HealthCheckEnded { server, ok, load_report });
+        self.queue_event(Event::HealthChecked { server, ok, load_report });
     }
 
     /// Reports an update of the endpoint list, with the addresses of its servers.
--- a/testkit/src/fleet/simulation/mod.rs
+++ b/testkit/src/fleet/simulation/mod.rs
@@ -108,7 +108,7 @@
             SimulationEvent::AttemptTimeout { process, id } => self.attempt_times_out(process, id),
             SimulationEvent::HealthChecked { process, server, ok, load_report } => {
                 let server = ServerId(server as u32);
-                self.notify(process, Event::HealthCheckEnded { server, ok, load_report });
+                self.notify(process, Event::HealthChecked { server, ok, load_report });
             }
             SimulationEvent::PollEnds { process, ok } => self.poll_ends(process, ok),
             SimulationEvent::WatchLost { process } => self.watch_lost(process),
