--- a/core/src/api/action.rs
+++ b/core/src/api/action.rs
@@ -13,7 +13,7 @@
         request: RequestId,
         /// Server that the attempt is sent to.
         server: ServerId,
-        /// Time after which the caller ends the attempt with [`Outcome::Timeout`](super::Outcome::Timeout).
+        /// Time after which the caller gives up the attempt.
         timeout: Duration,
     },
     /// Final answer: the request is rejected, and the client may safely retry it.
