--- a/core/src/routing/completion.rs
+++ b/core/src/routing/completion.rs
@@ -106,8 +106,8 @@
     fn update_server(&mut self, completion: &Completion, expected_secs: f64, actions: &mut Vec<Action>) {
         let now = self.now;
         let is_steady_primary = self.cluster.is_steady_primary(completion.server);
-        let is_watched_primary =
-            is_large_fleet(&self.settings) && self.cluster.led_group_mut(completion.server).is_some();
+        let is_watched_primary = is_large_fleet(&self.settings)
+            && self.cluster.group_with_primary_mut(completion.server).is_some();
         let primary_late_share = is_watched_primary.then(|| self.primary_reads.observed_late_share(now));
         let Some(server) = self.cluster.server_mut(completion.server) else { return };
         // The server often still executes an abandoned attempt, so the attempt is assumed to occupy the
@@ -147,7 +147,7 @@
     }
 
     fn record_primary_lateness(&mut self, completion: &Completion) {
-        let Some(group) = self.cluster.led_group_mut(completion.server) else { return };
+        let Some(group) = self.cluster.group_with_primary_mut(completion.server) else { return };
         let class = &self.settings.classes[completion.class.0];
         let attempt =
             PrimaryAttempt { class, elapsed_secs: completion.took_secs, outcome: completion.outcome };
@@ -160,7 +160,7 @@
         let server =
             self.cluster.server(completion.server).filter(|_| completion.is_success()).filter(is_warm);
         let Some(group) = server.map(Server::group) else { return };
-        let primary = self.cluster.primary_of_complete_group(group);
+        let primary = self.cluster.primary_if_all_members_up(group);
         self.throughput.record_response(primary == Some(completion.server));
         self.costs.record_response(completion.class.0, self.latencies.mean_secs(completion.class), self.now);
     }
--- a/core/src/routing/outlier_detection.rs
+++ b/core/src/routing/outlier_detection.rs
@@ -154,7 +154,7 @@
         let settings = context.settings;
         let refused_within_secs = REFUSAL_TIMEOUT_SHARE * secs(settings.limits.connect_timeout);
         if completion.outcome.is_response() {
-            let was_short = server.refused_within(now, MIN_RESTART_SECS);
+            let was_short = server.refused_connection_within(now, MIN_RESTART_SECS);
             self.refused_share.record(now, f64::from(u8::from(was_short)), &ATTEMPT_EWMA);
         } else if completion.outcome == Outcome::ConnectFailed && completion.took_secs < refused_within_secs {
             server.connection_refused(now);
@@ -162,7 +162,7 @@
         let is_idle = server.load().in_flight() < 1.0;
         let refused_share = self.refused_share.estimate(now, 0.0, &ATTEMPT_EWMA);
         if is_idle && is_large_fleet(settings) && refused_share > MAX_REFUSED_SHARE {
-            actions.push(Action::CloseIdle { server: completion.server });
+            actions.push(Action::CloseIdleConnections { server: completion.server });
         }
     }
 }
@@ -183,7 +183,7 @@
     let may_be_dead = down.cause() == DownCause::Dead || !has_health_checks;
     let has_restarted = may_be_dead && context.now - down.since() > min_down_secs;
     if has_restarted && completion.is_primary != Some(true) && lost_share < NETWORK_FAULT_SHARE {
-        server.recovered_from_death(context.now, context.settings);
+        server.recovered_after_restart(context.now, context.settings);
         actions.push(Action::Log(format!("server {} responds again", completion.server.0)));
     }
 }
--- a/core/src/routing/read_routing.rs
+++ b/core/src/routing/read_routing.rs
@@ -122,7 +122,7 @@
         let policy = if allow_health_checks { TrialPolicy::AfterHealthCheck } else { TrialPolicy::ReadsOnly };
         let is_due = |down: &DownState| {
             (self.read.is_unsent() && down.is_trial_due(now, policy))
-                || (self.up.is_empty() && down.is_last_resort_due(now))
+                || (self.up.is_empty() && down.is_last_resort_trial_due(now))
         };
         let due: Vec<_> =
             self.down.iter().filter(|member| member.server.down().is_some_and(is_due)).collect();
@@ -228,7 +228,7 @@
             return None;
         }
         let is_unreported = |member: &&Member| {
-            member.server.load().in_flight() < 1.0 && member.server.replication().is_unknown()
+            member.server.load().in_flight() < 1.0 && member.server.replication().is_position_unknown()
         };
         available.iter().find(is_unreported).copied()
     }
--- a/core/tests/action_hash/counters.rs
+++ b/core/tests/action_hash/counters.rs
@@ -40,7 +40,7 @@
             Action::HealthCheck { .. } => &mut self.health_checks,
             Action::Watch { .. } => &mut self.watches,
             Action::Poll => &mut self.polls,
-            Action::CloseIdle { .. } => &mut self.idle_closes,
+            Action::CloseIdleConnections { .. } => &mut self.idle_closes,
             Action::Gossip { .. } => &mut self.gossip,
             Action::SetTimer { .. } => &mut self.timers,
             Action::Log(_) => &mut self.log_lines,
--- a/core/tests/action_hash/script.rs
+++ b/core/tests/action_hash/script.rs
@@ -233,7 +233,7 @@
                     Task::Timer { id: id.0, process_generation: self.process_generation },
                 );
             }
-            Action::CloseIdle { .. } | Action::Log(_) => {}
+            Action::CloseIdleConnections { .. } | Action::Log(_) => {}
         }
     }
 
@@ -292,7 +292,7 @@
             }
             Task::ClientDisconnect(request) => {
                 if self.open.remove(&request).is_some() {
-                    events.push(Event::ClientGone(request));
+                    events.push(Event::ClientDisconnected(request));
                 }
             }
             Task::FullList => {
--- a/core/tests/failover.rs
+++ b/core/tests/failover.rs
@@ -245,7 +245,7 @@
     let request = harness.new_request(UNIQUE_WRITE);
     let id = request.id;
     assert!(forwarded_to(&harness.step(vec![Event::Request(request)])).is_empty());
-    harness.step(vec![Event::ClientGone(id)]);
+    harness.step(vec![Event::ClientDisconnected(id)]);
     let after = end_at(&mut harness, 1, Outcome::Success, Some(true));
     assert!(forwarded_to(&after).is_empty(), "{after:?}");
 }
--- a/core/tests/routing/outlier_detection.rs
+++ b/core/tests/routing/outlier_detection.rs
@@ -88,7 +88,10 @@
             while let Some(attempt) = harness.in_flight.pop() {
                 let after =
                     harness.end_attempt(attempt, Outcome::Success, Some(attempt.server == PRIMARY), ms(10));
-                closed += after.iter().filter(|action| matches!(action, Action::CloseIdle { .. })).count();
+                closed += after
+                    .iter()
+                    .filter(|action| matches!(action, Action::CloseIdleConnections { .. }))
+                    .count();
             }
             harness.advance(ms(400));
         }
--- a/core/tests/rules.rs
+++ b/core/tests/rules.rs
@@ -144,7 +144,7 @@
         self.step(vec![
             Event::Gossip { from: 3, bytes: vec![selector; usize::from(selector % 8)] },
             checked,
-            Event::ClientGone(RequestId(9_999_999)),
+            Event::ClientDisconnected(RequestId(9_999_999)),
             Event::Timer(TimerId(u64::from(selector))),
         ]);
     }
--- a/core/tests/snapshot.rs
+++ b/core/tests/snapshot.rs
@@ -149,7 +149,7 @@
     write(&mut old, "stored");
     // The zero of the successor's clock is 40 s after the zero of the predecessor's clock.
     let mut snapshot = old.engine.snapshot();
-    snapshot.shift(-40.0);
+    snapshot.shift_times(-40.0);
     let mut new = Harness::new(tracking_settings());
     new.now = old.now - ms(40_000);
     new.engine = RoutingEngine::new(tracking_settings(), 8).expect("valid");
@@ -201,7 +201,7 @@
     let request = Request { session: Some("s".into()), ..harness.new_request(UNIQUE_WRITE) };
     let id = request.id;
     harness.step(vec![Event::Request(request)]);
-    harness.step(vec![Event::ClientGone(id)]);
+    harness.step(vec![Event::ClientDisconnected(id)]);
     harness.end_oldest(Outcome::Success, Some(true), ms(0));
     assert_eq!(read(&mut harness, "s"), 1);
 }
