--- a/src/net/driver/attempt_table.rs
+++ b/src/net/driver/attempt_table.rs
@@ -1,7 +1,7 @@
-//! The attempts that the server side executes at present.
+//! Table of the attempts in flight on the server side.
 //!
-//! An attempt leaves the table when it ends or is cancelled. A result for an attempt that is not in the table
-//! is therefore known to be late.
+//! An attempt is removed when it ends or is cancelled. A result for an attempt that is not in the table is
+//! therefore late, and the driver drops it.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -13,18 +13,18 @@
 pub(super) struct InFlightAttempt {
     pub(super) server: ServerId,
     pub(super) class: ClassId,
-    /// When it was forwarded, on the proxy's clock.
+    /// Time at which the driver commanded the attempt, on the proxy's clock.
     pub(super) sent_at: Duration,
-    /// The session whose write it is, if sessions are tracked.
+    /// Session of the write; `None` for a read, or if session tokens are not tracked.
     pub(super) writing_session: Option<Rc<str>>,
 }
 
 impl InFlightAttempt {
-    /// Writes its end to the log.
+    /// Logs the end of the attempt.
     pub(super) fn log_end(&self, id: AttemptId, now: Duration, outcome: Outcome) {
         let took_ms = now.saturating_sub(self.sent_at).as_millis();
         log::trace!(
-            "attempt {} of request number {} of class {} at server {}: {outcome:?} after {took_ms} ms",
+            "attempt {} of request number {} of class {} at server {} ended: {outcome:?} after {took_ms} ms",
             id.number.0,
             id.request.0,
             self.class.0,
@@ -32,8 +32,9 @@
         );
     }
 
-    /// The report of its end to the routing engine: without a response, and with its request not complete.
-    pub(super) fn ended(&self, id: AttemptId, now: Duration, outcome: Outcome) -> AttemptEnded {
+    /// Returns the report of the attempt's end to the routing engine, with `request_complete` false and
+    /// without a status or a load report.
+    pub(super) fn end_report(&self, id: AttemptId, now: Duration, outcome: Outcome) -> AttemptEnded {
         AttemptEnded {
             request: id.request,
             attempt: id.number,
@@ -47,7 +48,7 @@
     }
 }
 
-/// All attempts in flight.
+/// All attempts in flight, by id.
 #[derive(Default)]
 pub(super) struct AttemptTable(HashMap<AttemptId, InFlightAttempt>);
 
@@ -60,7 +61,7 @@
         self.0.remove(&id)
     }
 
-    /// The class of each attempt.
+    /// Returns the class of each attempt.
     pub(super) fn classes(&self) -> impl Iterator<Item = ClassId> + '_ {
         self.0.values().map(|attempt| attempt.class)
     }
--- a/src/net/driver/commands.rs
+++ b/src/net/driver/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that the driver sends to the server side and to discovery.
+//! Commands from the driver to the server side and to discovery.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,46 +11,47 @@
 /// A command to the server side.
 #[derive(Debug)]
 pub enum ServerCommand<Q> {
-    /// Execute an attempt.
+    /// Start an attempt.
     Attempt(AttemptCommand<Q>),
-    /// Cancel an attempt.
+    /// Cancel an attempt; no result is reported for it.
     Cancel(AttemptId),
-    /// Check a server's health.
+    /// Run a health check on a server.
     HealthCheck(ServerId),
     /// Close the idle connections to a server.
     CloseIdle(ServerId),
-    /// Use this address for a server from now on.
+    /// Use this address for new connections to a server.
     SetAddress(ServerId, SocketAddr),
-    /// Drop all state of a server: it was removed from the endpoint list.
+    /// Drop all state of a server that was removed from the endpoint list.
     Forget(ServerId),
-    /// Apply new settings. The duration is the time after which servers close an idle connection.
+    /// Apply new settings. The duration is the servers' idle timeout, after which they close a connection.
     Reconfigure(Box<Settings>, Duration),
-    /// Open at most this number of sockets.
+    /// Use at most this number of sockets.
     SetSocketLimit(usize),
-    /// Use at most this share of all sockets and buffers; another process uses the rest.
+    /// Use at most this share (from 0 to 1) of the sockets; the peer process uses the rest.
     SetShare(f64),
 }
 
-/// An attempt to be executed.
+/// An attempt for the server side to execute.
 #[derive(Debug)]
 pub struct AttemptCommand<Q> {
-    /// Identifies the attempt.
+    /// Id of the attempt.
     pub id: AttemptId,
-    /// The server to use.
+    /// Server to which the query is sent.
     pub server: ServerId,
-    /// The query to send.
+    /// Query of the request; all attempts of the request share it.
     pub query: Rc<Q>,
-    /// The attempt's deadline.
-    pub give_up_at: Instant,
-    /// When the server's data may become too old for the request; the query must not be sent after it.
-    /// `None` for requests without a bound on staleness and for primaries.
+    /// Time at which the attempt times out.
+    pub deadline: Instant,
+    /// Time from which the server's data may exceed the staleness bound of the request; from then on the
+    /// query must not be sent. `None` if the request has no staleness bound, or if no replication position of
+    /// the server is known (always so for a primary).
     pub fresh_until: Option<Instant>,
 }
 
 /// A command to discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryCommand {
-    /// Start a watch of the endpoint list (`true`), or stop it (`false`).
+    /// Start a watch of the endpoint list (`true`) or stop it (`false`).
     Watch(bool),
     /// Poll the complete endpoint list once.
     Poll,
--- a/src/net/driver/endpoint_view.rs
+++ b/src/net/driver/endpoint_view.rs
@@ -1,31 +1,33 @@
-//! Which servers may get attempts, and how far replicas are known to have replicated.
+//! The driver's view of the servers: which servers may get attempts, and the last known replication positions
+//! of replicas.
 //!
-//! The endpoint list says which servers exist and which are draining; operators take servers out of service.
-//! An update that removes a server drops its draining flag and its position, so that they do not pile up while
-//! servers come and go. Servers out of service are kept until the operators return them.
+//! The endpoint list says which servers exist and which of them drain. Operators take servers out of service.
+//! An update that removes a server drops the server's draining flag and position, so that this state does not
+//! grow as servers are replaced. A server out of service stays recorded until operators return it to service.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::time::Duration;
 
 use crate::api::{Endpoint, EndpointState, EndpointUpdate, GroupId, ServerId, ServerStatus};
 
-/// The driver's view of the servers.
+/// State of the servers as far as the driver needs it.
 pub(super) struct EndpointView {
-    /// Servers that were removed from the list may still get attempts.
-    keeps_removed: bool,
+    /// Whether servers that were removed from the list may still get attempts (setting `removed_may_serve`).
+    removed_may_serve: bool,
     listed: BTreeSet<ServerId>,
-    /// All groups that the list has ever named.
+    /// All groups that the list has ever contained.
     groups: HashSet<GroupId>,
     draining: BTreeSet<ServerId>,
     out_of_service: BTreeSet<ServerId>,
-    /// Replication positions on the proxy's clock; `None` for a primary or an unknown position.
+    /// Replication positions on the proxy's clock; `None` for a server that is not known to be a replica, and
+    /// for a replica whose position is unknown.
     positions: BTreeMap<ServerId, Option<Duration>>,
 }
 
 impl EndpointView {
-    pub(super) fn new(keeps_removed: bool) -> Self {
+    pub(super) fn new(removed_may_serve: bool) -> Self {
         Self {
-            keeps_removed,
+            removed_may_serve,
             listed: BTreeSet::new(),
             groups: HashSet::new(),
             draining: BTreeSet::new(),
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Applies an update of the endpoint list. Returns the servers that it removed.
+    /// Applies an update of the endpoint list. Returns the servers that the update removed.
     pub(super) fn apply(&mut self, update: &EndpointUpdate) -> Vec<ServerId> {
         let (entries, is_complete): (&[Endpoint], bool) = match update {
             EndpointUpdate::Full(entries) | EndpointUpdate::Cached(entries) => (entries, true),
@@ -66,18 +68,20 @@
                 self.draining.remove(&entry.server);
             }
         }
-        // A server that was not listed, or that is here twice, is not reported again.
-        removed.retain(|server| !self.keeps_removed && self.listed.remove(server));
+        // `remove` is false for a server that was not listed, and for the second entry of a server that the
+        // update names twice, so that each removal is reported once.
+        removed.retain(|server| !self.removed_may_serve && self.listed.remove(server));
         removed
     }
 
-    /// Whether new attempts may go to a server.
+    /// Returns whether new attempts may be sent to a server.
     pub(super) fn accepts_attempts(&self, server: ServerId) -> bool {
-        let is_listed = self.keeps_removed || self.listed.contains(&server);
+        let is_listed = self.removed_may_serve || self.listed.contains(&server);
         is_listed && !self.draining.contains(&server) && !self.out_of_service.contains(&server)
     }
 
-    /// Whether the list has ever named a group. Before the first list, every group may exist.
+    /// Returns whether the list has ever contained a group. Returns true for every group until a list with a
+    /// server arrives.
     pub(super) fn knows_group(&self, group: GroupId) -> bool {
         self.groups.is_empty() || self.groups.contains(&group)
     }
@@ -90,20 +94,21 @@
         self.out_of_service.remove(&server);
     }
 
-    /// Records what a server reported of itself. A replica's position never goes back; a server that is not
-    /// known to be a replica has none.
+    /// Records a status that a server sent. The position of a replica never decreases. A server whose status
+    /// does not say that it is a replica gets no position.
     pub(super) fn record_status(&mut self, server: ServerId, status: ServerStatus) {
         let is_replica = status.primary == Some(false);
         let position = status.position.max(self.position(server));
         self.positions.insert(server, position.filter(|_| is_replica));
     }
 
-    /// Records a position from a state snapshot, unless this process has heard from the server itself.
+    /// Records a position from a state snapshot, unless this process has already recorded a status of the
+    /// server.
     pub(super) fn restore_position(&mut self, server: ServerId, position: Option<Duration>) {
         self.positions.entry(server).or_insert(position);
     }
 
-    /// A replica's last known position.
+    /// Returns the last known position of a replica; `None` for a primary or an unknown position.
     pub(super) fn position(&self, server: ServerId) -> Option<Duration> {
         self.positions.get(&server).copied().flatten()
     }
--- a/src/net/driver/hot_restart.rs
+++ b/src/net/driver/hot_restart.rs
@@ -1,4 +1,5 @@
-//! Hot restart: the state that is handed over, and the messages between the two processes while both serve.
+//! Hot restart: the state that is handed over, and the messages to and from the peer process while both
+//! processes serve.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,16 +9,16 @@
 use super::Driver;
 use crate::api::{EndpointState, EndpointUpdate, Event, PeerMessage, ServerId, StateSnapshot};
 
-impl<Q, A> Driver<Q, A> {
-    /// The state for a successor process. The engine is stepped first, since a client may have a response
-    /// that the engine has not been fed yet.
+impl<Q, R> Driver<Q, R> {
+    /// Returns the state for a successor process. Steps the engine first, since a client may already have a
+    /// response whose event is still queued.
     pub fn snapshot(&self) -> StateSnapshot {
         self.step();
         self.0.state.borrow().engine.snapshot()
     }
 
-    /// Restores the state of the predecessor process, whose clock had its zero at `zero_unix_ms` in Unix
-    /// milliseconds.
+    /// Restores the state of the predecessor process. `zero_unix_ms` is the zero of the predecessor's clock,
+    /// in Unix milliseconds.
     pub fn restore(&self, mut snapshot: StateSnapshot, zero_unix_ms: f64) {
         snapshot.shift((zero_unix_ms - self.0.clock.zero_unix_ms()) / 1e3);
         let mut state = self.0.state.borrow_mut();
@@ -30,25 +31,26 @@
         self.0.event_queued.notify_one();
     }
 
-    /// Connects the peer process, which serves as well, so that both notify each other of changes.
+    /// Connects the peer process, which also serves, so that both processes notify each other of changes.
     pub fn connect_peer(&self, link: Rc<dyn PeerLink>) {
         self.0.peer.connect(link);
         self.wake();
     }
 
-    /// Tells the peer that this process has answered all its requests and accepts no more.
+    /// Notifies the peer that this process has answered all its requests and accepts no more.
     pub fn close_peer(&self) {
         if let Some(peer) = self.0.peer.link() {
             peer.close();
         }
     }
 
-    /// Reports that a peer process serves and cannot be reached.
+    /// Reports that a peer process serves but cannot be reached, so its writes are unknown here.
     pub fn peer_unreachable(&self) {
         self.queue_event(Event::PeerMessage(PeerMessage::PeerUnreachable(true)));
     }
 
-    /// Reports that the peer process has ended.
+    /// Disconnects the peer process, if there is one, after its last messages are received. The peer has
+    /// exited or is unresponsive; the engine no longer counts it as unreachable.
     pub fn peer_gone(&self) {
         let peer = self.0.peer.disconnect();
         let messages = peer.map(|peer| peer.receive()).unwrap_or_default();
@@ -56,12 +58,13 @@
         self.queue_event(Event::PeerMessage(PeerMessage::PeerUnreachable(false)));
     }
 
-    /// Requests a step of the engine.
+    /// Requests a step of the engine, for example because a message of the peer has arrived.
     pub fn wake(&self) {
         self.0.event_queued.notify_one();
     }
 
-    /// Notifies the peer of a session's write, if the attempt was one.
+    /// Notifies the peer of a session's write, if the attempt was a write and session tokens are tracked.
+    /// `commit` is the commit time on the proxy's clock.
     pub(super) fn send_session_write(&self, attempt: &InFlightAttempt, commit: Duration) {
         if let (Some(session), Some(peer)) = (&attempt.writing_session, self.0.peer.link()) {
             peer.send(&PeerMessage::SessionWrite {
@@ -71,7 +74,7 @@
         }
     }
 
-    /// Tells the peer which servers an update from the discovery service withdraws.
+    /// Notifies the peer of the servers that an update from the discovery service withdraws.
     pub(super) fn send_withdrawn_servers(&self, update: &EndpointUpdate, removed: &[ServerId]) {
         let Some(peer) = self.0.peer.link() else { return };
         let (EndpointUpdate::Changes(entries) | EndpointUpdate::Full(entries)) = update else { return };
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -1,12 +1,16 @@
-//! Drives the routing engine: feeds it events, carries out its actions, and owns the table of open requests.
+//! Driver of the routing engine: passes events to the engine, executes the engine's actions, and owns the
+//! table of open requests.
 //!
-//! The client side and the server side meet only here. The client side submits requests and awaits their
-//! responses; the server side executes commands and reports results. Reports are queued as events for the
-//! next step of the engine.
+//! The driver is the only connection between the client side and the server side. The client side submits
+//! requests and awaits their responses. The server side executes commands and reports their results. The
+//! driver queues each report as an event for the next step of the engine.
 //!
-//! The driver guarantees that a request gets at most one final response, that its attempts are numbered in
-//! the order of sending, and that none is sent after the request is complete, past its deadline or beyond its
-//! attempt limit. It does not read queries (`Q`) or answers (`A`), and so does not depend on a protocol.
+//! The driver guarantees that:
+//! - a request gets at most one final response;
+//! - the attempts of a request are numbered in the order in which they are sent;
+//! - no attempt is sent after its request is complete, after the deadline, or beyond the attempt limit.
+//!
+//! The driver never inspects queries (`Q`) or query results (`R`), so it does not depend on a protocol.
 
 mod attempt_table;
 mod clock;
@@ -37,56 +41,56 @@
 pub use clock::Clock;
 pub use commands::{AttemptCommand, DiscoveryCommand, ServerCommand};
 pub use peer_link::PeerLink;
-use peer_link::PeerSlot;
+use peer_link::PeerLinkSlot;
 pub use request::{AttemptResult, ClientHandle, NewRequest, Response};
 use request_table::OpenRequest;
-use state::State;
+use state::DriverState;
 
-/// The driver of the routing engine. Clones share one engine.
-pub struct Driver<Q, A>(Rc<Shared<Q, A>>);
+/// Driver of the routing engine. Clones share one engine.
+pub struct Driver<Q, R>(Rc<Shared<Q, R>>);
 
-/// What the clones of a driver share. No borrow of `state` lasts over an await or a call of a client's
-/// handle.
-struct Shared<Q, A> {
+/// State that all clones of a driver share. `state` must not stay borrowed across an await or across a call
+/// of a [`ClientHandle`].
+struct Shared<Q, R> {
     clock: Clock,
     min_step_interval: Duration,
-    state: RefCell<State<Q, A>>,
-    peer: PeerSlot,
+    state: RefCell<DriverState<Q, R>>,
+    peer: PeerLinkSlot,
     server_commands: UnboundedSender<ServerCommand<Q>>,
     discovery_commands: UnboundedSender<DiscoveryCommand>,
-    /// Notified when an event is queued.
+    /// Wakes [`Driver::run`] when an event is queued or a step is requested.
     event_queued: Notify,
 }
 
-impl<Q, A> Clone for Driver<Q, A> {
+impl<Q, R> Clone for Driver<Q, R> {
     fn clone(&self) -> Self {
         Self(self.0.clone())
     }
 }
 
-/// A new driver and the receiving ends of its command channels.
-pub struct DriverParts<Q, A> {
-    /// The driver.
-    pub driver: Driver<Q, A>,
-    /// Commands to the server side.
+/// A new driver and the receivers of its command channels.
+pub struct DriverParts<Q, R> {
+    /// The new driver.
+    pub driver: Driver<Q, R>,
+    /// Receives the commands to the server side.
     pub server_commands: UnboundedReceiver<ServerCommand<Q>>,
-    /// Commands to discovery.
+    /// Receives the commands to discovery.
     pub discovery_commands: UnboundedReceiver<DiscoveryCommand>,
 }
 
-impl<Q, A> DriverParts<Q, A> {
-    /// Creates a driver with a new routing engine. `seed` starts the engine's random numbers.
+impl<Q, R> DriverParts<Q, R> {
+    /// Creates a driver with a new routing engine. `seed` seeds the engine's random number generator.
     ///
     /// # Errors
-    /// If the engine rejects the settings.
+    /// Returns an error if the engine rejects the settings.
     pub fn new(settings: Settings, seed: u64, clock: Clock) -> Result<Self, SettingsError> {
         let (server_sender, server_commands) = unbounded_channel();
         let (discovery_sender, discovery_commands) = unbounded_channel();
         let shared = Shared {
             clock,
             min_step_interval: settings.min_step_interval,
-            state: RefCell::new(State::new(settings, seed, clock.now())?),
-            peer: PeerSlot::default(),
+            state: RefCell::new(DriverState::new(settings, seed, clock.now())?),
+            peer: PeerLinkSlot::default(),
             server_commands: server_sender,
             discovery_commands: discovery_sender,
             event_queued: Notify::new(),
@@ -95,15 +99,15 @@
     }
 }
 
-impl<Q, A> Driver<Q, A> {
-    /// The proxy's clock.
+impl<Q, R> Driver<Q, R> {
+    /// Returns the proxy's clock.
     pub fn clock(&self) -> Clock {
         self.0.clock
     }
 
-    /// Submits a request. The receiver gets its final response. A client that stops waiting must be reported
-    /// through [`Self::client_gone`].
-    pub fn submit(&self, request: NewRequest, query: Q) -> (RequestId, oneshot::Receiver<Response<A>>) {
+    /// Submits a request. Returns its id and the receiver of its final response. If the client disconnects
+    /// before the response, the caller must call [`Self::client_gone`].
+    pub fn submit(&self, request: NewRequest, query: Q) -> (RequestId, oneshot::Receiver<Response<R>>) {
         let now = self.0.clock.now();
         let (response_sender, response) = oneshot::channel();
         let mut state = self.0.state.borrow_mut();
@@ -140,26 +144,27 @@
         (id, response)
     }
 
-    /// Reports that a request's client has disconnected. The request gets no response.
+    /// Reports that the client of a request has disconnected. The request then gets no response.
     pub fn client_gone(&self, request: RequestId) {
         let mut state = self.0.state.borrow_mut();
         if let Some(open) = state.requests.remove(request) {
             let waited_ms = self.0.clock.now().saturating_sub(open.submitted_at).as_millis();
             let client_request_id = &open.client_request_id;
-            log::debug!("client of request {client_request_id} disconnected after {waited_ms} ms");
+            log::debug!("client disconnected after {waited_ms} ms, request {client_request_id}");
             state.events.push(Event::ClientGone(request));
             self.0.event_queued.notify_one();
         }
     }
 
-    /// Requests without a final response.
+    /// Returns the number of requests without a final response.
     pub fn requests_in_flight(&self) -> usize {
         self.0.state.borrow().requests.len()
     }
 
-    /// Whether an attempt may be written. Called just before its first byte is: by then its client may have
-    /// disconnected, its request may be complete, or its server may have been withdrawn.
-    pub fn may_write(&self, attempt: AttemptId, server: ServerId) -> bool {
+    /// Returns whether an attempt may still be sent. The server side calls this just before it writes the
+    /// first byte of the query. By that time the client may have disconnected, the request may be complete,
+    /// or the server may have been withdrawn.
+    pub fn may_send_attempt(&self, attempt: AttemptId, server: ServerId) -> bool {
         let client = self.0.state.borrow().requests.get(attempt.request).map(|open| open.client.clone());
         let Some(client) = client else { return false };
         if client.is_some_and(|client| client.is_gone()) {
@@ -169,13 +174,13 @@
         self.accepts_attempts(server)
     }
 
-    /// Whether new attempts may go to a server, by the endpoint list and the operators' settings.
+    /// Returns whether the endpoint list and the operators' orders admit new attempts to a server.
     pub fn accepts_attempts(&self, server: ServerId) -> bool {
         self.0.state.borrow().endpoints.accepts_attempts(server)
     }
 
-    /// Reports the end of an attempt. A result for an attempt that has ended before is dropped.
-    pub fn attempt_ended(&self, id: AttemptId, result: AttemptResult<A>) {
+    /// Reports the result of an attempt. The driver drops a result of an attempt that has already ended.
+    pub fn attempt_ended(&self, id: AttemptId, result: AttemptResult<R>) {
         let now = self.0.clock.now();
         let Some(attempt) = self.0.state.borrow_mut().attempts.remove(id) else { return };
         attempt.log_end(id, now, result.outcome);
@@ -183,12 +188,13 @@
             self.0.state.borrow_mut().endpoints.record_status(attempt.server, status);
         }
         let is_success = result.outcome == Outcome::Success;
-        // The peer must know of a commit before the client can act on it.
+        // The peer process must learn of a commit before the client can send a read that depends on it.
         if let Some(commit) = result.status.and_then(|status| status.position).filter(|_| is_success) {
             self.send_session_write(&attempt, commit);
         }
         let mut state = self.0.state.borrow_mut();
-        // The first answer goes to the client without waiting for a step, and completes the request.
+        // The first successful response completes the request. It is passed to the client at once, without a
+        // step of the engine.
         if let Some(answer) = result.response.filter(|_| is_success) {
             if let Some(request) = state.requests.remove(id.request) {
                 request.respond(Response::Served(answer));
@@ -199,34 +205,35 @@
             request_complete,
             status: result.status,
             load_report: result.load_report,
-            ..attempt.ended(id, now, result.outcome)
+            ..attempt.end_report(id, now, result.outcome)
         }));
         self.0.event_queued.notify_one();
     }
 
     /// Applies new settings to requests that are submitted from now on.
     ///
-    /// `kept` has an entry for each class of the settings: its id, if the class is unchanged. Each other class
-    /// gets an id that neither a request in flight nor `reserved` uses, so that requests in flight keep the
-    /// rules that they were submitted under. Returns the ids in the order of the classes.
+    /// `unchanged_ids` has one entry for each class of `settings`: the present id of an unchanged class, or
+    /// `None` for a new or changed class. A class with `None` gets an id that is not in `reserved_ids` and
+    /// that no request or attempt in flight uses, so that requests in flight keep the rules under which they
+    /// were submitted. Returns the ids in the order of the classes.
     pub fn reconfigure(
         &self,
         settings: Settings,
-        kept: &[Option<ClassId>],
-        reserved: &[ClassId],
+        unchanged_ids: &[Option<ClassId>],
+        reserved_ids: &[ClassId],
     ) -> Vec<ClassId> {
         let mut state = self.0.state.borrow_mut();
-        let mut in_use: HashSet<_> = state.requests.classes().chain(state.attempts.classes()).collect();
-        in_use.extend(kept.iter().copied().flatten());
-        in_use.extend(reserved);
-        let ids = state.rules.apply(&settings, kept, in_use);
+        let mut ids_in_use: HashSet<_> = state.requests.classes().chain(state.attempts.classes()).collect();
+        ids_in_use.extend(unchanged_ids.iter().copied().flatten());
+        ids_in_use.extend(reserved_ids);
+        let ids = state.rules.apply(&settings, unchanged_ids, ids_in_use);
         let settings = state.rules.with_all_classes(settings);
         state.events.push(Event::Settings(Box::new(settings)));
         self.0.event_queued.notify_one();
         ids
     }
 
-    /// The longest time that any request in flight may take.
+    /// Returns an upper bound of the time that any request in flight may take.
     pub fn max_deadline(&self) -> Duration {
         self.0.state.borrow().rules.max_deadline()
     }
--- a/src/net/driver/peer_link.rs
+++ b/src/net/driver/peer_link.rs
@@ -1,4 +1,4 @@
-//! The link to the peer process during a hot restart, while both processes serve.
+//! Link to the peer process while both processes serve during a hot restart.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -7,20 +7,21 @@
 
 /// A link to the peer process.
 pub trait PeerLink {
-    /// Sends a message. If it cannot be delivered, the peer treats this process's writes as unknown by the
-    /// time this returns.
+    /// Sends a message. If the message cannot be delivered, the link tells the peer before this returns, so
+    /// that the peer treats the writes of this process as unknown.
     fn send(&self, message: &PeerMessage);
-    /// Tells the peer that no more messages follow.
+    /// Notifies the peer that no more messages follow.
     fn close(&self);
-    /// Takes all messages that have arrived.
+    /// Returns all messages that have arrived since the last call, in order.
     fn receive(&self) -> Vec<PeerMessage>;
 }
 
-/// Holds the link while there is a peer process. No borrow lasts while a link is called.
+/// Holds the link to the peer process, if there is one. The slot is not borrowed while a method of the link
+/// runs.
 #[derive(Default)]
-pub(super) struct PeerSlot(RefCell<Option<Rc<dyn PeerLink>>>);
+pub(super) struct PeerLinkSlot(RefCell<Option<Rc<dyn PeerLink>>>);
 
-impl PeerSlot {
+impl PeerLinkSlot {
     pub(super) fn connect(&self, link: Rc<dyn PeerLink>) {
         self.0.replace(Some(link));
     }
@@ -33,7 +34,7 @@
         self.0.borrow().clone()
     }
 
-    /// Takes all messages that have arrived; none without a peer.
+    /// Returns all messages that have arrived since the last call; none without a peer.
     pub(super) fn receive(&self) -> Vec<PeerMessage> {
         self.link().map(|link| link.receive()).unwrap_or_default()
     }
--- a/src/net/driver/request.rs
+++ b/src/net/driver/request.rs
@@ -1,67 +1,70 @@
-//! Requests, responses and attempt results as the client side and the server side exchange them with the
-//! driver.
+//! Requests and responses that the client side exchanges with the driver, and attempt results that the server
+//! side reports to it.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use crate::api::{ClassId, GroupId, LoadReport, Outcome, ServerStatus};
 
-/// A request as the client side submits it. The driver assigns its id.
+/// A request from the client side. The driver assigns the request id.
 #[derive(Debug, Clone, Default)]
 pub struct NewRequest {
-    /// The id that its client gave it. Only log lines use it.
+    /// Id that the client assigned; used only in log lines.
     pub client_request_id: String,
-    /// The client that waits for the response; with `None`, a client is always taken to wait.
+    /// The client that waits for the response. With `None`, the driver assumes that the client never
+    /// disconnects.
     pub client: Option<Rc<dyn ClientHandle>>,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its replica set.
+    /// Replica set that the request is for.
     pub group: GroupId,
-    /// How long the client waits.
+    /// Time for which the client still waits.
     pub time_left: Duration,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// Length of its statement in bytes.
+    /// Length of the statement in bytes.
     pub statement_bytes: u64,
-    /// Its session.
+    /// Session of the request; `None` if the class does not use sessions.
     pub session: Option<String>,
-    /// The replication position that it must see, in Unix milliseconds.
+    /// Replication position that a read must see (the commit time of the session's last write), in Unix
+    /// milliseconds; `None` if the client sent none.
     pub after_unix_ms: Option<f64>,
 }
 
-/// The client of a request.
+/// Client connection of a request.
 pub trait ClientHandle: std::fmt::Debug {
-    /// Whether the client has disconnected. Called just before an attempt is written.
+    /// Returns whether the client has disconnected. The driver calls this just before an attempt is sent.
     fn is_gone(&self) -> bool;
 }
 
 /// The final response to a request.
 #[derive(Debug, PartialEq)]
-pub enum Response<A> {
-    /// A server's response.
-    Served(A),
-    /// Rejected without execution: a retry is harmless, best after this time.
+pub enum Response<R> {
+    /// A server's successful response.
+    Served(R),
+    /// Rejected without execution, so a retry is safe. The duration is the time after which the client should
+    /// retry; `None` gives no advice.
     Rejected(Option<Duration>),
-    /// Failed; it may have been executed.
+    /// Failed; the request may have been executed.
     Failed,
 }
 
-/// How an attempt ended, as the server side reports it.
+/// Result of an attempt, reported by the server side.
 #[derive(Debug)]
-pub struct AttemptResult<A> {
-    /// The outcome.
+pub struct AttemptResult<R> {
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// What the response says of its server.
+    /// Server status that the response contained; `None` if there was none.
     pub status: Option<ServerStatus>,
-    /// The load report that came with it.
+    /// Load report that the response contained; `None` if there was none.
     pub load_report: Option<LoadReport>,
-    /// The response, where the outcome is [`Outcome::Success`].
-    pub response: Option<A>,
+    /// The response; `None` unless the outcome is [`Outcome::Success`].
+    pub response: Option<R>,
 }
 
-impl<A> AttemptResult<A> {
-    /// The result of an attempt that brought no response.
-    pub fn without_answer(outcome: Outcome) -> Self {
+impl<R> AttemptResult<R> {
+    /// Returns the result of an attempt without a response.
+    pub fn without_response(outcome: Outcome) -> Self {
         Self { outcome, status: None, load_report: None, response: None }
     }
 }
--- a/src/net/driver/request_rules.rs
+++ b/src/net/driver/request_rules.rs
@@ -1,7 +1,7 @@
-//! The settings that apply to new requests, and the table of classes.
+//! Settings that apply to new requests, and the class table.
 //!
-//! The class table also keeps classes that only earlier requests use: a class of new settings takes the place
-//! of another only where nothing uses that one any more.
+//! The class table also keeps classes of earlier settings while requests in flight use them. A class of new
+//! settings replaces an earlier class only if nothing uses the earlier class any more.
 
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use super::request::NewRequest;
 use crate::api::{Class, ClassId, Consistency, SessionTokens, Settings};
 
-/// Rules for new requests.
+/// Rules for new requests. A class is stored at the index of its id.
 pub(super) struct RequestRules {
     classes: Vec<Class>,
     max_attempts: u32,
@@ -30,7 +30,8 @@
         self.max_attempts
     }
 
-    /// How old the data may be that a request of this class reads, if the class bounds that.
+    /// Returns the largest permitted age of the data that a request of this class reads; `None` without a
+    /// bound.
     pub(super) fn staleness_bound(&self, class: ClassId) -> Option<Duration> {
         match self.consistency(class) {
             Some(Consistency::BoundedStaleness(bound)) => Some(bound),
@@ -38,34 +39,34 @@
         }
     }
 
-    /// The session whose write this request is, if sessions are tracked.
+    /// Returns the session of a write; `None` for a read, or if session tokens are not tracked.
     pub(super) fn writing_session(&self, request: &NewRequest) -> Option<Rc<str>> {
         let is_write = self.consistency(request.class) == Some(Consistency::Write);
-        let tracked = self.tracks_sessions && is_write;
-        request.session.as_deref().filter(|_| tracked).map(Rc::from)
+        let is_tracked_write = self.tracks_sessions && is_write;
+        request.session.as_deref().filter(|_| is_tracked_write).map(Rc::from)
     }
 
     fn consistency(&self, class: ClassId) -> Option<Consistency> {
         self.classes.get(class.0).map(|class| class.consistency)
     }
 
-    /// The longest deadline of any class in the table.
+    /// Returns the longest deadline of any class in the table; zero without classes.
     pub(super) fn max_deadline(&self) -> Duration {
         self.classes.iter().map(|class| class.deadline).max().unwrap_or_default()
     }
 
-    /// Applies new settings. A class keeps the id that `kept` has in its place; each other class gets the
-    /// lowest id that is not `in_use`. Returns the ids in the order of the classes.
+    /// Applies new settings. A class keeps the id at its index in `unchanged_ids`. A class with `None` there
+    /// gets the lowest id that is not in `ids_in_use`. Returns the ids in the order of the classes.
     pub(super) fn apply(
         &mut self,
         settings: &Settings,
-        kept: &[Option<ClassId>],
-        mut in_use: HashSet<ClassId>,
+        unchanged_ids: &[Option<ClassId>],
+        mut ids_in_use: HashSet<ClassId>,
     ) -> Vec<ClassId> {
         let mut ids = Vec::new();
-        for (class, kept) in settings.classes.iter().zip(kept) {
-            let id = kept.unwrap_or_else(|| lowest_free_id(&in_use));
-            in_use.insert(id);
+        for (class, unchanged_id) in settings.classes.iter().zip(unchanged_ids) {
+            let id = unchanged_id.unwrap_or_else(|| lowest_free_id(&ids_in_use));
+            ids_in_use.insert(id);
             match self.classes.get_mut(id.0) {
                 Some(slot) => *slot = class.clone(),
                 None => self.classes.push(class.clone()),
@@ -77,12 +78,12 @@
         ids
     }
 
-    /// The settings with the whole class table in place of their own classes.
+    /// Returns the settings with their classes replaced by the whole class table.
     pub(super) fn with_all_classes(&self, settings: Settings) -> Settings {
         Settings { classes: self.classes.clone(), ..settings }
     }
 }
 
-fn lowest_free_id(in_use: &HashSet<ClassId>) -> ClassId {
-    (0..).map(ClassId).find(|id| !in_use.contains(id)).expect("a finite set leaves an id free")
+fn lowest_free_id(ids_in_use: &HashSet<ClassId>) -> ClassId {
+    (0..).map(ClassId).find(|id| !ids_in_use.contains(id)).expect("a finite set leaves an id free")
 }
--- a/src/net/driver/request_table.rs
+++ b/src/net/driver/request_table.rs
@@ -1,7 +1,8 @@
-//! The requests that have no final response yet.
+//! Table of the requests that have no final response yet.
 //!
-//! Removing a request from the table gives the only handle to answer it, so that each request gets at most
-//! one final response. Ids are assigned in the order of submission and never reused.
+//! The sender of the response is part of the table's entry. Only the removal of the entry gives access to the
+//! sender, so a request gets at most one final response. Ids are assigned in the order of submission and
+//! never reused.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -13,72 +14,72 @@
 use crate::api::{AttemptNumber, ClassId, RequestId};
 
 /// A request in flight. Times are on the proxy's clock.
-pub(super) struct OpenRequest<Q, A> {
-    /// The id that its client gave it, for the log.
+pub(super) struct OpenRequest<Q, R> {
+    /// Id that the client assigned; used only in log lines.
     pub(super) client_request_id: String,
     pub(super) query: Rc<Q>,
     pub(super) client: Option<Rc<dyn ClientHandle>>,
     pub(super) class: ClassId,
-    /// How old the data that it reads may be, if its class bounds that.
+    /// Largest permitted age of the data that the request reads; `None` if the class has no bound.
     pub(super) staleness_bound: Option<Duration>,
     pub(super) submitted_at: Duration,
     pub(super) deadline: Duration,
-    /// Attempts numbered so far, those included that were not sent.
+    /// Number of attempts so far, including attempts that were numbered but not sent.
     pub(super) attempts: u32,
-    /// The limit on them when the request was submitted.
+    /// Attempt limit of the settings that were in force when the request was submitted.
     pub(super) max_attempts: u32,
-    /// The session whose write it is, if sessions are tracked.
+    /// Session of the write; `None` for a read, or if session tokens are not tracked.
     pub(super) writing_session: Option<Rc<str>>,
-    pub(super) response: oneshot::Sender<Response<A>>,
+    pub(super) response: oneshot::Sender<Response<R>>,
 }
 
-impl<Q, A> OpenRequest<Q, A> {
-    /// Numbers its next attempt.
+impl<Q, R> OpenRequest<Q, R> {
+    /// Returns the number of the next attempt and counts that attempt.
     pub(super) fn next_attempt(&mut self) -> AttemptNumber {
         let number = AttemptNumber(self.attempts);
         self.attempts += 1;
         number
     }
 
-    /// Whether its attempt limit admits the attempt of this number.
+    /// Returns whether the attempt limit admits the attempt with this number.
     pub(super) fn allows_attempt(&self, number: AttemptNumber) -> bool {
         number.0 < self.max_attempts
     }
 
-    /// Gives the client its final response. A client that no longer waits for it is not an error.
-    pub(super) fn respond(self, response: Response<A>) {
+    /// Sends the final response to the client. Ignores a client that no longer waits for it.
+    pub(super) fn respond(self, response: Response<R>) {
         let _ = self.response.send(response);
     }
 }
 
-/// All requests in flight.
-pub(super) struct RequestTable<Q, A> {
-    open: HashMap<RequestId, OpenRequest<Q, A>>,
+/// All requests in flight, by id.
+pub(super) struct RequestTable<Q, R> {
+    open: HashMap<RequestId, OpenRequest<Q, R>>,
     last_id: u64,
 }
 
-impl<Q, A> RequestTable<Q, A> {
+impl<Q, R> RequestTable<Q, R> {
     pub(super) fn new() -> Self {
         Self { open: HashMap::new(), last_id: 0 }
     }
 
-    /// Adds a request and assigns its id.
-    pub(super) fn insert(&mut self, request: OpenRequest<Q, A>) -> RequestId {
+    /// Adds a request. Returns the id that the table assigns to it.
+    pub(super) fn insert(&mut self, request: OpenRequest<Q, R>) -> RequestId {
         self.last_id += 1;
         let id = RequestId(self.last_id);
         self.open.insert(id, request);
         id
     }
 
-    pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest<Q, A>> {
+    pub(super) fn get(&self, id: RequestId) -> Option<&OpenRequest<Q, R>> {
         self.open.get(&id)
     }
 
-    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest<Q, A>> {
+    pub(super) fn get_mut(&mut self, id: RequestId) -> Option<&mut OpenRequest<Q, R>> {
         self.open.get_mut(&id)
     }
 
-    pub(super) fn remove(&mut self, id: RequestId) -> Option<OpenRequest<Q, A>> {
+    pub(super) fn remove(&mut self, id: RequestId) -> Option<OpenRequest<Q, R>> {
         self.open.remove(&id)
     }
 
@@ -90,7 +91,7 @@
         self.open.len()
     }
 
-    /// The class of each request.
+    /// Returns the class of each request.
     pub(super) fn classes(&self) -> impl Iterator<Item = ClassId> + '_ {
         self.open.values().map(|request| request.class)
     }
--- a/src/net/driver/servers.rs
+++ b/src/net/driver/servers.rs
@@ -1,4 +1,5 @@
-//! Reports on servers: their status, their health, the endpoint list and the operators' orders.
+//! Reports to the driver about data servers: status, health checks, endpoint list updates and operators'
+//! orders.
 
 use std::net::SocketAddr;
 
@@ -6,8 +7,9 @@
 use super::Driver;
 use crate::api::{EndpointUpdate, Event, GroupId, LoadReport, ServerId, ServerStatus};
 
-impl<Q, A> Driver<Q, A> {
-    /// Reports the status that a server sent with a response whose attempt has ended before.
+impl<Q, R> Driver<Q, R> {
+    /// Reports the status that a server sent with the end of a response after the attempt had already ended.
+    /// `None` reports nothing.
     pub fn status_reported(&self, server: ServerId, status: Option<ServerStatus>) {
         let Some(status) = status else { return };
         self.0.state.borrow_mut().endpoints.record_status(server, status);
@@ -16,12 +18,13 @@
         self.health_checked(server, true, Some(load_report));
     }
 
-    /// Reports the end of a health check: whether the server answered, and the load report that it sent.
+    /// Reports the result of a health check. `ok` says whether the server passed; `load_report` is `None` if
+    /// the server sent no load report.
     pub fn health_checked(&self, server: ServerId, ok: bool, load_report: Option<LoadReport>) {
         self.queue_event(Event::HealthChecked { server, ok, load_report });
     }
 
-    /// Reports an update of the endpoint list, with the addresses of its servers.
+    /// Reports an update of the endpoint list and the addresses of the servers in it.
     pub fn endpoints_updated(
         &self,
         update: EndpointUpdate,
@@ -38,14 +41,15 @@
         self.queue_event(Event::Endpoints(update));
     }
 
-    /// Whether the endpoint list has ever named a group. Before the first list, every group may exist.
+    /// Returns whether the endpoint list has ever contained a group. Returns true for every group until a
+    /// list with a server arrives.
     pub fn knows_group(&self, group: GroupId) -> bool {
         self.0.state.borrow().endpoints.knows_group(group)
     }
 
-    /// Takes a server out of service by the operators' order (`out`), or returns it to service.
-    pub fn set_out_of_service(&self, server: ServerId, out: bool) {
-        if out {
+    /// Applies an operators' order: takes a server out of service, or returns it to service.
+    pub fn set_out_of_service(&self, server: ServerId, out_of_service: bool) {
+        if out_of_service {
             self.command(ServerCommand::CloseIdle(server));
             self.0.state.borrow_mut().endpoints.take_out_of_service(server);
             self.queue_event(Event::TakenOutOfService(server));
@@ -55,9 +59,9 @@
         }
     }
 
-    /// Sends the server side a command that does not come from the routing engine.
+    /// Sends a command to the server side.
     pub fn command(&self, command: ServerCommand<Q>) {
-        // The channel is closed only while the proxy ends.
+        // The send fails only during process shutdown, when the receiver is dropped.
         let _ = self.0.server_commands.send(command);
     }
 }
--- a/src/net/driver/state.rs
+++ b/src/net/driver/state.rs
@@ -1,4 +1,4 @@
-//! The driver's state between two steps of the engine.
+//! State that the driver keeps between two steps of the engine.
 
 use std::time::Duration;
 
@@ -10,23 +10,23 @@
 use crate::api::{Action, Event, Settings, SettingsError};
 use crate::RoutingEngine;
 
-/// The engine and the tables around it.
-pub(super) struct State<Q, A> {
+/// The routing engine and the driver's tables.
+pub(super) struct DriverState<Q, R> {
     pub(super) engine: RoutingEngine,
-    pub(super) requests: RequestTable<Q, A>,
+    pub(super) requests: RequestTable<Q, R>,
     pub(super) attempts: AttemptTable,
     pub(super) endpoints: EndpointView,
     pub(super) rules: RequestRules,
     pub(super) timers: TimerQueue,
-    /// Events for the next step, in the order in which they happened.
+    /// Events for the next step, in the order in which they were reported.
     pub(super) events: Vec<Event>,
-    /// An empty buffer for the actions of the next step.
+    /// Buffer for the actions of a step; empty between steps. Kept to reuse its allocation.
     pub(super) actions: Vec<Action>,
-    /// When the engine was last stepped, on the proxy's clock.
+    /// Time of the last step, on the proxy's clock.
     pub(super) last_step: Duration,
 }
 
-impl<Q, A> State<Q, A> {
+impl<Q, R> DriverState<Q, R> {
     pub(super) fn new(settings: Settings, seed: u64, now: Duration) -> Result<Self, SettingsError> {
         Ok(Self {
             requests: RequestTable::new(),
--- a/src/net/driver/step.rs
+++ b/src/net/driver/step.rs
@@ -1,4 +1,4 @@
-//! Steps the routing engine and carries out its actions.
+//! Steps the routing engine and executes its actions.
 
 use std::time::Duration;
 
@@ -7,30 +7,30 @@
 use super::attempt_table::InFlightAttempt;
 use super::commands::{AttemptCommand, DiscoveryCommand, ServerCommand};
 use super::request::Response;
-use super::state::State;
+use super::state::DriverState;
 use super::Driver;
 use crate::api::{
     Action, AttemptEnded, AttemptId, AttemptNumber, Event, Outcome, PeerMessage, RequestId, ServerId,
 };
 
-/// The longest time between two steps.
-const MAX_STEP_INTERVAL: Duration = Duration::from_millis(250);
-/// The time between two steps from which on the process counts as paused. It is less than the time for which
-/// a successor waits for this process.
+/// Time from one step to the next if no event is queued and no timer is pending.
+const IDLE_STEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Time between two steps above which the process counts as paused. It is less than the time for which a
+/// successor waits for this process, so a pause that lets a successor start without a handover is detected.
 const MIN_PROCESS_PAUSE: Duration = Duration::from_millis(800);
-/// How long a process may take after a pause to notice that a successor was started.
+/// Time after a pause within which this process learns of a successor that was started during the pause.
 const PAUSE_GRACE_PERIOD: Duration = Duration::from_millis(500);
 
-impl<Q, A> Driver<Q, A> {
-    /// Steps the engine whenever an event is queued or a timer comes due, at most once in the settings'
-    /// `min_step_interval`. Never returns. A step each millisecond would shorten a request's wait by 2 ms, and
-    /// no more requests would be served: `docs/design.md` has the figures.
+impl<Q, R> Driver<Q, R> {
+    /// Steps the engine whenever an event is queued or a timer is due, at most once per `min_step_interval`
+    /// of the settings. Never returns. A step every millisecond would shorten the wait of a request by 2 ms
+    /// but would not increase the number of requests served; `docs/design.md` has the figures.
     pub async fn run(&self) {
         loop {
             let timer_due = self.0.state.borrow().timers.next_due();
             let next_step = match timer_due {
                 Some(due) => self.0.clock.to_instant(due),
-                None => Instant::now() + MAX_STEP_INTERVAL,
+                None => Instant::now() + IDLE_STEP_INTERVAL,
             };
             tokio::select! {
                 () = self.0.event_queued.notified() => {}
@@ -41,13 +41,14 @@
         }
     }
 
-    /// Steps the engine once and carries out its actions.
+    /// Steps the engine once and executes its actions.
     pub fn step(&self) {
         let now = self.0.clock.now();
         let mut state = self.0.state.borrow_mut();
         let state = &mut *state;
-        // The peer may have sent its messages before a request came here, so the engine is fed them first.
-        // The same holds for messages that a pause of this process may have kept from it.
+        // The peer may have sent its messages before the queued requests arrived, so the engine gets the
+        // messages first. The report of a process pause also goes first, since the peer may have sent
+        // messages during the pause that this process did not receive.
         let mut messages = self.0.peer.receive();
         if now.saturating_sub(state.last_step) > MIN_PROCESS_PAUSE {
             messages.push(PeerMessage::ProcessPaused(PAUSE_GRACE_PERIOD));
@@ -60,47 +61,47 @@
         let mut actions = std::mem::take(&mut state.actions);
         state.engine.step(now, state.events.drain(..), &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(now, action, state);
+            self.execute_action(now, action, state);
         }
         state.actions = actions;
     }
 
-    fn carry_out(&self, now: Duration, action: Action, state: &mut State<Q, A>) {
+    fn execute_action(&self, now: Duration, action: Action, state: &mut DriverState<Q, R>) {
         match action {
             Action::Forward { request, server, timeout } => {
-                self.forward(now, Forward { request, server, timeout }, state);
+                self.forward(now, ForwardAction { request, server, timeout }, state);
             }
             Action::Reject { request, retry_after } => {
-                Self::complete(now, request, Response::Rejected(retry_after), state);
+                Self::complete_request(now, request, Response::Rejected(retry_after), state);
             }
-            Action::Fail { request } => Self::complete(now, request, Response::Failed, state),
+            Action::Fail { request } => Self::complete_request(now, request, Response::Failed, state),
             Action::Cancel { request, attempt } => {
-                self.cancel(now, AttemptId { request, number: attempt }, state);
+                self.cancel_attempt(now, AttemptId { request, number: attempt }, state);
             }
             Action::HealthCheck { server } => self.command(ServerCommand::HealthCheck(server)),
             Action::CloseIdle { server } => self.command(ServerCommand::CloseIdle(server)),
-            Action::Watch { on } => self.command_discovery(DiscoveryCommand::Watch(on)),
-            Action::Poll => self.command_discovery(DiscoveryCommand::Poll),
+            Action::Watch { on } => self.send_discovery_command(DiscoveryCommand::Watch(on)),
+            Action::Poll => self.send_discovery_command(DiscoveryCommand::Poll),
             Action::SetTimer { after, id } => state.timers.schedule(now + after, id),
             Action::Log(text) => log::info!("routing engine: {text}"),
-            // Proxy instances are not connected with each other, so there is nobody to send it to.
+            // This proxy has no connections to other proxy instances, so gossip messages are dropped.
             Action::Gossip { .. } => {}
         }
     }
 
-    fn command_discovery(&self, command: DiscoveryCommand) {
-        // The channel is closed only while the proxy ends.
+    fn send_discovery_command(&self, command: DiscoveryCommand) {
+        // The send fails only during process shutdown, when the receiver is dropped.
         let _ = self.0.discovery_commands.send(command);
     }
 
-    /// Gives a request the final response that the engine has decided on.
-    fn complete(now: Duration, id: RequestId, response: Response<A>, state: &mut State<Q, A>) {
+    /// Completes a request with a final response that the engine has decided on.
+    fn complete_request(now: Duration, id: RequestId, response: Response<R>, state: &mut DriverState<Q, R>) {
         let Some(request) = state.requests.remove(id) else { return };
         let result = if matches!(response, Response::Failed) { "failed" } else { "rejected" };
         let waited_ms = now.saturating_sub(request.submitted_at).as_millis();
         let limit_ms = request.deadline.saturating_sub(request.submitted_at).as_millis();
         log::debug!(
-            "{result} request {} (number {}) of class {} after {waited_ms} of {limit_ms} ms and {} attempts",
+            "request {result}: id {}, number {}, class {}, after {waited_ms} of {limit_ms} ms, {} attempts",
             request.client_request_id,
             id.0,
             request.class.0,
@@ -109,26 +110,26 @@
         request.respond(response);
     }
 
-    fn cancel(&self, now: Duration, id: AttemptId, state: &mut State<Q, A>) {
+    fn cancel_attempt(&self, now: Duration, id: AttemptId, state: &mut DriverState<Q, R>) {
         let Some(attempt) = state.attempts.remove(id) else { return };
         attempt.log_end(id, now, Outcome::Cancelled);
         let request_complete = !state.requests.contains(id.request);
         state.events.push(Event::AttemptEnded(AttemptEnded {
             request_complete,
-            ..attempt.ended(id, now, Outcome::Cancelled)
+            ..attempt.end_report(id, now, Outcome::Cancelled)
         }));
         self.0.event_queued.notify_one();
         self.command(ServerCommand::Cancel(id));
     }
 
-    /// Starts the next attempt of a request, if its deadline and its attempt limit still admit one.
-    fn forward(&self, now: Duration, forward: Forward, state: &mut State<Q, A>) {
-        let Forward { request, server, timeout } = forward;
+    /// Starts the next attempt of a request, if the deadline and the attempt limit of the request admit it.
+    fn forward(&self, now: Duration, forward: ForwardAction, state: &mut DriverState<Q, R>) {
+        let ForwardAction { request, server, timeout } = forward;
         let Some(open) = state.requests.get_mut(request) else { return };
         let number = open.next_attempt();
         let deadline = (now + timeout).min(open.deadline);
         if !open.allows_attempt(number) || deadline <= now {
-            state.events.push(not_sent(request, number, server));
+            state.events.push(not_sent_event(request, number, server));
             self.0.event_queued.notify_one();
             return;
         }
@@ -139,7 +140,7 @@
             id,
             server,
             query: open.query.clone(),
-            give_up_at: self.0.clock.to_instant(deadline),
+            deadline: self.0.clock.to_instant(deadline),
             fresh_until: fresh_until.map(|until| self.0.clock.to_instant(until)),
         };
         let attempt = InFlightAttempt {
@@ -153,15 +154,15 @@
     }
 }
 
-/// The engine's decision to forward a request.
-struct Forward {
+/// Fields of [`Action::Forward`].
+struct ForwardAction {
     request: RequestId,
     server: ServerId,
     timeout: Duration,
 }
 
-/// The report of an attempt that was numbered and not sent.
-fn not_sent(request: RequestId, attempt: AttemptNumber, server: ServerId) -> Event {
+/// Returns the event that reports an attempt that was numbered but not sent.
+fn not_sent_event(request: RequestId, attempt: AttemptNumber, server: ServerId) -> Event {
     Event::AttemptEnded(AttemptEnded {
         request,
         attempt,
--- a/src/net/driver/timers.rs
+++ b/src/net/driver/timers.rs
@@ -1,11 +1,11 @@
-//! The routing engine's pending timers, in the order in which they come due.
+//! Pending timers of the routing engine, ordered by due time.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 use crate::api::TimerId;
 
-/// Pending timers. Times are on the proxy's clock.
+/// Queue of pending timers. Due times are on the proxy's clock.
 #[derive(Default)]
 pub(super) struct TimerQueue(BTreeSet<(Duration, TimerId)>);
 
@@ -14,12 +14,12 @@
         self.0.insert((due, timer));
     }
 
-    /// When the next timer comes due.
+    /// Returns the earliest due time; `None` if no timer is pending.
     pub(super) fn next_due(&self) -> Option<Duration> {
         self.0.first().map(|(due, _)| *due)
     }
 
-    /// Removes the next timer that has come due by `now`.
+    /// Removes and returns the earliest timer if it is due at `now`.
     pub(super) fn pop_due(&mut self, now: Duration) -> Option<TimerId> {
         if self.next_due()? > now {
             return None;
--- a/src/net/server/attempt.rs
+++ b/src/net/server/attempt.rs
@@ -32,7 +32,7 @@
         command: &AttemptCommand<Query>,
     ) -> AttemptResult<Answer> {
         let stage = Cell::new(Stage::WaitingForSocket);
-        let outcome = match timeout_at(command.give_up_at, self.execute(command, &stage)).await {
+        let outcome = match timeout_at(command.deadline, self.execute(command, &stage)).await {
             Ok(Ok(result)) => return result,
             Ok(Err(e)) => {
                 log::debug!("attempt at server {}: {e}", command.server.0);
@@ -40,7 +40,7 @@
             }
             Err(_) => outcome_of_timeout(stage.get()),
         };
-        AttemptResult::without_answer(outcome)
+        AttemptResult::without_response(outcome)
     }
 
     async fn execute(
@@ -51,15 +51,15 @@
         let start_deadline = self.connections.start_deadline();
         let connection = match self.connections.checkout(command.server, stage).await? {
             Checkout::Ready(connection) => connection,
-            Checkout::Failed(outcome) => return Ok(AttemptResult::without_answer(outcome)),
+            Checkout::Failed(outcome) => return Ok(AttemptResult::without_response(outcome)),
         };
         // The staleness bound and the drain grace period count from the write. The connection may have taken
         // long to come up; then the attempt goes back unsent and is decided on again.
         let is_late =
             start_deadline.into_iter().chain(command.fresh_until).any(|until| Instant::now() >= until);
-        if is_late || !self.driver.may_write(command.id, command.server) {
+        if is_late || !self.driver.may_send_attempt(command.id, command.server) {
             self.connections.give_back(command.server, connection);
-            return Ok(AttemptResult::without_answer(Outcome::NotSent));
+            return Ok(AttemptResult::without_response(Outcome::NotSent));
         }
         let reply = self.send_query(command, &connection, stage).await?;
         if let Some(missing_row_bytes) = reply.missing_row_bytes() {
@@ -77,7 +77,7 @@
         connection: &PooledConnection,
         stage: &Cell<Stage>,
     ) -> io::Result<Reply> {
-        let time_left = command.give_up_at.saturating_duration_since(Instant::now());
+        let time_left = command.deadline.saturating_duration_since(Instant::now());
         let idle_time = connection.idle_since.elapsed();
         let exchange = async {
             command.query.write(&connection.stream, time_left).await?;
@@ -100,7 +100,7 @@
     ) -> AttemptResult<Answer> {
         let rest = RestOfValue::new(self, server, connection, missing_row_bytes);
         let answer = reply.into_begin_of_value().with_rest(rest);
-        AttemptResult { response: Some(answer), ..AttemptResult::without_answer(Outcome::Success) }
+        AttemptResult { response: Some(answer), ..AttemptResult::without_response(Outcome::Success) }
     }
 }
 
