--- a/src/net/server/answer.rs
+++ b/src/net/server/answer.rs
@@ -1,4 +1,4 @@
-//! Queries and answers as they pass through the driver unread.
+//! Queries and query results, which the driver passes on without inspecting them.
 
 use std::io::{self, IoSlice};
 use std::ops::Range;
@@ -16,23 +16,23 @@
 use crate::net::buffers::{write_all, BufferChain, BufferReservation};
 use crate::net::postgres;
 
-/// Time without a byte after which the rest of a large value is given up.
-const LARGE_VALUE_READ_TIMEOUT: Duration = Duration::from_secs(3);
-/// Bytes of a large value that are read before they are passed on.
-const LARGE_VALUE_CHUNK_BYTES: usize = 32 * 1024;
+/// Time without a received byte after which reading the rest of a large result fails.
+const LARGE_RESULT_READ_TIMEOUT: Duration = Duration::from_secs(3);
+/// Largest size of a chunk of a large row, in bytes. A chunk is smaller if fewer bytes are available.
+const LARGE_RESULT_CHUNK_BYTES: usize = 32 * 1024;
 
-/// A client's query: the message as it came, and where its timeout is written.
+/// A client's query: the received message, and the position of the timeout in it.
 pub struct Query {
-    /// The complete message, from its type to the zero byte that ends its text.
+    /// The complete message, from the type byte to the zero byte that ends the text.
     pub message: BufferChain,
-    /// Where in it the digits of `d` are.
+    /// Byte range in `message` of the digits of the statement's `d` field, the timeout in milliseconds.
     pub timeout_range: Range<usize>,
-    /// The buffers that it occupies, where one does not hold it.
+    /// Reservation of the buffers that the message occupies; `None` if one buffer holds the message.
     pub reservation: Option<BufferReservation>,
 }
 
 impl Query {
-    /// Writes the query with the remaining time in place of the client's timeout.
+    /// Writes the query with the remaining time of the attempt in place of the client's timeout.
     pub(super) async fn write(&self, stream: &TcpStream, time_left: Duration) -> io::Result<()> {
         let length = self.message.len();
         let timeout_ms = time_left.as_millis().max(1).to_string();
@@ -45,98 +45,107 @@
     }
 }
 
-/// A value as a data server sent it: RowDescription, DataRow and CommandComplete; complete or, where it is
-/// large, as far as it was received when its begin was. What the server says of itself beside them is not
-/// part of it.
+/// A data server's result of a query: the messages RowDescription, DataRow and CommandComplete as the server
+/// sent them. Other messages, such as ParameterStatus, are left out. The result is either complete or, with a
+/// large row, the first part, whose rest [`Self::next_chunk`] reads.
 pub struct Answer {
     bytes: BufferChain,
     messages: Vec<Range<usize>>,
-    rest: Option<RestOfValue>,
+    remaining: Option<RemainingResult>,
 }
 
 impl Answer {
     pub(super) fn new(bytes: BufferChain, messages: Vec<Range<usize>>) -> Self {
-        Self { bytes, messages, rest: None }
+        Self { bytes, messages, remaining: None }
     }
 
-    pub(super) fn with_rest(self, rest: RestOfValue) -> Self {
-        Self { rest: Some(rest), ..self }
+    pub(super) fn with_remaining(self, remaining: RemainingResult) -> Self {
+        Self { remaining: Some(remaining), ..self }
     }
 
-    /// The bytes that were received, buffer by buffer.
+    /// Returns the received bytes, buffer by buffer.
     pub fn slices(&self) -> impl Iterator<Item = &[u8]> {
         self.messages.iter().flat_map(|range| self.bytes.slices(range.clone()))
     }
 
-    /// Whether more bytes follow.
+    /// Returns whether [`Self::next_chunk`] has more bytes to read.
     pub fn has_more(&self) -> bool {
-        self.rest.is_some()
+        self.remaining.is_some()
     }
 
-    /// Frees the buffers, once their bytes have been passed on.
+    /// Returns the buffers to the pool. To be called after the bytes of [`Self::slices`] are written.
     pub fn clear(&mut self) {
         self.messages.clear();
         self.bytes.clear();
     }
 
-    /// The next bytes of a large value as they come; `None` at its end.
+    /// Reads the next bytes of a large result. Returns `None` at the end of the result.
     ///
     /// # Errors
     ///
-    /// Those of the socket, a timeout, and `InvalidData`: the value is incomplete then.
+    /// Returns errors of the socket, a timeout, and `InvalidData` for an invalid reply. The result is then
+    /// incomplete.
     pub async fn next_chunk(&mut self) -> io::Result<Option<BufferChain>> {
-        let Some(rest) = &mut self.rest else { return Ok(None) };
-        let chunk = rest.next_chunk().await?;
+        let Some(remaining) = &mut self.remaining else { return Ok(None) };
+        let chunk = remaining.next_chunk().await?;
         if chunk.is_none() {
-            self.rest.take().into_iter().for_each(RestOfValue::finish);
+            self.remaining.take().into_iter().for_each(RemainingResult::finish_in_background);
         }
         Ok(chunk)
     }
 }
 
-/// What is still to come of a large value, on its connection. It is read as fast as the client takes it, so
-/// that it occupies few buffers.
-pub(super) struct RestOfValue {
-    side: Rc<ServerSide>,
+/// The rest of a large result, and the connection that it arrives on. Each chunk is read only after the
+/// client has taken the one before, so that a large result occupies few buffers.
+pub(super) struct RemainingResult {
+    server_side: Rc<ServerSide>,
     server: ServerId,
     connection: PooledConnection,
-    missing_row_bytes: usize,
-    /// What follows the row.
+    /// Bytes of the row that are still to be read.
+    remaining_row_bytes: usize,
+    /// Messages that follow the row.
     reply: Reply,
-    /// CommandComplete was passed on.
+    /// Whether CommandComplete was returned as the last chunk.
     is_complete: bool,
 }
 
-impl RestOfValue {
+impl RemainingResult {
     pub(super) fn new(
-        side: &Rc<ServerSide>,
+        server_side: &Rc<ServerSide>,
         server: ServerId,
         connection: PooledConnection,
-        missing_row_bytes: usize,
+        remaining_row_bytes: usize,
     ) -> Self {
-        let reply = Reply::after_row(side.buffers.chain());
-        Self { side: side.clone(), server, connection, missing_row_bytes, reply, is_complete: false }
+        let reply = Reply::after_row(server_side.buffers.chain());
+        Self {
+            server_side: server_side.clone(),
+            server,
+            connection,
+            remaining_row_bytes,
+            reply,
+            is_complete: false,
+        }
     }
 
     async fn next_chunk(&mut self) -> io::Result<Option<BufferChain>> {
         while !self.is_complete {
-            if self.missing_row_bytes == 0 {
-                if let Some(tag) = self.command_complete()? {
+            if self.remaining_row_bytes == 0 {
+                if let Some(command_complete) = self.command_complete()? {
                     self.is_complete = true;
-                    return Ok(Some(tag));
+                    return Ok(Some(command_complete));
                 }
             }
             let stream = &self.connection.stream;
             let bytes = self.reply.bytes_mut();
-            if timeout(LARGE_VALUE_READ_TIMEOUT, bytes.read_from(stream)).await?? == 0 {
+            if timeout(LARGE_RESULT_READ_TIMEOUT, bytes.read_from(stream)).await?? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
-            if self.missing_row_bytes > 0 {
-                while bytes.len() < LARGE_VALUE_CHUNK_BYTES
+            if self.remaining_row_bytes > 0 {
+                while bytes.len() < LARGE_RESULT_CHUNK_BYTES
                     && bytes.try_read_from(stream).is_ok_and(|n| n > 0)
                 {}
-                let chunk = bytes.split_to(bytes.len().min(self.missing_row_bytes));
-                self.missing_row_bytes -= chunk.len();
+                let chunk = bytes.split_to(bytes.len().min(self.remaining_row_bytes));
+                self.remaining_row_bytes -= chunk.len();
                 return Ok(Some(chunk));
             }
         }
@@ -149,14 +158,14 @@
             return Err(io::ErrorKind::InvalidData.into());
         }
         let Some(message) = self.reply.command_complete() else { return Ok(None) };
-        let mut tag = self.side.buffers.chain();
-        message.for_each(|slice| tag.extend(slice));
-        Ok(Some(tag))
+        let mut command_complete = self.server_side.buffers.chain();
+        message.for_each(|slice| command_complete.extend(slice));
+        Ok(Some(command_complete))
     }
 
-    /// Reads the end of the reply in a task of its own, for the server's status and to reuse the connection.
-    /// The task ends by its timeout; an error costs only the connection.
-    fn finish(mut self) {
+    /// Spawns a task that reads the rest of the reply up to ReadyForQuery, reports the server's status and
+    /// returns the connection to the pool. On an error or a timeout the task only closes the connection.
+    fn finish_in_background(mut self) {
         spawn_local(async move {
             let read_to_end = async {
                 while !self.reply.process_messages()? {
@@ -167,10 +176,10 @@
                 Ok::<(), io::Error>(())
             };
             if timeout(REPLY_CONTINUATION_TIMEOUT, read_to_end).await.is_ok_and(|end| end.is_ok()) {
-                let Self { side, server, connection, reply, .. } = self;
-                side.driver.status_reported(server, reply.status(side.driver.clock()));
+                let Self { server_side, server, connection, reply, .. } = self;
+                server_side.driver.status_reported(server, reply.status(server_side.driver.clock()));
                 if reply.is_connection_reusable() {
-                    side.connections.give_back(server, connection);
+                    server_side.connections.release(server, connection);
                 }
             }
         });
--- a/src/net/server/attempt.rs
+++ b/src/net/server/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt: one execution of a query on one connection.
+//! Attempts: each sends a query on one connection and reads the reply.
 
 use std::cell::Cell;
 use std::io;
@@ -6,36 +6,37 @@
 
 use tokio::time::{timeout_at, Instant};
 
-use super::answer::{Answer, Query, RestOfValue};
-use super::connection_pool::{Checkout, PooledConnection};
-use super::reply::{read_reply, Expectation, Reply};
+use super::answer::{Answer, Query, RemainingResult};
+use super::connection_pool::{CheckoutResult, PooledConnection};
+use super::reply::{read_reply, ExpectedReply, Reply};
 use super::ServerSide;
 use crate::api::{Outcome, ServerId};
 use crate::net::driver::{AttemptCommand, AttemptResult};
 
-/// How far an attempt has come.
+/// Stage of an attempt or of a health check.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Stage {
-    /// It waits for a socket.
+pub(super) enum AttemptStage {
+    /// Waits for a socket.
     WaitingForSocket,
-    /// Its connection is opened, or its query is being written.
-    Connecting,
-    /// The last byte of its query was written: it may be executed.
+    /// The connection is being opened, or the query is being written.
+    ConnectingOrWriting,
+    /// The last byte of the query is written, so the server may execute the query.
     Written,
 }
 
 impl ServerSide {
-    /// Runs an attempt once. Its outcome rules out execution only if the last byte of its query was not
-    /// written. An attempt that is given up closes its connection.
+    /// Runs an attempt until its result or its deadline. If the attempt fails after the last byte of the
+    /// query was written, the outcome does not rule out execution, unless the server declined the query. An
+    /// attempt that times out closes its connection.
     pub(super) async fn run_attempt(
         self: &Rc<Self>,
         command: &AttemptCommand<Query>,
     ) -> AttemptResult<Answer> {
-        let stage = Cell::new(Stage::WaitingForSocket);
+        let stage = Cell::new(AttemptStage::WaitingForSocket);
         let outcome = match timeout_at(command.deadline, self.execute(command, &stage)).await {
             Ok(Ok(result)) => return result,
             Ok(Err(e)) => {
-                log::debug!("attempt at server {}: {e}", command.server.0);
+                log::debug!("attempt failed at server {}: {e}", command.server.0);
                 outcome_of_error(stage.get(), &e)
             }
             Err(_) => outcome_of_timeout(stage.get()),
@@ -46,43 +47,44 @@
     async fn execute(
         self: &Rc<Self>,
         command: &AttemptCommand<Query>,
-        stage: &Cell<Stage>,
+        stage: &Cell<AttemptStage>,
     ) -> io::Result<AttemptResult<Answer>> {
         let start_deadline = self.connections.start_deadline();
         let connection = match self.connections.checkout(command.server, stage).await? {
-            Checkout::Ready(connection) => connection,
-            Checkout::Failed(outcome) => return Ok(AttemptResult::without_response(outcome)),
+            CheckoutResult::Ready(connection) => connection,
+            CheckoutResult::Failed(outcome) => return Ok(AttemptResult::without_response(outcome)),
         };
-        // The staleness bound and the drain grace period count from the write. The connection may have taken
-        // long to come up; then the attempt goes back unsent and is decided on again.
-        let is_late =
+        // The staleness bound and the drain grace period apply to the time at which the query is written.
+        // Getting the connection may have taken long; the attempt then ends unsent, and the engine decides
+        // again.
+        let is_expired =
             start_deadline.into_iter().chain(command.fresh_until).any(|until| Instant::now() >= until);
-        if is_late || !self.driver.may_send_attempt(command.id, command.server) {
-            self.connections.give_back(command.server, connection);
+        if is_expired || !self.driver.may_send_attempt(command.id, command.server) {
+            self.connections.release(command.server, connection);
             return Ok(AttemptResult::without_response(Outcome::NotSent));
         }
-        let reply = self.send_query(command, &connection, stage).await?;
-        if let Some(missing_row_bytes) = reply.missing_row_bytes() {
-            return Ok(self.begin_large_value(reply, missing_row_bytes, command.server, connection));
+        let reply = self.run_query(command, &connection, stage).await?;
+        if let Some(remaining_row_bytes) = reply.remaining_row_bytes() {
+            return Ok(self.start_large_result(reply, remaining_row_bytes, command.server, connection));
         }
         if reply.is_connection_reusable() {
-            self.connections.give_back(command.server, connection);
+            self.connections.release(command.server, connection);
         }
         Ok(reply.into_result(self.driver.clock()))
     }
 
-    async fn send_query(
+    async fn run_query(
         &self,
         command: &AttemptCommand<Query>,
         connection: &PooledConnection,
-        stage: &Cell<Stage>,
+        stage: &Cell<AttemptStage>,
     ) -> io::Result<Reply> {
         let time_left = command.deadline.saturating_duration_since(Instant::now());
         let idle_time = connection.idle_since.elapsed();
         let exchange = async {
             command.query.write(&connection.stream, time_left).await?;
-            stage.set(Stage::Written);
-            read_reply(&self.buffers, &connection.stream, Expectation::Value).await
+            stage.set(AttemptStage::Written);
+            read_reply(&self.buffers, &connection.stream, ExpectedReply::QueryResult).await
         };
         let reply = exchange.await;
         let broke = reply.as_ref().is_err_and(|e| e.kind() != io::ErrorKind::InvalidData);
@@ -90,33 +92,35 @@
         reply
     }
 
-    /// The begin of a large value is its request's answer, whatever becomes of the rest.
-    fn begin_large_value(
+    /// Returns a successful result once the first bytes of a large row have arrived. A failure while the rest
+    /// is read does not change the outcome.
+    fn start_large_result(
         self: &Rc<Self>,
         reply: Reply,
-        missing_row_bytes: usize,
+        remaining_row_bytes: usize,
         server: ServerId,
         connection: PooledConnection,
     ) -> AttemptResult<Answer> {
-        let rest = RestOfValue::new(self, server, connection, missing_row_bytes);
-        let answer = reply.into_begin_of_value().with_rest(rest);
+        let remaining = RemainingResult::new(self, server, connection, remaining_row_bytes);
+        let answer = reply.into_query_result().with_remaining(remaining);
         AttemptResult { response: Some(answer), ..AttemptResult::without_response(Outcome::Success) }
     }
 }
 
-fn outcome_of_error(stage: Stage, error: &io::Error) -> Outcome {
+fn outcome_of_error(stage: AttemptStage, error: &io::Error) -> Outcome {
     match stage {
-        // It was executed and its server is up: only the reply can't be used.
-        Stage::Written if error.kind() == io::ErrorKind::InvalidData => Outcome::ServerError,
-        Stage::Written => Outcome::Reset,
-        Stage::WaitingForSocket | Stage::Connecting => Outcome::ConnectFailed,
+        // The server is up and may have executed the query, but the proxy cannot use the reply.
+        AttemptStage::Written if error.kind() == io::ErrorKind::InvalidData => Outcome::ServerError,
+        AttemptStage::Written => Outcome::Reset,
+        AttemptStage::WaitingForSocket | AttemptStage::ConnectingOrWriting => Outcome::ConnectFailed,
     }
 }
 
-fn outcome_of_timeout(stage: Stage) -> Outcome {
+fn outcome_of_timeout(stage: AttemptStage) -> Outcome {
     match stage {
-        Stage::Written => Outcome::Timeout,
-        Stage::Connecting => Outcome::ConnectFailed, // a query that was not written completely is not executed
-        Stage::WaitingForSocket => Outcome::NotSent,
+        AttemptStage::Written => Outcome::Timeout,
+        // Servers do not execute an incomplete query.
+        AttemptStage::ConnectingOrWriting => Outcome::ConnectFailed,
+        AttemptStage::WaitingForSocket => Outcome::NotSent,
     }
 }
--- a/src/net/server/connection_pool.rs
+++ b/src/net/server/connection_pool.rs
@@ -1,4 +1,5 @@
-//! Connections to data servers: idle ones by server, and new ones within the socket budget.
+//! Pool of connections to data servers: keeps idle connections by server, and opens new ones within the
+//! socket budget.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -10,9 +11,9 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::{timeout_at, Instant};
 
-use super::attempt::Stage;
+use super::attempt::AttemptStage;
 use super::options::ServerOptions;
-use super::reply::{read_reply, Expectation};
+use super::reply::{read_reply, ExpectedReply};
 use super::reuse_statistics::ReuseStatistics;
 use super::socket_budget::SocketBudget;
 use crate::api::{Outcome, ServerId};
@@ -20,37 +21,38 @@
 use crate::net::driver::Clock;
 use crate::net::postgres;
 
-/// The user that data servers are asked for; they accept any.
+/// User in the startup packet; data servers accept any.
 const LOGIN_USER: &str = "worker";
-/// The database that data servers are asked for; they accept any.
+/// Database in the startup packet; data servers accept any.
 const LOGIN_DATABASE: &str = "catalog";
 
-/// A connection that is idle, or serves the attempt that owns it.
+/// A connection that is idle in the pool, or in use by the attempt or health check that owns it.
 pub(super) struct PooledConnection {
     pub stream: TcpStream,
+    /// Address that the connection was opened to.
     address: SocketAddr,
     pub idle_since: Instant,
-    /// Its share of the socket budget.
+    /// Permit of the socket budget; released when the connection is dropped.
     _permit: OwnedSemaphorePermit,
 }
 
-/// What a request for a connection ends with.
-pub(super) enum Checkout {
+/// Result of [`ConnectionPool::checkout`].
+pub(super) enum CheckoutResult {
     Ready(PooledConnection),
-    /// No connection: the outcome that this means for the attempt.
+    /// No connection is available; holds the outcome of the attempt.
     Failed(Outcome),
 }
 
-/// All connections to data servers.
+/// Pool of connections to data servers.
 pub(super) struct ConnectionPool {
     clock: Clock,
     buffers: BufferPool,
     options: RefCell<ServerOptions>,
     budget: SocketBudget,
     addresses: RefCell<HashMap<ServerId, SocketAddr>>,
-    /// By server, the connection that has been idle longest first.
+    /// Idle connections by server; the connection with the longest idle time comes first.
     idle: RefCell<HashMap<ServerId, Vec<PooledConnection>>>,
-    reuse: RefCell<ReuseStatistics>,
+    reuse_statistics: RefCell<ReuseStatistics>,
 }
 
 impl ConnectionPool {
@@ -62,11 +64,11 @@
             options: RefCell::new(options),
             addresses: RefCell::default(),
             idle: RefCell::default(),
-            reuse: RefCell::default(),
+            reuse_statistics: RefCell::default(),
         }
     }
 
-    /// Takes new options; the number of sockets stays.
+    /// Applies new options. The number of sockets in `options` has no effect on the budget.
     pub(super) fn reconfigure(&self, options: ServerOptions) {
         self.options.replace(options);
     }
@@ -74,16 +76,16 @@
     pub(super) fn set_address(&self, server: ServerId, address: SocketAddr) {
         let previous = self.addresses.borrow_mut().insert(server, address);
         if previous.is_some_and(|previous| previous != address) {
-            self.close_idle_of(server);
+            self.close_idle_connections(server);
         }
     }
 
-    pub(super) fn forget(&self, server: ServerId) {
+    pub(super) fn remove_server(&self, server: ServerId) {
         self.addresses.borrow_mut().remove(&server);
-        self.close_idle_of(server);
+        self.close_idle_connections(server);
     }
 
-    pub(super) fn close_idle_of(&self, server: ServerId) {
+    pub(super) fn close_idle_connections(&self, server: ServerId) {
         self.idle.borrow_mut().remove(&server);
     }
 
@@ -101,37 +103,43 @@
         self.budget.enforce(|| self.close_longest_idle());
     }
 
-    /// Closes what has been idle for too long: a query must not cross the server's own close.
-    pub(super) fn sweep(&self) {
+    /// Closes connections that have been idle for too long. Otherwise a query could be sent just as the
+    /// server closes its connection.
+    pub(super) fn close_expired(&self) {
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain(|connection| self.is_reusable(connection));
             !connections.is_empty()
         });
     }
 
-    /// A connection to a server: an idle one that is still good, or a new one.
+    /// Returns a connection to a server: a reusable idle connection, or else a new one.
     ///
     /// # Errors
     ///
-    /// Those of the socket, and `InvalidData` for a server that breaks the protocol.
-    pub(super) async fn checkout(&self, server: ServerId, stage: &Cell<Stage>) -> io::Result<Checkout> {
+    /// Returns errors of the socket, and `InvalidData` if the server violates the protocol.
+    pub(super) async fn checkout(
+        &self,
+        server: ServerId,
+        stage: &Cell<AttemptStage>,
+    ) -> io::Result<CheckoutResult> {
         if let Some(connection) = self.take_idle(server) {
-            stage.set(Stage::Connecting);
-            return Ok(Checkout::Ready(connection));
+            stage.set(AttemptStage::ConnectingOrWriting);
+            return Ok(CheckoutResult::Ready(connection));
         }
         let permit = self.budget.acquire(|| self.close_longest_idle()).await;
-        stage.set(Stage::Connecting);
+        stage.set(AttemptStage::ConnectingOrWriting);
         let address = self.addresses.borrow().get(&server).copied();
-        let Some(address) = address else { return Ok(Checkout::Failed(Outcome::ConnectFailed)) };
+        let Some(address) = address else { return Ok(CheckoutResult::Failed(Outcome::ConnectFailed)) };
         let connect = self.connect(address, permit);
         match timeout_at(self.connect_deadline(), connect).await {
             Ok(done) => done,
-            Err(_) => Ok(Checkout::Failed(Outcome::ConnectFailed)),
+            Err(_) => Ok(CheckoutResult::Failed(Outcome::ConnectFailed)),
         }
     }
 
-    /// Returns a connection for reuse, unless an attempt waits for its socket or its server has moved.
-    pub(super) fn give_back(&self, server: ServerId, mut connection: PooledConnection) {
+    /// Returns a connection to the pool. Closes the connection instead if an attempt or a health check waits
+    /// for a socket, or if the server has another address now.
+    pub(super) fn release(&self, server: ServerId, mut connection: PooledConnection) {
         let is_current = self.addresses.borrow().get(&server) == Some(&connection.address);
         if is_current && !self.budget.has_waiters() {
             connection.idle_since = Instant::now();
@@ -139,22 +147,23 @@
         }
     }
 
-    /// Records whether a connection broke at a query after it had been idle for so long.
+    /// Records whether a connection broke at the query that followed `idle_time`.
     pub(super) fn record_reuse(&self, idle_time: Duration, broke: bool) {
-        self.reuse.borrow_mut().record(self.now_secs(), idle_time, broke);
+        self.reuse_statistics.borrow_mut().record(self.now_secs(), idle_time, broke);
     }
 
-    /// When a connection that is opened now must be up.
+    /// Returns the time by which a connection that is opened now must be established.
     pub(super) fn connect_deadline(&self) -> Instant {
         Instant::now() + self.options.borrow().connect_timeout
     }
 
-    /// When what is decided on now must have begun, where the settings bound that.
+    /// Returns the time by which an attempt that is commanded now must start to write its query, and by which
+    /// a health check that is commanded now must be complete; `None` for no limit.
     pub(super) fn start_deadline(&self) -> Option<Instant> {
         self.options.borrow().start_timeout.map(|timeout| Instant::now() + timeout)
     }
 
-    /// Whether health checks return load reports.
+    /// Returns whether health checks return load reports.
     pub(super) fn health_checks_report(&self) -> bool {
         self.options.borrow().health_checks_report
     }
@@ -166,14 +175,15 @@
     fn take_idle(&self, server: ServerId) -> Option<PooledConnection> {
         loop {
             let connection = self.idle.borrow_mut().get_mut(&server)?.pop()?;
-            if self.is_reusable(&connection) && self.is_quiet(&connection) {
+            if self.is_reusable(&connection) && self.has_no_input(&connection) {
                 return Some(connection);
             }
         }
     }
 
-    /// Whatever can be read on an idle connection, its end included, makes it useless.
-    fn is_quiet(&self, connection: &PooledConnection) -> bool {
+    /// Returns whether an idle connection has nothing to read. Unexpected bytes, an error or the end of the
+    /// stream make the connection unusable.
+    fn has_no_input(&self, connection: &PooledConnection) -> bool {
         let read = self.buffers.chain().try_read_from(&connection.stream);
         read.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
@@ -181,11 +191,11 @@
     fn is_reusable(&self, connection: &PooledConnection) -> bool {
         let idle_time = connection.idle_since.elapsed();
         let max_idle = self.options.borrow().max_idle;
-        let max_observed = self.reuse.borrow().max_idle_time(self.now_secs());
+        let max_observed = self.reuse_statistics.borrow().max_idle_time(self.now_secs());
         (max_idle.is_zero() || idle_time < max_idle) && max_observed.is_none_or(|max| idle_time < max)
     }
 
-    /// Closes the connection that has been idle longest, if there is one.
+    /// Closes the connection with the longest idle time. Returns false if no connection is idle.
     fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let by_server = idle.values_mut().filter(|connections| !connections.is_empty());
@@ -193,19 +203,19 @@
         longest.map(|connections| connections.remove(0)).is_some()
     }
 
-    async fn connect(&self, address: SocketAddr, permit: OwnedSemaphorePermit) -> io::Result<Checkout> {
+    async fn connect(&self, address: SocketAddr, permit: OwnedSemaphorePermit) -> io::Result<CheckoutResult> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let startup = postgres::encode_startup_packet(LOGIN_USER, LOGIN_DATABASE);
         write_all(&stream, &mut [IoSlice::new(&startup)]).await?;
-        let reply = read_reply(&self.buffers, &stream, Expectation::Welcome).await?;
+        let reply = read_reply(&self.buffers, &stream, ExpectedReply::Startup).await?;
         Ok(match reply.sqlstate() {
             None if reply.is_connection_reusable() => {
                 let idle_since = Instant::now();
-                Checkout::Ready(PooledConnection { stream, address, idle_since, _permit: permit })
+                CheckoutResult::Ready(PooledConnection { stream, address, idle_since, _permit: permit })
             }
-            Some(b"53300") => Checkout::Failed(Outcome::Rejected),
-            _ => Checkout::Failed(Outcome::ConnectFailed),
+            Some(b"53300") => CheckoutResult::Failed(Outcome::Rejected),
+            _ => CheckoutResult::Failed(Outcome::ConnectFailed),
         })
     }
 
--- a/src/net/server/load_report/tests.rs
+++ b/src/net/server/load_report/tests.rs
@@ -1,4 +1,4 @@
-//! What a load report proves.
+//! Tests of load report parsing.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
 use crate::api::LoadReport;
 use crate::net::driver::Clock;
 
-/// A session's write was committed at a time that the report rounds up to: that does not prove that the server has it.
+/// A server may round its position up to the commit time of a write that it has not applied. The parsed
+/// position must be lower than such a commit time, or a session could read data without its own write.
 #[test]
 fn a_reported_position_is_reduced_by_its_rounding() {
     let clock = Clock::start();
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -1,8 +1,9 @@
-//! The data servers' side: pooled connections, and the attempts and health checks that run on them.
+//! Server side of the proxy: pooled connections to data servers, and the attempts and health checks that use
+//! them.
 //!
-//! [`run`] owns the commands' channel. Each attempt is a task of its own; its abort handle is kept until it
-//! ends, so that a cancelled attempt closes its connection. Tasks report to the driver, and their errors
-//! become outcomes.
+//! [`run`] receives the driver's commands. Each attempt and each health check runs in its own task and
+//! reports its result to the driver; errors become outcomes. The abort handle of an attempt is kept until the
+//! attempt ends. Cancelling an attempt aborts its task, which closes the connection.
 
 mod answer;
 mod attempt;
@@ -31,21 +32,22 @@
 use crate::net::driver::{AttemptCommand, Driver, ServerCommand};
 use connection_pool::ConnectionPool;
 
-/// Interval at which connections that have been idle for too long are closed.
-const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between checks for connections that have been idle for too long.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The driver with this protocol's queries and answers.
+/// The engine's driver with queries and query results of PostgreSQL's protocol.
 pub type PgDriver = Driver<Query, Answer>;
 
-/// State of the data servers' side.
+/// State of the server side.
 struct ServerSide {
     driver: PgDriver,
     buffers: BufferPool,
     connections: ConnectionPool,
+    /// Attempts whose tasks run.
     attempts: RefCell<HashMap<AttemptId, AbortHandle>>,
 }
 
-/// Executes commands until the driver is dropped. Must run inside a [`tokio::task::LocalSet`].
+/// Executes the driver's commands until the driver is dropped. Must run inside a [`tokio::task::LocalSet`].
 pub async fn run(
     driver: PgDriver,
     mut commands: UnboundedReceiver<ServerCommand<Query>>,
@@ -53,15 +55,15 @@
     buffers: BufferPool,
 ) {
     let connections = ConnectionPool::new(driver.clock(), options, buffers.clone());
-    let side = Rc::new(ServerSide { driver, buffers, connections, attempts: RefCell::default() });
-    let mut sweep = tokio::time::interval(SWEEP_INTERVAL);
+    let server_side = Rc::new(ServerSide { driver, buffers, connections, attempts: RefCell::default() });
+    let mut idle_check = tokio::time::interval(IDLE_CHECK_INTERVAL);
     loop {
         tokio::select! {
             command = commands.recv() => match command {
-                Some(command) => side.execute_command(command),
+                Some(command) => server_side.execute_command(command),
                 None => return,
             },
-            _ = sweep.tick() => side.connections.sweep(),
+            _ = idle_check.tick() => server_side.connections.close_expired(),
         }
     }
 }
@@ -77,9 +79,9 @@
                 }
             }
             ServerCommand::HealthCheck(server) => self.spawn_health_check(server),
-            ServerCommand::CloseIdle(server) => self.connections.close_idle_of(server),
+            ServerCommand::CloseIdle(server) => self.connections.close_idle_connections(server),
             ServerCommand::SetAddress(server, address) => self.connections.set_address(server, address),
-            ServerCommand::Forget(server) => self.connections.forget(server),
+            ServerCommand::Forget(server) => self.connections.remove_server(server),
             ServerCommand::Reconfigure(settings, server_idle_timeout) => {
                 let max_sockets = self.connections.max_sockets();
                 let options = ServerOptions::new(&settings, server_idle_timeout, max_sockets);
@@ -91,21 +93,21 @@
     }
 
     fn spawn_attempt(self: &Rc<Self>, command: AttemptCommand<Query>) {
-        let side = self.clone();
+        let server_side = self.clone();
         let id = command.id;
         let task = spawn_local(async move {
-            let result = side.run_attempt(&command).await;
-            side.attempts.borrow_mut().remove(&id);
-            side.driver.attempt_ended(id, result);
+            let result = server_side.run_attempt(&command).await;
+            server_side.attempts.borrow_mut().remove(&id);
+            server_side.driver.attempt_ended(id, result);
         });
         self.attempts.borrow_mut().insert(id, task.abort_handle());
     }
 
     fn spawn_health_check(self: &Rc<Self>, server: ServerId) {
-        let side = self.clone();
+        let server_side = self.clone();
         spawn_local(async move {
-            let result = side.check_health(server).await;
-            side.driver.health_checked(server, result.ok, result.load_report);
+            let result = server_side.check_health(server).await;
+            server_side.driver.health_checked(server, result.ok, result.load_report);
         });
     }
 }
--- a/src/net/server/options.rs
+++ b/src/net/server/options.rs
@@ -1,34 +1,34 @@
-//! Settings of the data servers' side.
+//! Options of the server side.
 
 use std::time::Duration;
 
 use crate::api::{LoadReports, Settings};
 
-/// Share of the servers' own idle timeout after which a connection is not reused.
+/// Maximum idle time of a reusable connection, as a share of the servers' own idle timeout.
 const MAX_IDLE_SHARE: f64 = 0.6;
-/// Share of the drain grace period after which an attempt or a health check that has not begun is decided on
-/// again: its server may drain by now, unnoticed.
+/// Start timeout of attempts and health checks, as a share of the drain grace period. Later than that, the
+/// server may have begun to drain without this proxy's knowledge, so the engine has to decide again.
 const START_TIMEOUT_SHARE: f64 = 0.75;
 
-/// What the data servers' side is set up with.
+/// Options of the server side, from the settings and the socket budget.
 #[derive(Debug, Clone)]
 pub struct ServerOptions {
-    /// Largest number of sockets to data servers.
+    /// Largest number of sockets to data servers. Set at startup; a reload does not change it.
     pub max_sockets: usize,
-    /// Time within which a connection must be up.
+    /// Time within which connecting and the startup exchange must be complete.
     pub connect_timeout: Duration,
-    /// Idle time after which a connection is not reused; zero for no limit.
+    /// Idle time from which on a connection is not reused; zero for no limit.
     pub max_idle: Duration,
     /// Whether health checks return load reports.
     pub health_checks_report: bool,
-    /// Time within which an attempt or a health check must begin after it was decided on, where the settings
-    /// bound it.
+    /// Time after its command within which an attempt must start to write its query, and within which a
+    /// health check must be complete; `None` for no limit.
     pub start_timeout: Option<Duration>,
 }
 
 impl ServerOptions {
-    /// What the settings say, with a budget of sockets. Servers close connections after
-    /// `server_idle_timeout`.
+    /// Returns the options that follow from the settings. `server_idle_timeout` is the idle time after which
+    /// servers close a connection.
     pub fn new(settings: &Settings, server_idle_timeout: Duration, max_sockets: usize) -> Self {
         let start_timeout = settings.rules.drain_grace_period.mul_f64(START_TIMEOUT_SHARE);
         Self {
--- a/src/net/server/reply.rs
+++ b/src/net/server/reply.rs
@@ -1,6 +1,7 @@
-//! A data server's reply as it is received, checked message by message.
+//! Receives a data server's reply and validates it message by message.
 //!
-//! Nothing in a reply that breaks the protocol is believed: it may be the middle of another reply, or noise.
+//! A reply that violates the protocol is rejected as a whole, since it may be part of another reply or
+//! arbitrary bytes.
 
 use std::io;
 use std::ops::Range;
@@ -16,85 +17,93 @@
 use crate::net::driver::{AttemptResult, Clock};
 use crate::net::postgres::{self, MessageHeader};
 
-/// Time within which a reply that has begun must go on: servers write theirs in one go.
+/// Longest time between two reads of a reply. Servers write a reply in one go, so a longer gap means that the
+/// reply is broken. Also the time limit for the messages after a large row.
 pub(super) const REPLY_CONTINUATION_TIMEOUT: Duration = Duration::from_millis(500);
-/// The longest row that is received and checked completely before any of it is passed on.
+/// Largest size of a row message, in bytes, that is received and validated completely before its first byte
+/// is passed on.
 const MAX_BUFFERED_ROW_BYTES: usize = 64 * 1024 + 64;
-/// Bytes of a message's header.
+/// Size of a message header, in bytes: type and length.
 const HEADER_BYTES: usize = 5;
-/// Bytes of a row message besides its only value: header, column count, value length.
+/// Size of a row message without the bytes of its only column: header, column count, column length.
 const ROW_OVERHEAD_BYTES: usize = 11;
-/// Messages of a value: RowDescription, DataRow, CommandComplete.
-const VALUE_MESSAGES: usize = 3;
-/// Internal error, in place of an error that came after the row had begun.
+/// Number of messages of a complete query result: RowDescription, DataRow, CommandComplete.
+const RESULT_MESSAGES: usize = 3;
+/// SQLSTATE for internal errors. Replaces the code of an error that follows a message of the result.
 const INTERNAL_ERROR: [u8; 5] = *b"XX000";
 
-/// What a reply answers.
+/// What the proxy sent, and so which messages the reply may contain.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Expectation {
-    /// A startup packet.
-    Welcome,
-    /// A statement.
-    Value,
+pub(super) enum ExpectedReply {
+    /// The proxy sent a startup packet.
+    Startup,
+    /// The proxy sent a query.
+    QueryResult,
 }
 
-/// A reply, as far as it was received.
+/// A reply that is complete or being received.
 pub(super) struct Reply {
-    expectation: Expectation,
+    expected: ExpectedReply,
     bytes: BufferChain,
-    /// Where the next message starts.
+    /// Offset in `bytes` of the first message that is not yet processed.
     next_message_at: usize,
+    /// Body of the message that is being processed.
     scratch: Vec<u8>,
+    /// Whether ReadyForQuery was received.
     is_ready: bool,
-    /// The messages of the value.
-    value_messages: Vec<Range<usize>>,
-    /// The row is large and has begun: bytes of it that were not received yet.
-    missing_row_bytes: Option<usize>,
+    /// Byte ranges in `bytes` of the messages of the query result.
+    result_messages: Vec<Range<usize>>,
+    /// Bytes of a large row that are not received yet; `None` unless a large row has begun.
+    remaining_row_bytes: Option<usize>,
     is_authenticated: bool,
+    /// SQLSTATE of an error; `None` if no error was received.
     sqlstate: Option<[u8; 5]>,
+    /// Whether the server is a primary; `None` if the reply does not say.
     primary: Option<bool>,
+    /// Replication position in Unix milliseconds; `None` if the reply contains none.
     position_unix_ms: Option<f64>,
+    /// Text of the load report in a ParameterStatus message.
     load_report: Option<String>,
 }
 
-/// Reads a reply up to ReadyForQuery, or up to the begin of a large row. A server may close its connection
-/// after the reply.
+/// Reads a reply up to ReadyForQuery, or up to the start of a large row. Also accepts a complete result or an
+/// error without ReadyForQuery if the server closes the connection after it.
 pub(super) async fn read_reply(
     buffers: &BufferPool,
     stream: &TcpStream,
-    expectation: Expectation,
+    expected: ExpectedReply,
 ) -> io::Result<Reply> {
-    let mut reply = Reply::new(buffers.chain(), expectation);
+    let mut reply = Reply::new(buffers.chain(), expected);
     loop {
-        if reply.process_messages()? || reply.missing_row_bytes.is_some() {
+        if reply.process_messages()? || reply.remaining_row_bytes.is_some() {
             return Ok(reply);
         }
         let has_begun = !reply.bytes.is_empty();
         let read = reply.bytes.read_from(stream);
         let count = if has_begun {
-            // The length of a reply may not fit, so that its end never comes.
+            // If a message's length field is wrong, the end of the reply never arrives.
             let read = timeout(REPLY_CONTINUATION_TIMEOUT, read).await;
             read.map_err(|_| io::Error::from(io::ErrorKind::InvalidData))??
         } else {
             read.await?
         };
         if count == 0 {
-            let is_complete = reply.sqlstate.is_some() || reply.is_value();
+            let is_complete = reply.sqlstate.is_some() || reply.is_complete_result();
             return is_complete.then_some(reply).ok_or(io::ErrorKind::UnexpectedEof.into());
         }
     }
 }
 
 impl Reply {
-    fn new(bytes: BufferChain, expectation: Expectation) -> Self {
+    fn new(bytes: BufferChain, expected: ExpectedReply) -> Self {
         Self {
-            expectation,
+            expected,
             bytes,
             next_message_at: 0,
             scratch: Vec::new(),
             is_ready: false,
-            value_messages: Vec::new(),
-            missing_row_bytes: None,
+            result_messages: Vec::new(),
+            remaining_row_bytes: None,
             is_authenticated: false,
             sqlstate: None,
             primary: None,
@@ -103,14 +112,14 @@
         }
     }
 
-    /// What follows a row that is passed on as it comes.
+    /// Creates the reply that receives the messages after a large row, which is passed on separately.
     pub(super) fn after_row(bytes: BufferChain) -> Self {
-        let mut reply = Self::new(bytes, Expectation::Value);
-        reply.value_messages = vec![0..0; VALUE_MESSAGES - 1];
+        let mut reply = Self::new(bytes, ExpectedReply::QueryResult);
+        reply.result_messages = vec![0..0; RESULT_MESSAGES - 1];
         reply
     }
 
-    /// Processes the complete messages; says whether the last one was ReadyForQuery.
+    /// Processes the messages that are received completely. Returns whether the last one was ReadyForQuery.
     pub(super) fn process_messages(&mut self) -> io::Result<bool> {
         while let Some(bytes) = self.bytes.array::<HEADER_BYTES>(self.next_message_at) {
             let header = postgres::parse_header(bytes).ok_or(io::ErrorKind::InvalidData)?;
@@ -133,50 +142,53 @@
         Ok(false)
     }
 
-    /// Checks the begin of a large row before any of it is passed on; the rest needs no buffers then.
+    /// Validates the start of a large row. The row can then be passed on in chunks, without buffering all of
+    /// it.
     fn check_large_row(&mut self, header: MessageHeader) -> io::Result<()> {
-        let is_large_row = self.expectation == Expectation::Value
+        let is_large_row = self.expected == ExpectedReply::QueryResult
             && header.kind == b'D'
             && header.length > MAX_BUFFERED_ROW_BYTES;
         let row_start = self.bytes.array::<6>(self.next_message_at + HEADER_BYTES).filter(|_| is_large_row);
         let Some(row_start) = row_start else { return Ok(()) };
-        let [0, 1, value_length @ ..] = row_start else {
+        let [0, 1, column_length @ ..] = row_start else {
             return Err(io::ErrorKind::InvalidData.into());
         };
-        let value_length = u32::from_be_bytes(value_length) as usize;
-        let fits = value_length + ROW_OVERHEAD_BYTES == header.length;
-        if !fits || self.value_messages.len() != 1 || self.sqlstate.is_some() {
+        let column_length = u32::from_be_bytes(column_length) as usize;
+        let is_valid = column_length + ROW_OVERHEAD_BYTES == header.length;
+        if !is_valid || self.result_messages.len() != 1 || self.sqlstate.is_some() {
             return Err(io::ErrorKind::InvalidData.into());
         }
-        self.value_messages.push(self.next_message_at..self.bytes.len());
-        self.missing_row_bytes = Some(self.next_message_at + header.length - self.bytes.len());
+        self.result_messages.push(self.next_message_at..self.bytes.len());
+        self.remaining_row_bytes = Some(self.next_message_at + header.length - self.bytes.len());
         Ok(())
     }
 
-    /// Processes a message whose body is in `scratch`; `None` if it can't come next.
+    /// Processes a message whose body is in `scratch`. Returns `None` if the protocol does not allow the
+    /// message here.
     fn process_message(&mut self, kind: u8, range: Range<usize>) -> Option<()> {
-        let is_value = self.expectation == Expectation::Value;
-        let is_open = self.sqlstate.is_none();
+        let expects_result = self.expected == ExpectedReply::QueryResult;
+        let has_no_error = self.sqlstate.is_none();
         let body = &self.scratch[..];
-        let fits = match (kind, self.value_messages.len()) {
+        let is_valid = match (kind, self.result_messages.len()) {
             (b'S', _) => return self.process_parameter(),
-            (b'E', 0..VALUE_MESSAGES) => return self.process_error(),
+            (b'E', 0..RESULT_MESSAGES) => return self.process_error(),
             (b'Z', _) => return self.process_ready(),
             (b'R', _) => {
-                let is_first = !is_value && is_open && !std::mem::replace(&mut self.is_authenticated, true);
+                let is_first =
+                    !expects_result && has_no_error && !std::mem::replace(&mut self.is_authenticated, true);
                 is_first && body == [0; 4]
             }
             (b'N', _) => true,
-            (b'K', _) => !is_value && is_open && self.is_authenticated,
-            (b'T', 0) => is_value && is_open && postgres::is_single_column_description(body),
-            (b'D', 1) => is_open && postgres::parse_single_column(body).is_some(),
-            (b'C', 2) => is_open && postgres::is_command_tag(body),
+            (b'K', _) => !expects_result && has_no_error && self.is_authenticated,
+            (b'T', 0) => expects_result && has_no_error && postgres::is_single_column_description(body),
+            (b'D', 1) => has_no_error && postgres::parse_single_column(body).is_some(),
+            (b'C', 2) => has_no_error && postgres::is_command_tag(body),
             _ => false,
         };
         if matches!(kind, b'T' | b'D' | b'C') {
-            self.value_messages.push(range);
+            self.result_messages.push(range);
         }
-        fits.then_some(())
+        is_valid.then_some(())
     }
 
     fn process_error(&mut self) -> Option<()> {
@@ -184,26 +196,26 @@
             return None;
         }
         let sqlstate = postgres::parse_sqlstate(&self.scratch)?;
-        // What fails after its row has begun was executed, whatever the code says.
-        self.sqlstate = Some(if self.value_messages.is_empty() { sqlstate } else { INTERNAL_ERROR });
+        // A query that fails after the first message of the result was executed, whatever its SQLSTATE says.
+        self.sqlstate = Some(if self.result_messages.is_empty() { sqlstate } else { INTERNAL_ERROR });
         Some(())
     }
 
     fn process_ready(&mut self) -> Option<()> {
         self.is_ready = true;
-        let is_complete = match self.expectation {
-            Expectation::Value => self.value_messages.len() == VALUE_MESSAGES,
-            Expectation::Welcome => self.is_authenticated,
+        let is_complete = match self.expected {
+            ExpectedReply::QueryResult => self.result_messages.len() == RESULT_MESSAGES,
+            ExpectedReply::Startup => self.is_authenticated,
         };
-        let is_status = matches!(self.scratch[..], [b'I' | b'T' | b'E']);
-        ((self.sqlstate.is_some() || is_complete) && is_status).then_some(())
+        let is_valid_status = matches!(self.scratch[..], [b'I' | b'T' | b'E']);
+        ((self.sqlstate.is_some() || is_complete) && is_valid_status).then_some(())
     }
 
     fn process_parameter(&mut self) -> Option<()> {
-        // An unreadable load report invalidates nothing else.
-        let is_report = self.scratch.starts_with(b"stats\0");
+        // A load report that cannot be parsed is ignored and does not make the reply invalid.
+        let is_load_report = self.scratch.starts_with(b"stats\0");
         let Some((name, value)) = postgres::parse_parameter_status(&self.scratch) else {
-            return is_report.then_some(());
+            return is_load_report.then_some(());
         };
         match (name, value) {
             ("mode", "read-write") => self.primary = Some(true),
@@ -223,62 +235,63 @@
         self.sqlstate.as_ref()
     }
 
-    /// Bytes of a large row that were not received yet, once its begin was.
-    pub(super) fn missing_row_bytes(&self) -> Option<usize> {
-        self.missing_row_bytes
+    /// Returns the number of bytes of a large row that are not received yet; `None` unless a large row has
+    /// begun.
+    pub(super) fn remaining_row_bytes(&self) -> Option<usize> {
+        self.remaining_row_bytes
     }
 
     pub(super) fn bytes_mut(&mut self) -> &mut BufferChain {
         &mut self.bytes
     }
 
-    /// The CommandComplete message, once it was received.
+    /// Returns the CommandComplete message, buffer by buffer; `None` until it is received.
     pub(super) fn command_complete(&self) -> Option<impl Iterator<Item = &[u8]>> {
-        let range = self.value_messages.get(VALUE_MESSAGES - 1)?;
+        let range = self.result_messages.get(RESULT_MESSAGES - 1)?;
         Some(self.bytes.slices(range.clone()))
     }
 
-    /// Whether it is a complete value.
-    pub(super) fn is_value(&self) -> bool {
-        self.value_messages.len() == VALUE_MESSAGES && self.sqlstate.is_none()
+    /// Returns whether the reply contains a complete query result and no error.
+    pub(super) fn is_complete_result(&self) -> bool {
+        self.result_messages.len() == RESULT_MESSAGES && self.sqlstate.is_none()
     }
 
-    /// Whether its connection can carry another request: no byte may be left that the next reply would begin
-    /// with.
+    /// Returns whether the connection can be reused: ReadyForQuery was received and no byte follows it.
+    /// Left-over bytes would become the start of the next reply.
     pub(super) fn is_connection_reusable(&self) -> bool {
         self.is_ready && self.bytes.len() == self.next_message_at
     }
 
-    /// The part of a large value that was received, to be passed on.
-    pub(super) fn into_begin_of_value(self) -> Answer {
-        Answer::new(self.bytes, self.value_messages)
+    /// Returns the query result: all of it, or the received part of a large one.
+    pub(super) fn into_query_result(self) -> Answer {
+        Answer::new(self.bytes, self.result_messages)
     }
 
-    /// What it means for the attempt.
+    /// Returns the attempt's result.
     pub(super) fn into_result(self, clock: Clock) -> AttemptResult<Answer> {
         let outcome = match self.sqlstate.as_ref() {
-            None if self.is_value() => Outcome::Success,
+            None if self.is_complete_result() => Outcome::Success,
             Some(b"25006" | b"72000") => Outcome::Misdirected,
             Some(b"53300") => Outcome::Rejected,
             _ => Outcome::ServerError,
         };
         let status = self.status(clock);
         let load_report = self.load_report.as_deref().map(|text| load_report::parse(text, clock));
-        let response = (outcome == Outcome::Success).then(|| self.into_begin_of_value());
+        let response = (outcome == Outcome::Success).then(|| self.into_query_result());
         AttemptResult { outcome, status, load_report, response }
     }
 
-    /// What it says of its server.
+    /// Returns the server status that the reply contains; `None` if it contains none.
     pub(super) fn status(&self, clock: Clock) -> Option<ServerStatus> {
-        let position = self.position_unix_ms.and_then(|ms| load_report::position(ms, clock));
+        let position = self.position_unix_ms.and_then(|ms| load_report::position_from_unix_ms(ms, clock));
         let has_status = position.is_some() || self.primary.is_some();
         has_status.then_some(ServerStatus { position, primary: self.primary })
     }
 
-    /// The load report that a health check's row holds.
-    pub(super) fn health_check_report(&self, clock: Clock) -> Option<LoadReport> {
+    /// Parses the load report in the row of a health check's reply. Returns `None` if there is none.
+    pub(super) fn health_check_load_report(&self, clock: Clock) -> Option<LoadReport> {
         let mut row = Vec::new();
-        let range = self.value_messages.get(1)?;
+        let range = self.result_messages.get(1)?;
         self.bytes.copy(range.start + HEADER_BYTES..range.end, &mut row);
         let text = std::str::from_utf8(postgres::parse_single_column(&row)?).ok()?;
         text.contains('=').then(|| load_report::parse(text, clock))
--- a/src/net/server/reuse_statistics.rs
+++ b/src/net/server/reuse_statistics.rs
@@ -1,24 +1,26 @@
-//! How often reused connections break at their next query, by how long they had been idle.
+//! Statistics of how often a reused connection breaks at the next query, by the idle time before the query.
 //!
-//! Peers, or machines on the way, may drop a connection much sooner than the settings say, and show it by a
-//! reset only when the next query arrives. Connections of an idle time at which that happens often are not
-//! reused.
+//! Servers and network devices may drop an idle connection long before the idle timeout in the settings. The
+//! proxy then sees a reset only when it sends the next query. Connections are not reused after an idle time
+//! at which this happens often.
 
 use std::time::Duration;
 
 use crate::ewma::{Ewma, EwmaConfig};
 
-/// Idle time under which a connection counts as fresh: what breaks it has other causes.
+/// Idle time below which a connection counts as fresh. A fresh connection that breaks has not broken because
+/// of its idle time.
 const FRESH_IDLE: Duration = Duration::from_millis(64);
-/// Classes of idle time beyond that; the time doubles from one to the next.
+/// Number of idle time classes from [`FRESH_IDLE`] on. The lower bound doubles from each class to the next.
 const IDLE_CLASSES: usize = 8;
-/// A class is avoided when its share of breaks exceeds that of fresh connections by this factor...
+/// Factor of the limit on a class's share of breaks: connections of a class are not reused if this share is
+/// above the share of fresh connections times this factor, plus [`MAX_BREAK_SHARE`].
 const MAX_BREAK_FACTOR: f64 = 2.0;
-/// ...and by this share.
+/// Constant part of that limit, as a share from 0 to 1.
 const MAX_BREAK_SHARE: f64 = 0.1;
 const BREAK_SHARE: EwmaConfig = EwmaConfig { max_weight: 60.0, decay_secs: 20.0, prior_weight: 3.0 };
 
-/// Shares of connections that broke, by idle time.
+/// Shares of reused connections that broke, by idle time.
 #[derive(Default)]
 pub struct ReuseStatistics {
     fresh: Ewma,
@@ -26,22 +28,23 @@
 }
 
 impl ReuseStatistics {
-    /// Records, at a time in seconds, whether a connection broke that had been idle for so long.
+    /// Records whether a connection broke when it was reused after `idle_time`. `now` is in seconds.
     pub fn record(&mut self, now: f64, idle_time: Duration, broke: bool) {
         let share = idle_class(idle_time).map_or(&mut self.fresh, |class| &mut self.idle[class]);
         share.record(now, f64::from(u8::from(broke)), &BREAK_SHARE);
     }
 
-    /// The idle time from which on a connection should not be reused, if there is one.
+    /// Returns the idle time from which on connections break too often to be reused; `None` for no limit.
+    /// `now` is in seconds.
     pub fn max_idle_time(&self, now: f64) -> Option<Duration> {
-        let usual = self.fresh.estimate(now, 0.0, &BREAK_SHARE);
-        let max_share = MAX_BREAK_FACTOR * usual + MAX_BREAK_SHARE;
-        let breaks_often = |share: &Ewma| share.estimate(now, usual, &BREAK_SHARE) > max_share;
+        let fresh_share = self.fresh.estimate(now, 0.0, &BREAK_SHARE);
+        let max_share = MAX_BREAK_FACTOR * fresh_share + MAX_BREAK_SHARE;
+        let breaks_often = |share: &Ewma| share.estimate(now, fresh_share, &BREAK_SHARE) > max_share;
         self.idle.iter().position(breaks_often).map(|class| FRESH_IDLE * (1 << class))
     }
 }
 
-/// The class of an idle time; `None` for a fresh connection.
+/// Returns the index of the class of an idle time; `None` for a fresh connection.
 fn idle_class(idle_time: Duration) -> Option<usize> {
     let doublings = (idle_time.as_secs_f64() / FRESH_IDLE.as_secs_f64()).log2().floor();
     (doublings >= 0.0).then_some((doublings as usize).min(IDLE_CLASSES - 1))
--- a/src/net/server/socket_budget.rs
+++ b/src/net/server/socket_budget.rs
@@ -1,20 +1,22 @@
-//! The budget of sockets to data servers.
+//! Budget of sockets to data servers.
 
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Permits for sockets. Some are withheld while clients or another process need the sockets.
+/// One permit per socket. The budget withholds permits while clients or the peer process need their sockets.
 pub(super) struct SocketBudget {
     permits: Arc<Semaphore>,
     max_sockets: usize,
-    /// Sockets that clients leave to data servers.
+    /// Number of sockets that clients leave to data servers.
     limit: Cell<usize>,
-    /// Share of them that is not another process's.
+    /// Share of that number that this process may use, from 0 to 1; the peer process uses the rest.
     share: Cell<f64>,
+    /// Permits that the budget holds back.
     withheld: RefCell<Vec<OwnedSemaphorePermit>>,
-    waiting: Cell<usize>,
+    /// Number of calls of [`Self::acquire`] that wait for a permit.
+    waiters: Cell<usize>,
 }
 
 impl SocketBudget {
@@ -25,7 +27,7 @@
             limit: Cell::new(usize::MAX),
             share: Cell::new(1.0),
             withheld: RefCell::default(),
-            waiting: Cell::new(0),
+            waiters: Cell::new(0),
         }
     }
 
@@ -37,8 +39,9 @@
         self.share.set(share);
     }
 
-    /// Withholds permits until the limit is kept. `close_idle` closes an idle connection, if there is one;
-    /// sockets in use follow as they become free.
+    /// Withholds or returns permits to match the limit and the share. `close_idle` closes one idle connection
+    /// and returns false if there is none. If too many sockets are in use, a later call withholds their
+    /// permits once they are free.
     pub(super) fn enforce(&self, close_idle: impl Fn() -> bool) {
         let available = (self.limit.get().min(self.max_sockets) as f64 * self.share.get()) as usize;
         let target = self.max_sockets - available;
@@ -53,34 +56,35 @@
         }
     }
 
-    /// Waits for a permit. Where there is none, the connection that has been idle longest is closed for it.
-    /// Waiting costs a request less than an attempt that fails for want of a socket.
+    /// Returns a permit. If none is free, closes an idle connection with `close_idle` and waits for a permit.
+    /// An attempt waits instead of failing, since a failure for lack of a socket would use up one of the
+    /// attempts of its request.
     pub(super) async fn acquire(&self, close_idle: impl Fn() -> bool) -> OwnedSemaphorePermit {
         if let Ok(permit) = self.permits.clone().try_acquire_owned() {
             return permit;
         }
         close_idle();
-        let _waiting = WaitGuard::new(&self.waiting);
+        let _waiter = WaiterGuard::new(&self.waiters);
         self.permits.clone().acquire_owned().await.expect("the semaphore is never closed")
     }
 
-    /// Whether an attempt waits for a socket.
+    /// Returns whether an attempt or a health check waits for a socket.
     pub(super) fn has_waiters(&self) -> bool {
-        self.waiting.get() > 0
+        self.waiters.get() > 0
     }
 }
 
-/// Counts an attempt that waits for a socket.
-struct WaitGuard<'b>(&'b Cell<usize>);
+/// Counts a waiting call until it is dropped.
+struct WaiterGuard<'b>(&'b Cell<usize>);
 
-impl<'b> WaitGuard<'b> {
-    fn new(waiting: &'b Cell<usize>) -> Self {
-        waiting.set(waiting.get() + 1);
-        Self(waiting)
+impl<'b> WaiterGuard<'b> {
+    fn new(waiters: &'b Cell<usize>) -> Self {
+        waiters.set(waiters.get() + 1);
+        Self(waiters)
     }
 }
 
-impl Drop for WaitGuard<'_> {
+impl Drop for WaiterGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
