--- a/src/net/driver/commands.rs
+++ b/src/net/driver/commands.rs
@@ -12,23 +12,23 @@
 #[derive(Debug)]
 pub enum ServerCommand<Q> {
     /// Start an attempt.
-    Attempt(AttemptCommand<Q>),
+    StartAttempt(AttemptCommand<Q>),
     /// Cancel an attempt; no result is reported for it.
-    Cancel(AttemptId),
+    CancelAttempt(AttemptId),
     /// Run a health check on a server.
     HealthCheck(ServerId),
     /// Close the idle connections to a server.
-    CloseIdle(ServerId),
+    CloseIdleConnections(ServerId),
     /// Use this address for new connections to a server.
     SetAddress(ServerId, SocketAddr),
     /// Drop all state of a server that was removed from the endpoint list.
-    Forget(ServerId),
+    RemoveServer(ServerId),
     /// Apply new settings. The duration is the servers' idle timeout, after which they close a connection.
     Reconfigure(Box<Settings>, Duration),
     /// Use at most this number of sockets.
     SetSocketLimit(usize),
     /// Use at most this share (from 0 to 1) of the sockets; the peer process uses the rest.
-    SetShare(f64),
+    SetSocketShare(f64),
 }
 
 /// An attempt for the server side to execute.
--- a/src/net/driver/servers.rs
+++ b/src/net/driver/servers.rs
@@ -35,7 +35,7 @@
         }
         let removed = self.0.state.borrow_mut().endpoints.apply(&update);
         for server in &removed {
-            self.command(ServerCommand::Forget(*server));
+            self.command(ServerCommand::RemoveServer(*server));
         }
         self.send_withdrawn_servers(&update, &removed);
         self.queue_event(Event::Endpoints(update));
@@ -50,7 +50,7 @@
     /// Applies an operators' order: takes a server out of service, or returns it to service.
     pub fn set_out_of_service(&self, server: ServerId, out_of_service: bool) {
         if out_of_service {
-            self.command(ServerCommand::CloseIdle(server));
+            self.command(ServerCommand::CloseIdleConnections(server));
             self.0.state.borrow_mut().endpoints.take_out_of_service(server);
             self.queue_event(Event::TakenOutOfService(server));
         } else {
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -72,23 +72,23 @@
     fn execute_command(self: &Rc<Self>, command: ServerCommand<Query>) {
         self.connections.enforce_budget();
         match command {
-            ServerCommand::Attempt(attempt) => self.spawn_attempt(attempt),
-            ServerCommand::Cancel(attempt) => {
+            ServerCommand::StartAttempt(attempt) => self.spawn_attempt(attempt),
+            ServerCommand::CancelAttempt(attempt) => {
                 if let Some(task) = self.attempts.borrow_mut().remove(&attempt) {
                     task.abort();
                 }
             }
             ServerCommand::HealthCheck(server) => self.spawn_health_check(server),
-            ServerCommand::CloseIdle(server) => self.connections.close_idle_connections(server),
+            ServerCommand::CloseIdleConnections(server) => self.connections.close_idle_connections(server),
             ServerCommand::SetAddress(server, address) => self.connections.set_address(server, address),
-            ServerCommand::Forget(server) => self.connections.remove_server(server),
+            ServerCommand::RemoveServer(server) => self.connections.remove_server(server),
             ServerCommand::Reconfigure(settings, server_idle_timeout) => {
                 let max_sockets = self.connections.max_sockets();
                 let options = ServerOptions::new(&settings, server_idle_timeout, max_sockets);
                 self.connections.reconfigure(options);
             }
             ServerCommand::SetSocketLimit(limit) => self.connections.set_socket_limit(limit),
-            ServerCommand::SetShare(share) => self.connections.set_socket_share(share),
+            ServerCommand::SetSocketShare(share) => self.connections.set_socket_share(share),
         }
     }
 
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -36,7 +36,7 @@
 /// The next attempt that the driver commands.
 fn next_attempt(commands: &mut TestCommands) -> Option<AttemptCommand<&'static str>> {
     while let Ok(command) = commands.try_recv() {
-        if let ServerCommand::Attempt(attempt) = command {
+        if let ServerCommand::StartAttempt(attempt) = command {
             return Some(attempt);
         }
     }
@@ -90,7 +90,7 @@
     let attempt = next_attempt(&mut commands).expect("an attempt");
     driver.client_gone(id);
     driver.step();
-    assert!(matches!(commands.try_recv(), Ok(ServerCommand::Cancel(key)) if key == attempt.id));
+    assert!(matches!(commands.try_recv(), Ok(ServerCommand::CancelAttempt(key)) if key == attempt.id));
     assert!(response.try_recv().is_err());
 }
 
@@ -105,7 +105,7 @@
     driver.endpoints_updated(update, []);
     let mut forgotten = Vec::new();
     while let Ok(command) = commands.try_recv() {
-        if let ServerCommand::Forget(server) = command {
+        if let ServerCommand::RemoveServer(server) = command {
             forgotten.push(server.0);
         }
     }
