--- a/src/net/client/socket_share.rs
+++ b/src/net/client/socket_share.rs
@@ -38,7 +38,7 @@
         let clients = connections.len().next_multiple_of(CLIENT_STEP) + CLIENT_STEP;
         let left = self.sockets - clients.clamp(self.usual_clients, self.max_clients);
         if self.left_to_servers.replace(left) != left {
-            driver.command(ServerCommand::SetSocketLimit(left));
+            driver.send_command(ServerCommand::SetSocketLimit(left));
         }
     }
 }
--- a/src/net/driver/servers.rs
+++ b/src/net/driver/servers.rs
@@ -31,11 +31,11 @@
         addresses: impl IntoIterator<Item = (ServerId, SocketAddr)>,
     ) {
         for (server, address) in addresses {
-            self.command(ServerCommand::SetAddress(server, address));
+            self.send_command(ServerCommand::SetAddress(server, address));
         }
         let removed = self.0.state.borrow_mut().endpoints.apply(&update);
         for server in &removed {
-            self.command(ServerCommand::RemoveServer(*server));
+            self.send_command(ServerCommand::RemoveServer(*server));
         }
         self.send_withdrawn_servers(&update, &removed);
         self.queue_event(Event::Endpoints(update));
@@ -50,7 +50,7 @@
     /// Applies an operators' order: takes a server out of service, or returns it to service.
     pub fn set_out_of_service(&self, server: ServerId, out_of_service: bool) {
         if out_of_service {
-            self.command(ServerCommand::CloseIdleConnections(server));
+            self.send_command(ServerCommand::CloseIdleConnections(server));
             self.0.state.borrow_mut().endpoints.take_out_of_service(server);
             self.queue_event(Event::TakenOutOfService(server));
         } else {
@@ -60,7 +60,7 @@
     }
 
     /// Sends a command to the server side.
-    pub fn command(&self, command: ServerCommand<Q>) {
+    pub fn send_command(&self, command: ServerCommand<Q>) {
         // The send fails only during process shutdown, when the receiver is dropped.
         let _ = self.0.server_commands.send(command);
     }
--- a/src/net/driver/step.rs
+++ b/src/net/driver/step.rs
@@ -78,8 +78,8 @@
             Action::Cancel { request, attempt } => {
                 self.cancel_attempt(now, AttemptId { request, number: attempt }, state);
             }
-            Action::HealthCheck { server } => self.command(ServerCommand::HealthCheck(server)),
-            Action::CloseIdle { server } => self.command(ServerCommand::CloseIdleConnections(server)),
+            Action::HealthCheck { server } => self.send_command(ServerCommand::HealthCheck(server)),
+            Action::CloseIdle { server } => self.send_command(ServerCommand::CloseIdleConnections(server)),
             Action::Watch { on } => self.send_discovery_command(DiscoveryCommand::Watch(on)),
             Action::Poll => self.send_discovery_command(DiscoveryCommand::Poll),
             Action::SetTimer { after, id } => state.timers.schedule(now + after, id),
@@ -119,7 +119,7 @@
             ..attempt.end_report(id, now, Outcome::Cancelled)
         }));
         self.0.event_queued.notify_one();
-        self.command(ServerCommand::CancelAttempt(id));
+        self.send_command(ServerCommand::CancelAttempt(id));
     }
 
     /// Starts the next attempt of a request, if the deadline and the attempt limit of the request admit it.
@@ -150,7 +150,7 @@
             writing_session: open.writing_session.clone(),
         };
         state.attempts.insert(id, attempt);
-        self.command(ServerCommand::StartAttempt(command));
+        self.send_command(ServerCommand::StartAttempt(command));
     }
 }
 
--- a/src/net/hot_restart/shared_resources.rs
+++ b/src/net/hot_restart/shared_resources.rs
@@ -42,7 +42,7 @@
 
     fn set_share(&self, share: f64) {
         self.pool.set_share(share);
-        self.driver.command(ServerCommand::SetSocketShare(share));
+        self.driver.send_command(ServerCommand::SetSocketShare(share));
     }
 
     /// Starts to serve in parallel with a process that this one cannot communicate with. Each has half of the
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -66,7 +66,7 @@
         let zone_name = connections.names.zone_name(settings.zone).unwrap_or_default();
         settings.zone = self.registry.borrow_mut().zone(zone_name);
         let command = ServerCommand::Reconfigure(Box::new(settings.clone()), connections.server_idle_timeout);
-        self.driver.command(command);
+        self.driver.send_command(command);
         self.clients.reconfigure(settings, connections.names.classes());
     }
 }
