--- a/src/net/client/inbound.rs
+++ b/src/net/client/inbound.rs
@@ -49,7 +49,7 @@
 impl ClientHandle for TcpStream {
     /// Asks the system, which knows of a close before anything is read, even behind bytes that are not read
     /// yet.
-    fn is_gone(&self) -> bool {
+    fn is_disconnected(&self) -> bool {
         let mut polled = [PollFd::new(self, PollFlags::RDHUP)];
         poll(&mut polled, Some(&Timespec::default())).is_ok_and(|ready| ready > 0)
     }
@@ -100,7 +100,7 @@
                 if !self.read().await.is_ok_and(|bytes| bytes > 0) {
                     return;
                 }
-            } else if self.stream.is_gone() {
+            } else if self.stream.is_disconnected() {
                 return;
             } else {
                 sleep(CLOSE_CHECK_INTERVAL).await;
--- a/src/net/client/request_ids.rs
+++ b/src/net/client/request_ids.rs
@@ -39,7 +39,7 @@
     pub(super) fn status(&self, id: &str) -> IdStatus {
         match self.0.borrow().get(id) {
             None => IdStatus::Free,
-            Some(owner) if owner.client.is_gone() => IdStatus::Abandoned(owner.request),
+            Some(owner) if owner.client.is_disconnected() => IdStatus::Abandoned(owner.request),
             Some(_) => IdStatus::InUse,
         }
     }
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -167,7 +167,7 @@
     pub fn may_send_attempt(&self, attempt: AttemptId, server: ServerId) -> bool {
         let client = self.0.state.borrow().requests.get(attempt.request).map(|open| open.client.clone());
         let Some(client) = client else { return false };
-        if client.is_some_and(|client| client.is_gone()) {
+        if client.is_some_and(|client| client.is_disconnected()) {
             self.client_gone(attempt.request);
             return false;
         }
--- a/src/net/driver/request.rs
+++ b/src/net/driver/request.rs
@@ -34,7 +34,7 @@
 /// Client connection of a request.
 pub trait ClientHandle: std::fmt::Debug {
     /// Returns whether the client has disconnected. The driver calls this just before an attempt is sent.
-    fn is_gone(&self) -> bool;
+    fn is_disconnected(&self) -> bool;
 }
 
 /// The final response to a request.
