--- a/src/net/client/query.rs
+++ b/src/net/client/query.rs
@@ -76,7 +76,7 @@
                 return self.fail_query("08P01", "the statement has the id of another open request").await;
             }
             // Its client has come again before the end of its first connection was read.
-            IdStatus::Abandoned(request) => self.shared.driver.client_gone(request),
+            IdStatus::Abandoned(request) => self.shared.driver.client_disconnected(request),
             IdStatus::Free => {}
         }
         self.submit(statement, &class, message, text).await
@@ -101,11 +101,11 @@
             biased;
             response = &mut response => response,
             _ = phase.wait_for(|phase| *phase == ServicePhase::Ended) => {
-                self.shared.driver.client_gone(request);
+                self.shared.driver.client_disconnected(request);
                 return self.fail_connection("57P01", "the proxy is shutting down").await;
             }
             () = self.inbound.client_gone() => {
-                self.shared.driver.client_gone(request);
+                self.shared.driver.client_disconnected(request);
                 return Ok(Flow::End);
             }
         };
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -106,7 +106,7 @@
     }
 
     /// Submits a request. Returns its id and the receiver of its final response. If the client disconnects
-    /// before the response, the caller must call [`Self::client_gone`].
+    /// before the response, the caller must call [`Self::client_disconnected`].
     pub fn submit(&self, request: NewRequest, query: Q) -> (RequestId, oneshot::Receiver<Response<R>>) {
         let now = self.0.clock.now();
         let (response_sender, response) = oneshot::channel();
@@ -145,7 +145,7 @@
     }
 
     /// Reports that the client of a request has disconnected. The request then gets no response.
-    pub fn client_gone(&self, request: RequestId) {
+    pub fn client_disconnected(&self, request: RequestId) {
         let mut state = self.0.state.borrow_mut();
         if let Some(open) = state.requests.remove(request) {
             let waited_ms = self.0.clock.now().saturating_sub(open.submitted_at).as_millis();
@@ -168,7 +168,7 @@
         let client = self.0.state.borrow().requests.get(attempt.request).map(|open| open.client.clone());
         let Some(client) = client else { return false };
         if client.is_some_and(|client| client.is_disconnected()) {
-            self.client_gone(attempt.request);
+            self.client_disconnected(attempt.request);
             return false;
         }
         self.accepts_attempts(server)
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -88,7 +88,7 @@
     let (id, mut response) = driver.submit(new_request(POST), "query");
     driver.step();
     let attempt = next_attempt(&mut commands).expect("an attempt");
-    driver.client_gone(id);
+    driver.client_disconnected(id);
     driver.step();
     assert!(matches!(commands.try_recv(), Ok(ServerCommand::CancelAttempt(key)) if key == attempt.id));
     assert!(response.try_recv().is_err());
