--- a/src/bootstrap.rs
+++ b/src/bootstrap.rs
@@ -102,7 +102,7 @@
 async fn shut_down(clients: &ClientService, driver: &PgDriver) {
     log::info!("graceful shutdown started, {} requests in flight", driver.requests_in_flight());
     clients.shut_down().await;
-    driver.close_peer();
+    driver.close_peer_link();
     match driver.requests_in_flight() {
         0 => {}
         in_flight => log::warn!("graceful shutdown ended with {in_flight} requests in flight"),
--- a/src/net/driver/hot_restart.rs
+++ b/src/net/driver/hot_restart.rs
@@ -34,11 +34,11 @@
     /// Connects the peer process, which also serves, so that both processes notify each other of changes.
     pub fn connect_peer(&self, link: Rc<dyn PeerLink>) {
         self.0.peer.connect(link);
-        self.wake();
+        self.request_step();
     }
 
     /// Notifies the peer that this process has answered all its requests and accepts no more.
-    pub fn close_peer(&self) {
+    pub fn close_peer_link(&self) {
         if let Some(peer) = self.0.peer.link() {
             peer.close();
         }
@@ -51,7 +51,7 @@
 
     /// Disconnects the peer process, if there is one, after its last messages are received. The peer has
     /// exited or is unresponsive; the engine no longer counts it as unreachable.
-    pub fn peer_gone(&self) {
+    pub fn disconnect_peer(&self) {
         let peer = self.0.peer.disconnect();
         let messages = peer.map(|peer| peer.receive()).unwrap_or_default();
         self.0.state.borrow_mut().events.extend(messages.into_iter().map(Event::PeerMessage));
@@ -59,7 +59,7 @@
     }
 
     /// Requests a step of the engine, for example because a message of the peer has arrived.
-    pub fn wake(&self) {
+    pub fn request_step(&self) {
         self.0.event_queued.notify_one();
     }
 
--- a/src/net/hot_restart/peer_channel.rs
+++ b/src/net/hot_restart/peer_channel.rs
@@ -138,7 +138,7 @@
 /// Wakes the driver whenever a packet has arrived, once for all packets that it reads together.
 async fn wake_on_packets(driver: PgDriver, socket: Rc<UnixStream>, drained: Rc<Notify>) {
     while socket.readable().await.is_ok() {
-        driver.wake();
+        driver.request_step();
         drained.notified().await;
     }
 }
--- a/src/net/hot_restart/shared_resources.rs
+++ b/src/net/hot_restart/shared_resources.rs
@@ -48,7 +48,7 @@
     /// Starts to serve in parallel with a process that this one cannot communicate with. Each has half of the
     /// clients, and assumes that the other one acknowledges writes.
     pub(super) fn serve_in_parallel(&self) {
-        self.driver.peer_gone();
+        self.driver.disconnect_peer();
         self.driver.peer_unreachable();
         self.clients.set_limit(Some((self.clients.limit() as f64 * HALF_SHARE) as usize));
         self.share_with_peer();
@@ -70,6 +70,6 @@
     pub(super) fn reclaim(&self) {
         self.clients.clear_limit();
         self.set_share(FULL_SHARE);
-        self.driver.peer_gone();
+        self.driver.disconnect_peer();
     }
 }
