--- a/src/net/driver/commands.rs
+++ b/src/net/driver/commands.rs
@@ -45,7 +45,7 @@
     /// Time from which the server's data may exceed the staleness bound of the request; from then on the
     /// query must not be sent. `None` if the request has no staleness bound, or if no replication position of
     /// the server is known (always so for a primary).
-    pub fresh_until: Option<Instant>,
+    pub staleness_deadline: Option<Instant>,
 }
 
 /// A command to discovery.
--- a/src/net/driver/step.rs
+++ b/src/net/driver/step.rs
@@ -135,13 +135,13 @@
         }
         let id = AttemptId { request, number };
         let position = state.endpoints.position(server);
-        let fresh_until = position.zip(open.staleness_bound).map(|(position, bound)| position + bound);
+        let staleness_deadline = position.zip(open.staleness_bound).map(|(position, bound)| position + bound);
         let command = AttemptCommand {
             id,
             server,
             query: open.query.clone(),
             deadline: self.0.clock.to_instant(deadline),
-            fresh_until: fresh_until.map(|until| self.0.clock.to_instant(until)),
+            staleness_deadline: staleness_deadline.map(|until| self.0.clock.to_instant(until)),
         };
         let attempt = InFlightAttempt {
             server,
--- a/src/net/server/attempt.rs
+++ b/src/net/server/attempt.rs
@@ -58,7 +58,7 @@
         // Getting the connection may have taken long; the attempt then ends unsent, and the engine decides
         // again.
         let is_expired =
-            start_deadline.into_iter().chain(command.fresh_until).any(|until| Instant::now() >= until);
+            start_deadline.into_iter().chain(command.staleness_deadline).any(|until| Instant::now() >= until);
         if is_expired || !self.driver.may_send_attempt(command.id, command.server) {
             self.connections.release(command.server, connection);
             return Ok(AttemptResult::without_response(Outcome::NotSent));
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -141,7 +141,7 @@
             if round >= 50 {
                 (at_primary, at_replica) =
                     (at_primary + u32::from(primary), at_replica + u32::from(!primary));
-                assert_eq!(attempt.fresh_until.is_none(), primary);
+                assert_eq!(attempt.staleness_deadline.is_none(), primary);
             }
             driver.attempt_ended(attempt.id, attempt_result(Outcome::Success, primary, clock.now()));
         }
