--- a/src/net/server/connection_pool.rs
+++ b/src/net/server/connection_pool.rs
@@ -164,8 +164,8 @@
     }
 
     /// Returns whether health checks return load reports.
-    pub(super) fn health_checks_report(&self) -> bool {
-        self.options.borrow().health_checks_report
+    pub(super) fn health_checks_return_load_reports(&self) -> bool {
+        self.options.borrow().health_checks_return_load_reports
     }
 
     pub(super) fn max_sockets(&self) -> usize {
@@ -190,9 +190,10 @@
 
     fn is_reusable(&self, connection: &PooledConnection) -> bool {
         let idle_time = connection.idle_since.elapsed();
-        let max_idle = self.options.borrow().max_idle;
+        let max_idle_time = self.options.borrow().max_idle_time;
         let max_observed = self.reuse_statistics.borrow().max_idle_time(self.now_secs());
-        (max_idle.is_zero() || idle_time < max_idle) && max_observed.is_none_or(|max| idle_time < max)
+        (max_idle_time.is_zero() || idle_time < max_idle_time)
+            && max_observed.is_none_or(|max| idle_time < max)
     }
 
     /// Closes the connection with the longest idle time. Returns false if no connection is idle.
--- a/src/net/server/health_check.rs
+++ b/src/net/server/health_check.rs
@@ -45,7 +45,8 @@
     }
 
     async fn health_check_reply(&self, server: ServerId) -> io::Result<Reply> {
-        let text = if self.connections.health_checks_report() { LOAD_REPORT_QUERY } else { PING_QUERY };
+        let text =
+            if self.connections.health_checks_return_load_reports() { LOAD_REPORT_QUERY } else { PING_QUERY };
         let stage = Cell::new(AttemptStage::WaitingForSocket);
         let CheckoutResult::Ready(connection) = self.connections.checkout(server, &stage).await? else {
             return Err(io::ErrorKind::ConnectionRefused.into());
--- a/src/net/server/options.rs
+++ b/src/net/server/options.rs
@@ -18,9 +18,9 @@
     /// Time within which connecting and the startup exchange must be complete.
     pub connect_timeout: Duration,
     /// Idle time from which on a connection is not reused; zero for no limit.
-    pub max_idle: Duration,
+    pub max_idle_time: Duration,
     /// Whether health checks return load reports.
-    pub health_checks_report: bool,
+    pub health_checks_return_load_reports: bool,
     /// Time after its command within which an attempt must start to write its query, and within which a
     /// health check must be complete; `None` for no limit.
     pub start_timeout: Option<Duration>,
@@ -34,8 +34,8 @@
         Self {
             max_sockets,
             connect_timeout: settings.limits.connect_timeout,
-            max_idle: server_idle_timeout.mul_f64(MAX_IDLE_SHARE),
-            health_checks_report: settings.load_reports == LoadReports::OnHealthCheck,
+            max_idle_time: server_idle_timeout.mul_f64(MAX_IDLE_SHARE),
+            health_checks_return_load_reports: settings.load_reports == LoadReports::OnHealthCheck,
             start_timeout: Some(start_timeout).filter(|timeout| !timeout.is_zero()),
         }
     }
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -185,8 +185,8 @@
     let options = ServerOptions {
         max_sockets: 1,
         connect_timeout: ms(5000),
-        max_idle: std::time::Duration::ZERO,
-        health_checks_report: false,
+        max_idle_time: std::time::Duration::ZERO,
+        health_checks_return_load_reports: false,
         start_timeout: None,
     };
     let pool = BufferPool::default();
