--- a/src/net/client/query.rs
+++ b/src/net/client/query.rs
@@ -14,7 +14,7 @@
 use crate::api::{Consistency, GroupId};
 use crate::net::driver::{NewRequest, Response};
 use crate::net::postgres::{self, Severity, Statement};
-use crate::net::server::{Answer, Query};
+use crate::net::server::{Query, QueryResult};
 
 impl Connection<'_> {
     pub(super) async fn query(&mut self, message: ReceivedMessage) -> io::Result<Flow> {
@@ -142,7 +142,7 @@
         }
     }
 
-    async fn answer(&mut self, response: Response<Answer>) -> io::Result<Flow> {
+    async fn answer(&mut self, response: Response<QueryResult>) -> io::Result<Flow> {
         match response {
             Response::Served(answer) => self.write_value(answer).await,
             Response::Rejected(retry_after) => self.answer_rejected(retry_after).await,
@@ -164,7 +164,7 @@
 
     /// Writes a value. A large one is written as it comes; where its rest fails, the connection fails too:
     /// what was written can't be taken back, and the client must be able to tell.
-    async fn write_value(&self, mut answer: Answer) -> io::Result<Flow> {
+    async fn write_value(&self, mut answer: QueryResult) -> io::Result<Flow> {
         let mut ready = Vec::new();
         postgres::push_ready_for_query(&mut ready);
         let is_complete = !answer.has_more();
--- a/src/net/server/answer.rs
+++ b/src/net/server/answer.rs
@@ -48,13 +48,13 @@
 /// A data server's result of a query: the messages RowDescription, DataRow and CommandComplete as the server
 /// sent them. Other messages, such as ParameterStatus, are left out. The result is either complete or, with a
 /// large row, the first part, whose rest [`Self::next_chunk`] reads.
-pub struct Answer {
+pub struct QueryResult {
     bytes: BufferChain,
     messages: Vec<Range<usize>>,
     remaining: Option<RemainingResult>,
 }
 
-impl Answer {
+impl QueryResult {
     pub(super) fn new(bytes: BufferChain, messages: Vec<Range<usize>>) -> Self {
         Self { bytes, messages, remaining: None }
     }
--- a/src/net/server/attempt.rs
+++ b/src/net/server/attempt.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::{timeout_at, Instant};
 
-use super::answer::{Answer, Query, RemainingResult};
+use super::answer::{Query, QueryResult, RemainingResult};
 use super::connection_pool::{CheckoutResult, PooledConnection};
 use super::reply::{read_reply, ExpectedReply, Reply};
 use super::ServerSide;
@@ -31,7 +31,7 @@
     pub(super) async fn run_attempt(
         self: &Rc<Self>,
         command: &AttemptCommand<Query>,
-    ) -> AttemptResult<Answer> {
+    ) -> AttemptResult<QueryResult> {
         let stage = Cell::new(AttemptStage::WaitingForSocket);
         let outcome = match timeout_at(command.deadline, self.execute(command, &stage)).await {
             Ok(Ok(result)) => return result,
@@ -48,7 +48,7 @@
         self: &Rc<Self>,
         command: &AttemptCommand<Query>,
         stage: &Cell<AttemptStage>,
-    ) -> io::Result<AttemptResult<Answer>> {
+    ) -> io::Result<AttemptResult<QueryResult>> {
         let start_deadline = self.connections.start_deadline();
         let connection = match self.connections.checkout(command.server, stage).await? {
             CheckoutResult::Ready(connection) => connection,
@@ -100,7 +100,7 @@
         remaining_row_bytes: usize,
         server: ServerId,
         connection: PooledConnection,
-    ) -> AttemptResult<Answer> {
+    ) -> AttemptResult<QueryResult> {
         let remaining = RemainingResult::new(self, server, connection, remaining_row_bytes);
         let answer = reply.into_query_result().with_remaining(remaining);
         AttemptResult { response: Some(answer), ..AttemptResult::without_response(Outcome::Success) }
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -15,7 +15,7 @@
 mod reuse_statistics;
 mod socket_budget;
 
-pub use answer::{Answer, Query};
+pub use answer::{Query, QueryResult};
 pub use options::ServerOptions;
 pub use reuse_statistics::ReuseStatistics;
 
@@ -36,7 +36,7 @@
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The engine's driver with queries and query results of PostgreSQL's protocol.
-pub type PgDriver = Driver<Query, Answer>;
+pub type PgDriver = Driver<Query, QueryResult>;
 
 /// State of the server side.
 struct ServerSide {
--- a/src/net/server/reply.rs
+++ b/src/net/server/reply.rs
@@ -10,7 +10,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use super::answer::Answer;
+use super::answer::QueryResult;
 use super::load_report;
 use crate::api::{LoadReport, Outcome, ServerStatus};
 use crate::net::buffers::{BufferChain, BufferPool};
@@ -263,12 +263,12 @@
     }
 
     /// Returns the query result: all of it, or the received part of a large one.
-    pub(super) fn into_query_result(self) -> Answer {
-        Answer::new(self.bytes, self.result_messages)
+    pub(super) fn into_query_result(self) -> QueryResult {
+        QueryResult::new(self.bytes, self.result_messages)
     }
 
     /// Returns the attempt's result.
-    pub(super) fn into_result(self, clock: Clock) -> AttemptResult<Answer> {
+    pub(super) fn into_result(self, clock: Clock) -> AttemptResult<QueryResult> {
         let outcome = match self.sqlstate.as_ref() {
             None if self.is_complete_result() => Outcome::Success,
             Some(b"25006" | b"72000") => Outcome::Misdirected,
