--- a/src/net/client/query.rs
+++ b/src/net/client/query.rs
@@ -138,7 +138,7 @@
             is_retry: statement.is_retry,
             statement_bytes: statement_bytes as u64,
             session: has_session.then_some(statement.key),
-            after_unix_ms: statement.after_unix_ms,
+            last_write_unix_ms: statement.after_unix_ms,
         }
     }
 
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -127,7 +127,7 @@
             writing_session,
             response: response_sender,
         });
-        let last_write = request.after_unix_ms.map(|unix_ms| self.0.clock.from_unix_ms(unix_ms));
+        let last_write = request.last_write_unix_ms.map(|unix_ms| self.0.clock.from_unix_ms(unix_ms));
         state.events.push(Event::Request(Request {
             id,
             class: request.class,
--- a/src/net/driver/request.rs
+++ b/src/net/driver/request.rs
@@ -28,7 +28,7 @@
     pub session: Option<String>,
     /// Replication position that a read must see (the commit time of the session's last write), in Unix
     /// milliseconds; `None` if the client sent none.
-    pub after_unix_ms: Option<f64>,
+    pub last_write_unix_ms: Option<f64>,
 }
 
 /// Client connection of a request.
