--- a/src/net/driver/clock.rs
+++ b/src/net/driver/clock.rs
@@ -48,8 +48,7 @@
         self.zero_unix_ms + time.as_secs_f64() * 1e3
     }
 
-    /// Converts a time on this clock to an [`Instant`]. Returns the clock's start for an earlier
-    /// time.
+    /// Converts a time on this clock to an [`Instant`]. A time before the clock's start becomes the start.
     pub(in crate::net) fn to_instant(self, time: Duration) -> Instant {
         self.start + time.saturating_sub(ZERO_BEFORE_START)
     }
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -195,9 +195,9 @@
         let mut state = self.0.state.borrow_mut();
         // The first successful response completes the request. It is passed to the client at once, without a
         // step of the engine.
-        if let Some(answer) = result.response.filter(|_| is_success) {
+        if let Some(query_result) = result.response.filter(|_| is_success) {
             if let Some(request) = state.requests.remove(id.request) {
-                request.respond(Response::Served(answer));
+                request.respond(Response::Served(query_result));
             }
         }
         let request_complete = !state.requests.contains(id.request);
--- a/src/net/server/answer.rs
+++ b/src/net/server/answer.rs
@@ -50,7 +50,9 @@
 /// large row, the first part, whose rest [`Self::next_chunk`] reads.
 pub struct QueryResult {
     bytes: BufferChain,
+    /// Byte ranges in `bytes` of the messages that belong to the result.
     messages: Vec<Range<usize>>,
+    /// `None` if the result is complete.
     remaining: Option<RemainingResult>,
 }
 
--- a/src/net/server/attempt.rs
+++ b/src/net/server/attempt.rs
@@ -102,8 +102,8 @@
         connection: PooledConnection,
     ) -> AttemptResult<QueryResult> {
         let remaining = RemainingResult::new(self, server, connection, remaining_row_bytes);
-        let answer = reply.into_query_result().with_remaining(remaining);
-        AttemptResult { response: Some(answer), ..AttemptResult::without_response(Outcome::Success) }
+        let query_result = reply.into_query_result().with_remaining(remaining);
+        AttemptResult { response: Some(query_result), ..AttemptResult::without_response(Outcome::Success) }
     }
 }
 
--- a/src/net/server/connection_pool.rs
+++ b/src/net/server/connection_pool.rs
@@ -31,6 +31,7 @@
     pub stream: TcpStream,
     /// Address that the connection was opened to.
     address: SocketAddr,
+    /// Time at which the connection was last returned to the pool, or else established.
     pub idle_since: Instant,
     /// Permit of the socket budget; released when the connection is dropped.
     _permit: OwnedSemaphorePermit,
@@ -132,7 +133,7 @@
         let Some(address) = address else { return Ok(CheckoutResult::Failed(Outcome::ConnectFailed)) };
         let connect = self.connect(address, permit);
         match timeout_at(self.connect_deadline(), connect).await {
-            Ok(done) => done,
+            Ok(result) => result,
             Err(_) => Ok(CheckoutResult::Failed(Outcome::ConnectFailed)),
         }
     }
--- a/src/net/server/reuse_statistics.rs
+++ b/src/net/server/reuse_statistics.rs
@@ -1,4 +1,4 @@
-//! Statistics of how often a reused connection breaks at the next query, by the idle time before the query.
+//! Statistics of how often a connection breaks at the next query, by the idle time before the query.
 //!
 //! Servers and network devices may drop an idle connection long before the idle timeout in the settings. The
 //! proxy then sees a reset only when it sends the next query. Connections are not reused after an idle time
@@ -20,7 +20,7 @@
 const MAX_BREAK_SHARE: f64 = 0.1;
 const BREAK_SHARE: EwmaConfig = EwmaConfig { max_weight: 60.0, decay_secs: 20.0, prior_weight: 3.0 };
 
-/// Shares of reused connections that broke, by idle time.
+/// Shares of connections that broke at their next query, by idle time.
 #[derive(Default)]
 pub struct ReuseStatistics {
     fresh: Ewma,
@@ -28,7 +28,8 @@
 }
 
 impl ReuseStatistics {
-    /// Records whether a connection broke when it was reused after `idle_time`. `now` is in seconds.
+    /// Records whether a connection broke at the query that followed `idle_time`. A new connection has been
+    /// idle since it was established. `now` is in seconds.
     pub fn record(&mut self, now: f64, idle_time: Duration, broke: bool) {
         let share = idle_class(idle_time).map_or(&mut self.fresh, |class| &mut self.idle[class]);
         share.record(now, f64::from(u8::from(broke)), &BREAK_SHARE);
