--- a/src/net/client/query.rs
+++ b/src/net/client/query.rs
@@ -14,7 +14,7 @@
 use crate::api::{Consistency, GroupId};
 use crate::net::driver::{NewRequest, Response};
 use crate::net::postgres::{self, Severity, Statement};
-use crate::net::server::{Answer, Query};
+use crate::net::server::{Query, QueryResult};
 
 impl Connection<'_> {
     pub(super) async fn handle_query(&mut self, message: ReceivedMessage) -> io::Result<Flow> {
@@ -78,7 +78,7 @@
             }
             // The client has reconnected and retries before this process has read the close of the earlier
             // connection.
-            IdStatus::Abandoned(request) => self.shared.driver.client_gone(request),
+            IdStatus::Abandoned(request) => self.shared.driver.client_disconnected(request),
             IdStatus::Free => {}
         }
         self.submit(statement, &class, message, text).await
@@ -104,11 +104,11 @@
             biased;
             response = &mut response => response,
             _ = phase.wait_for(|phase| *phase == ServicePhase::DrainEnded) => {
-                self.shared.driver.client_gone(request);
+                self.shared.driver.client_disconnected(request);
                 return self.fail_connection("57P01", "the proxy is shutting down").await;
             }
             () = self.inbound.wait_until_gone() => {
-                self.shared.driver.client_gone(request);
+                self.shared.driver.client_disconnected(request);
                 return Ok(Flow::End);
             }
         };
@@ -143,11 +143,11 @@
             is_retry: statement.is_retry,
             statement_bytes: statement_bytes as u64,
             session: has_session.then_some(statement.key),
-            after_unix_ms: statement.after_unix_ms,
+            last_write_unix_ms: statement.after_unix_ms,
         }
     }
 
-    async fn send_response(&mut self, response: Response<Answer>) -> io::Result<Flow> {
+    async fn send_response(&mut self, response: Response<QueryResult>) -> io::Result<Flow> {
         match response {
             Response::Served(answer) => self.write_value(answer).await,
             Response::Rejected(retry_after) => self.send_rejection(retry_after).await,
@@ -170,7 +170,7 @@
     /// Writes a value. A large value is streamed as the data server sends it. If the stream fails midway, the
     /// client connection is closed: bytes already written cannot be retracted, and the client must not take
     /// the value for complete.
-    async fn write_value(&self, mut answer: Answer) -> io::Result<Flow> {
+    async fn write_value(&self, mut answer: QueryResult) -> io::Result<Flow> {
         let mut ready = Vec::new();
         postgres::push_ready_for_query(&mut ready);
         let is_complete = !answer.has_more();
--- a/src/net/client/socket_share.rs
+++ b/src/net/client/socket_share.rs
@@ -42,7 +42,7 @@
         let clients = connections.len().next_multiple_of(CLIENT_COUNT_STEP) + CLIENT_COUNT_STEP;
         let server_sockets = self.sockets - clients.clamp(self.usual_clients, self.max_clients);
         if self.server_sockets.replace(server_sockets) != server_sockets {
-            driver.command(ServerCommand::SetSocketLimit(server_sockets));
+            driver.send_command(ServerCommand::SetSocketLimit(server_sockets));
         }
     }
 }
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -36,7 +36,7 @@
 /// The next attempt that the driver commands.
 fn next_attempt(commands: &mut TestCommands) -> Option<AttemptCommand<&'static str>> {
     while let Ok(command) = commands.try_recv() {
-        if let ServerCommand::Attempt(attempt) = command {
+        if let ServerCommand::StartAttempt(attempt) = command {
             return Some(attempt);
         }
     }
@@ -88,9 +88,9 @@
     let (id, mut response) = driver.submit(new_request(KEYED_WRITE), "query");
     driver.step();
     let attempt = next_attempt(&mut commands).expect("an attempt");
-    driver.client_gone(id);
+    driver.client_disconnected(id);
     driver.step();
-    assert!(matches!(commands.try_recv(), Ok(ServerCommand::Cancel(key)) if key == attempt.id));
+    assert!(matches!(commands.try_recv(), Ok(ServerCommand::CancelAttempt(key)) if key == attempt.id));
     assert!(response.try_recv().is_err());
 }
 
@@ -105,7 +105,7 @@
     driver.endpoints_updated(update, []);
     let mut forgotten = Vec::new();
     while let Ok(command) = commands.try_recv() {
-        if let ServerCommand::Forget(server) = command {
+        if let ServerCommand::RemoveServer(server) = command {
             forgotten.push(server.0);
         }
     }
@@ -142,7 +142,7 @@
             if round >= 50 {
                 (at_primary, at_replica) =
                     (at_primary + u32::from(primary), at_replica + u32::from(!primary));
-                assert_eq!(attempt.fresh_until.is_none(), primary);
+                assert_eq!(attempt.staleness_deadline.is_none(), primary);
             }
             driver.attempt_ended(attempt.id, attempt_result(Outcome::Success, primary, clock.now()));
         }
@@ -186,8 +186,8 @@
     let options = ServerOptions {
         max_sockets: 1,
         connect_timeout: ms(5000),
-        max_idle: std::time::Duration::ZERO,
-        health_checks_report: false,
+        max_idle_time: std::time::Duration::ZERO,
+        health_checks_return_load_reports: false,
         start_timeout: None,
     };
     let pool = BufferPool::default();
