--- a/src/bootstrap.rs
+++ b/src/bootstrap.rs
@@ -1,15 +1,18 @@
 //! Starts a proxy process, runs it until a signal ends it, and shuts it down.
 //!
-//! Owns the order of the start: resources, the predecessor's listener or a new one, the components, and then
-//! the tasks. The order matters. Endpoints that are known already are applied before anything runs, and
-//! clients are accepted last.
+//! The startup order is: reserve resources, take over the predecessor's listener or open a new one, create
+//! the components, spawn the tasks. The order matters: the cached endpoint list is applied before any task
+//! runs, and clients are accepted last.
 //!
-//! All tasks run on one [`LocalSet`], which owns them: a task that still runs when [`run`] returns is dropped
-//! with it. Most tasks run for as long as the process does. Two kinds end earlier. The tasks of a takeover
-//! and the one that waits for discovery end when their work is done. The client task ends once a graceful
-//! shutdown has closed the listener; it then ends the handover task, unless a successor accepts from the same
-//! queue. No task returns an error: each logs its own and goes on. A panic ends only the task that it occurs
-//! in.
+//! All tasks run on one [`LocalSet`], which owns them: a task that is still running when [`run`] returns is
+//! dropped with the set. Most tasks run as long as the process, with these exceptions:
+//!
+//! - The tasks that follow a predecessor and the task that waits for discovery end when their work is done.
+//! - The client task ends when a graceful shutdown has closed the listener. The client task then stops the
+//!   handover task, unless a successor accepts from the same accept queue.
+//!
+//! No task returns an error: each task logs its errors and continues. A panic ends only the task in which it
+//! occurs.
 
 use std::io;
 use std::time::Duration;
@@ -28,7 +31,7 @@
 use tokio::time::Instant;
 
 use crate::cli::ServeOptions;
-use crate::components::{client_options, ClientTasks, Components};
+use crate::components::{client_options, ClientTaskOptions, Components};
 use crate::config_files::LoadError;
 use crate::listeners::{ListenError, Listeners, StateFiles};
 use crate::logger;
@@ -36,49 +39,50 @@
 use crate::signals::{SignalRequest, Signals};
 use crate::socket_budget::{SocketBudget, SocketBudgetError};
 
-/// Time after the start at which a process is ready without an update from discovery.
+/// Longest time after the process start to wait for an update from discovery. After it, the process reports
+/// ready or takes over from its predecessor with the endpoint list that it has.
 const MAX_DISCOVERY_WAIT: Duration = Duration::from_millis(4500);
-/// Share of the memory limit that is for buffers; the rest is for the program and its state.
+/// Share of the memory limit that buffers may use. The rest is for the program and its state.
 const BUFFER_SHARE: f64 = 0.7;
 const BYTES_PER_MEGABYTE: f64 = 1e6;
 
-/// Why a process could not start.
+/// Reason why a proxy process could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// There is no asynchronous runtime.
-    #[error("cannot create the runtime: {0}")]
+    /// The asynchronous runtime cannot be created.
+    #[error("cannot create the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
-    /// There are no signal handlers.
+    /// A signal handler cannot be installed.
     #[error("cannot install signal handlers: {0}")]
     Signals(#[source] io::Error),
-    /// The files cannot be used.
+    /// The configuration file or the operators' file cannot be loaded.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// A value of the configuration cannot be used.
+    /// A value in the configuration file is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The process has too few descriptors.
+    /// The process cannot get enough file descriptors.
     #[error(transparent)]
     Sockets(#[from] SocketBudgetError),
-    /// A listener cannot be opened.
+    /// A listener cannot be opened or used.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The engine refuses the settings.
-    #[error("settings: {0}")]
+    /// The routing engine rejects the settings.
+    #[error("invalid settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
-/// Runs a proxy process until it has shut down.
+/// Runs the proxy until a signal has shut it down.
 ///
 /// # Errors
 ///
-/// Where the process cannot start.
+/// Returns an error if the process cannot start.
 pub fn run(options: &ServeOptions, log_level: LevelFilter) -> Result<(), StartError> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)?;
     let result = LocalSet::new().block_on(&runtime, async {
-        // A signal that arrives while the configuration is read must not end the process, so handlers come
-        // first.
+        // The handlers are installed first: a signal that arrives while the configuration is read must not
+        // terminate the process.
         let signals = Signals::install().map_err(StartError::Signals)?;
         let loaded = options.files.load()?;
         logger::install(&loaded.config.name, log_level);
@@ -109,7 +113,7 @@
     }
 }
 
-/// Starts all components and tasks. Returns what a reload and a shutdown need of them.
+/// Starts all components and tasks. Returns the reloader, which also holds the handles that a shutdown needs.
 async fn start(options: &ServeOptions, loaded: LoadedConfig) -> Result<Reloader<'_>, StartError> {
     let LoadedConfig { mut config, settings, connections } = loaded;
     let resources = Resources::reserve(&config)?;
@@ -127,8 +131,8 @@
         DriverParts::new(settings, resources.seed, resources.clock)?;
     let components = Components::new(driver, connections.names, client_options, &resources, &state_files);
     components.admin.sync_file();
-    // The predecessor's endpoint list comes from discovery, the configuration's from some earlier time.
-    let cached_endpoints = listeners.origin.take_endpoint_list().or(config.cached_endpoints.take());
+    // The predecessor's endpoint list comes from discovery; the list in the configuration is older.
+    let cached_endpoints = listeners.startup.take_endpoint_list().or(config.cached_endpoints.take());
     components.apply_cached_endpoints(cached_endpoints);
 
     let driver = components.driver.clone();
@@ -139,10 +143,10 @@
     driver.step();
     components.spawn_admin_tasks(listeners.admin, resources.buffers.clone())?;
     spawn_local(async move { driver.run().await });
-    components.spawn_client_tasks(ClientTasks {
+    components.spawn_client_tasks(ClientTaskOptions {
         listener: listeners.clients,
         address: listeners.clients_address,
-        origin: listeners.origin,
+        startup: listeners.startup,
         handover_path: state_files.handover_socket(),
         hello,
         buffers: resources.buffers,
@@ -152,12 +156,13 @@
     Ok(Reloader { files: &options.files, current: config, discovery_address, clients, driver, registry })
 }
 
-/// What a process needs before it opens any listener.
+/// Resources that a process reserves before it opens a listener.
 pub struct Resources {
     pub clock: Clock,
+    /// Time at which the process started.
     pub started_at: Instant,
     pub buffers: BufferPool,
-    /// Seed of the engine's random numbers.
+    /// Seed of the routing engine's random number generator.
     pub seed: u64,
     pub sockets: SocketBudget,
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: subcommands, flags and the environment variables that stand in for flags.
+//! The command line: subcommands, options, and the environment variables that set options.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,7 +8,7 @@
 
 use crate::config_files::ConfigFiles;
 
-/// The command line.
+/// Arguments of the `pipittack` program.
 #[derive(Parser)]
 #[command(name = "pipittack", version, about)]
 pub struct Cli {
@@ -16,18 +16,18 @@
     pub command: Command,
 }
 
-/// The subcommands.
+/// Subcommands of the `pipittack` program.
 #[derive(Subcommand)]
 pub enum Command {
     /// Run the proxy
     Serve {
         #[command(flatten)]
         options: ServeOptions,
-        /// The least severe level that is logged
+        /// Least severe level to log: off, error, warn, info, debug or trace
         #[arg(long, env = "GW_LOG", default_value_t = LevelFilter::Info)]
         log_level: LevelFilter,
     },
-    /// Read and check a configuration without serving it
+    /// Check the configuration files without serving
     CheckConfig {
         #[command(flatten)]
         files: ConfigFiles,
@@ -36,16 +36,16 @@
     Version,
 }
 
-/// What a proxy process is started with.
+/// Options of the `serve` subcommand.
 #[derive(Args)]
 pub struct ServeOptions {
     #[command(flatten)]
     pub files: ConfigFiles,
-    /// Address of the admin API, in place of `ops` in the configuration
+    /// Address of the admin API; overrides `ops` in the configuration file
     #[arg(long = "ops", env = "GW_OPS", value_name = "ADDRESS")]
     pub admin_address: Option<SocketAddr>,
-    /// Directory for hot restarts and for the list of servers that are out of service; without it, neither
-    /// works across processes
+    /// Directory for the hot restart sockets and the list of servers that are out of service; without it,
+    /// hot restart is disabled and the list is lost when the process exits
     #[arg(long, env = "TMPDIR", value_name = "DIR")]
     pub state_dir: Option<PathBuf>,
 }
--- a/src/components.rs
+++ b/src/components.rs
@@ -1,6 +1,6 @@
-//! The proxy's components, and the tasks around them: the admin API, hot restart and client intake.
+//! The components of a proxy process, and the tasks for the admin API, hot restart and clients.
 //!
-//! [`crate::bootstrap`] says who owns the tasks and when each ends.
+//! [`crate::bootstrap`] describes which tasks there are, and when each of them ends.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -24,10 +24,10 @@
 use tokio::time::{timeout_at, Instant};
 
 use crate::bootstrap::Resources;
-use crate::listeners::{ListenError, Origin, StateFiles};
+use crate::listeners::{ListenError, Startup, StateFiles};
 use crate::socket_budget::SocketBudget;
 
-/// Handles to the components of one process.
+/// Handles to the components of a proxy process.
 pub struct Components {
     pub driver: PgDriver,
     pub registry: SharedEndpointRegistry,
@@ -35,20 +35,22 @@
     pub admin: Rc<AdminApi>,
 }
 
-/// What the tasks that serve clients start with.
-pub struct ClientTasks {
+/// Options of the tasks that serve clients.
+pub struct ClientTaskOptions {
+    /// Listener for clients.
     pub listener: TcpListener,
+    /// Address of the listener, for the log.
     pub address: SocketAddr,
-    pub origin: Origin,
-    /// Where to wait for a successor, if anywhere.
+    pub startup: Startup,
+    /// Path of the Unix socket on which to wait for a successor; `None` disables hot restart.
     pub handover_path: Option<PathBuf>,
     pub hello: Hello,
     pub buffers: BufferPool,
-    /// When the process is ready even without an update from discovery.
+    /// Time at which the process stops waiting for an update from discovery.
     pub ready_by: Instant,
 }
 
-/// The client side's options under these settings and this budget.
+/// Returns the client side's options for the given settings and socket budget.
 pub fn client_options(settings: &Settings, names: &NameTable, sockets: SocketBudget) -> ClientOptions {
     ClientOptions {
         max_clients: sockets.max_clients(),
@@ -65,7 +67,7 @@
 }
 
 impl Components {
-    /// Creates the components around an engine driver, without any task.
+    /// Creates the components for an engine driver. Spawns no task.
     pub fn new(
         driver: PgDriver,
         names: NameTable,
@@ -85,18 +87,19 @@
         Self { driver, registry, clients, admin }
     }
 
-    /// Has the engine start with an endpoint list from before this process.
+    /// Passes an endpoint list that an earlier process received to the routing engine.
     pub fn apply_cached_endpoints(&self, list: Option<EndpointList>) {
         let Some(list) = list else { return };
         let applied = self.registry.borrow_mut().apply_cached(list);
         self.driver.endpoints_updated(applied.update, applied.addresses);
     }
 
-    /// Spawns the task that follows the out-of-service list and, with a listener, the admin API.
+    /// Spawns the task that follows the file of the servers out of service. If there is a listener, also
+    /// spawns the task of the admin API.
     ///
     /// # Errors
     ///
-    /// Where the listener has no address.
+    /// Returns an error if the listener's address cannot be read.
     pub fn spawn_admin_tasks(
         &self,
         listener: Option<TcpListener>,
@@ -112,28 +115,28 @@
         Ok(())
     }
 
-    /// Spawns the handover task, if there is a path for it, and then the client task.
+    /// Spawns the handover task, if hot restart is enabled, and then the client task.
     ///
     /// # Errors
     ///
-    /// Where the listener cannot be duplicated for a successor.
-    pub fn spawn_client_tasks(&self, start: ClientTasks) -> Result<(), ListenError> {
+    /// Returns an error if the listener cannot be duplicated for a successor.
+    pub fn spawn_client_tasks(&self, options: ClientTaskOptions) -> Result<(), ListenError> {
         let shared = Rc::new(SharedResources {
             clients: self.clients.clone(),
             driver: self.driver.clone(),
-            pool: start.buffers,
+            pool: options.buffers,
             registry: self.registry.clone(),
         });
-        let handover_task = match start.handover_path {
-            Some(path) => Some(spawn_handover_task(path, start.hello, &start.listener, shared.clone())?),
+        let handover_task = match options.handover_path {
+            Some(path) => Some(spawn_handover_task(path, options.hello, &options.listener, shared.clone())?),
             None => None,
         };
         let clients = self.clients.clone();
-        let intake = ClientIntake { admin: self.admin.clone(), shared, ready_by: start.ready_by };
+        let sequence = StartupSequence { admin: self.admin.clone(), shared, ready_by: options.ready_by };
         spawn_local(async move {
-            intake.begin(start.origin).await;
-            log::info!("serving at {}", start.address);
-            clients.run(start.listener, handover_task).await;
+            sequence.run(options.startup).await;
+            log::info!("serving at {}", options.address);
+            clients.run(options.listener, handover_task).await;
         });
         Ok(())
     }
@@ -149,27 +152,29 @@
     Ok(spawn_local(handover::run(path, hello, listener, shared)))
 }
 
-/// What happens before the first client is accepted.
-struct ClientIntake {
+/// Steps of a start before the first client is accepted.
+struct StartupSequence {
     admin: Rc<AdminApi>,
     shared: Rc<SharedResources>,
+    /// Time at which the process stops waiting for an update from discovery.
     ready_by: Instant,
 }
 
-impl ClientIntake {
-    async fn begin(self, origin: Origin) {
-        match origin {
-            Origin::Successor(predecessor) => self.take_over(predecessor).await,
-            Origin::Parallel(stream) => {
+impl StartupSequence {
+    async fn run(self, startup: Startup) {
+        match startup {
+            Startup::Handover(predecessor) => self.take_over(predecessor).await,
+            Startup::Parallel(stream) => {
                 let shared = self.shared.clone();
                 spawn_local(async move { shared.serve_until_gone(stream).await });
                 self.spawn_readiness_task();
             }
-            Origin::Fresh => self.spawn_readiness_task(),
+            Startup::Fresh => self.spawn_readiness_task(),
         }
     }
 
-    /// Leaves the predecessor to serve until this process can do so itself.
+    /// Waits for an update from discovery while the predecessor still serves, until `ready_by` at the latest.
+    /// Then takes over from the predecessor.
     async fn take_over(self, mut predecessor: Predecessor) {
         let Self { admin, shared, ready_by } = self;
         predecessor.connect_peer(&shared);
@@ -179,6 +184,7 @@
         spawn_local(async move { predecessor.receive_clients(&shared).await });
     }
 
+    /// Spawns a task that reports the process ready after an update from discovery, or at `ready_by`.
     fn spawn_readiness_task(self) {
         spawn_local(async move {
             let _ = timeout_at(self.ready_by, self.admin.wait_for_endpoints()).await;
--- a/src/config_files.rs
+++ b/src/config_files.rs
@@ -1,6 +1,6 @@
-//! The files that a process is configured by: the configuration file and the operators' file.
+//! Loads the configuration file and the operators' file.
 //!
-//! Both are read before either takes effect. The errors of both are reported together.
+//! Both files are read before either takes effect, and errors in both are reported together.
 
 use std::io;
 use std::path::PathBuf;
@@ -10,57 +10,57 @@
 use pipittack::operator_settings::{OperatorSettings, OperatorSettingsFileError};
 use pipittack::settings::{Config, ConfigError, LoadedConfig};
 
-/// Paths of the files.
+/// Paths of the configuration file and the operators' file.
 #[derive(Args)]
 pub struct ConfigFiles {
-    /// The configuration file
+    /// Path of the configuration file (JSON)
     #[arg(long = "config", env = "GW_CONFIG", value_name = "FILE")]
     config: PathBuf,
-    /// The operators' settings, as S-expressions; without it, the defaults
+    /// Path of the operators' file (S-expressions); without it, its settings have their defaults
     #[arg(long, env = "GW_OPERATORS", value_name = "FILE")]
     operators: Option<PathBuf>,
 }
 
-/// A configuration file that cannot be used.
+/// Error in loading the configuration file.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
     /// The file cannot be read.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read {}: {source}", path.display())]
     Unreadable { path: PathBuf, source: io::Error },
-    /// Its content is not a valid configuration.
+    /// The file's content is not a valid configuration.
     #[error("{}: {source}", path.display())]
     Invalid { path: PathBuf, source: ConfigError },
 }
 
-/// Files that cannot be used together as a configuration.
+/// Error in loading the configuration file, the operators' file, or both.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// The configuration file has an error.
+    /// The configuration file cannot be loaded.
     #[error(transparent)]
     Config(#[from] ConfigFileError),
-    /// The operators' file has errors.
+    /// The operators' file cannot be loaded.
     #[error(transparent)]
     Operators(#[from] OperatorSettingsFileError),
-    /// Both files have errors.
+    /// Neither file can be loaded.
     #[error("{config}\n{operators}")]
     Both { config: ConfigFileError, operators: OperatorSettingsFileError },
 }
 
 impl ConfigFiles {
-    /// Loads the files for a process that starts.
+    /// Loads the files when the process starts.
     ///
     /// # Errors
     ///
-    /// Names the file and what is wrong in it, for each file with an error.
+    /// Returns an error that names each invalid file and describes the problem.
     pub fn load(&self) -> Result<LoadedConfig, LoadError> {
         self.load_with(Config::read)
     }
 
-    /// Loads the files to replace a configuration in force.
+    /// Loads the files to replace the current configuration.
     ///
     /// # Errors
     ///
-    /// As [`Self::load`], and where a key of the configuration in force is missing.
+    /// Returns an error as [`Self::load`] does, and if a key of the current configuration is missing.
     pub fn load_replacement(&self, current: &Config) -> Result<LoadedConfig, LoadError> {
         self.load_with(|text| current.read_replacement(text))
     }
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -1,52 +1,52 @@
-//! The endpoint list in the form of discovery and the configuration file.
+//! The JSON format of the endpoint list, as the discovery service and the configuration file have it.
 //!
-//! This is the one place that knows the names of the list's fields; they become the proxy's own terms here.
+//! Only this module knows the format's field names. The Rust fields have the proxy's own terms as names.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// A complete endpoint list, or the entries that changed.
+/// A complete endpoint list, or the entries of a list that have changed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndpointList {
     /// Revision of the list.
     #[serde(rename = "rev")]
     pub revision: u64,
-    /// Whether the list is complete.
+    /// Whether this is the complete list; `false` for changes.
     #[serde(default, rename = "all")]
     pub complete: bool,
-    /// The entries.
+    /// Entries of the list.
     #[serde(default, rename = "targets")]
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// An entry of the list. Fields with a default may be absent.
+/// Entry of an endpoint list: one data server. Optional fields and those with a default may be absent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedEndpoint {
-    /// The server's name: the same at every proxy and over restarts.
+    /// Name of the server, which is the same for all proxy instances and does not change at a restart.
     #[serde(rename = "uid")]
     pub name: String,
-    /// The address at which this proxy reaches the server.
+    /// Address at which this proxy instance connects to the server.
     #[serde(rename = "endpoint")]
     pub address: SocketAddr,
-    /// Its zone.
+    /// Name of the server's zone.
     #[serde(default, rename = "az")]
     pub zone: String,
-    /// The kind of its machine.
+    /// Name of the server's machine kind.
     #[serde(default, rename = "model")]
     pub machine_kind: String,
-    /// Its replica set.
+    /// Number of the server's replica set.
     #[serde(default, rename = "pod_group")]
     pub group: u64,
-    /// `Ready`, `Terminating` or `Gone`.
+    /// State of the server's process: `Ready`, `Terminating` or `Gone`.
     pub state: String,
-    /// Its capacity compared with the others'.
+    /// Capacity relative to the other servers; `None` means 1.
     #[serde(rename = "capacity_hint")]
     pub relative_capacity: Option<f64>,
-    /// When its process last started, in Unix milliseconds; 0 for long ago.
+    /// Unix time of the last start of the server's process, in milliseconds; 0 if it was long ago.
     #[serde(default, rename = "boot_ms")]
     pub started_unix_ms: f64,
-    /// `read-write` or `read-only`, where the list shows roles.
+    /// Role of the server, `read-write` or `read-only`; `None` if the list does not contain roles.
     #[serde(rename = "mode")]
     pub role: Option<String>,
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! A read/write splitting proxy for replicated database clusters.
 //!
-//! The routing engine, which makes all decisions, is in the package `pipittack-core` and re-exported here. The
-//! proxy around it is in [`net`].
+//! The routing engine, which makes all routing decisions, is in the package `pipittack-core` and re-exported
+//! here. The [`net`] module runs it on real sockets.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -12,7 +12,7 @@
 
 pub use pipittack_core::{api, ewma, RoutingEngine};
 
-/// The README's example, compiled as a test.
+/// Compiles the example in the README as a doc test.
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
 struct Readme;
--- a/src/listeners.rs
+++ b/src/listeners.rs
@@ -1,6 +1,6 @@
-//! The listeners that a process starts with: opened by itself, or taken over from a predecessor.
+//! The listeners of a process, which are opened at its start or taken over from the predecessor.
 //!
-//! Owns the names of the files in the state directory.
+//! Also defines the names of the files in the state directory.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,72 +12,73 @@
 use pipittack::settings::Config;
 use tokio::net::{TcpListener, UnixStream};
 
-/// A listener that cannot be opened or used.
+/// Error in opening or using a listener.
 #[derive(Debug, thiserror::Error)]
 pub enum ListenError {
-    /// An address cannot be bound.
+    /// A listener cannot be opened at the address.
     #[error("cannot listen at {address}: {source}")]
     Bind { address: SocketAddr, source: io::Error },
-    /// A listener that is open cannot be used.
+    /// An open listener cannot be duplicated, or its address cannot be read.
     #[error("cannot use a listener: {0}")]
     Unusable(#[source] io::Error),
 }
 
-/// How a process comes to serve.
-pub enum Origin {
+/// How a process starts to serve.
+pub enum Startup {
     /// No other process of this proxy runs.
     Fresh,
-    /// It replaces a process that hands over its listener and its clients.
-    Successor(Predecessor),
-    /// It serves beside a process that does not hand over. That one has ended when the stream does, if there
-    /// is one.
+    /// The process replaces a predecessor, which hands over its listener and its clients.
+    Handover(Predecessor),
+    /// The process serves in parallel with a predecessor that did not hand over its listener. The stream, if
+    /// there is one, closes when the predecessor exits.
     Parallel(Option<UnixStream>),
 }
 
-impl Origin {
-    /// The predecessor's endpoint list, once.
+impl Startup {
+    /// Takes the predecessor's endpoint list. Returns `None` if there is none, or if it was taken before.
     pub fn take_endpoint_list(&mut self) -> Option<EndpointList> {
         match self {
-            Self::Successor(predecessor) => predecessor.state.as_mut()?.endpoint_list.take(),
+            Self::Handover(predecessor) => predecessor.state.as_mut()?.endpoint_list.take(),
             Self::Fresh | Self::Parallel(_) => None,
         }
     }
 }
 
-/// The listeners of a process that starts.
+/// Listeners of a process that starts.
 pub struct Listeners {
     pub clients: TcpListener,
     pub clients_address: SocketAddr,
+    /// Listener of the admin API; `None` if no address is configured.
     pub admin: Option<TcpListener>,
-    pub origin: Origin,
+    pub startup: Startup,
 }
 
 impl Listeners {
-    /// Asks a predecessor for the client listener, or else opens it; then opens the admin API's.
-    /// `admin_address` takes precedence over the configuration's.
+    /// Takes over the client listener from the predecessor, or opens it if there is none to take over. Then
+    /// opens the listener of the admin API, at `admin_address` or else at the address in the configuration.
     ///
     /// # Errors
     ///
-    /// Where an address cannot be bound. A predecessor that fails is no error.
+    /// Returns an error if a listener cannot be opened or used. A failed handover is not an error.
     pub async fn open(
         config: &Config,
         admin_address: Option<SocketAddr>,
         state_files: &StateFiles,
         hello: &Hello,
     ) -> Result<Self, ListenError> {
-        let (clients, origin) = match state_files.find_predecessor(hello).await {
-            PredecessorStatus::HandsOver(listener, predecessor) => (listener, Origin::Successor(predecessor)),
+        let (clients, startup) = match state_files.find_predecessor(hello).await {
+            PredecessorStatus::HandsOver(listener, predecessor) => (listener, Startup::Handover(predecessor)),
             PredecessorStatus::Unresponsive(stream) => {
-                (bind_clients(config.listen)?, Origin::Parallel(stream))
+                (bind_clients(config.listen)?, Startup::Parallel(stream))
             }
-            PredecessorStatus::NotRunning => (bind_clients(config.listen)?, Origin::Fresh),
+            PredecessorStatus::NotRunning => (bind_clients(config.listen)?, Startup::Fresh),
         };
         let admin = match admin_address.or(config.admin) {
             Some(address) => Some(bind_admin(address).await?),
             None => None,
         };
         let clients_address = clients.local_addr().map_err(ListenError::Unusable)?;
-        Ok(Self { clients, clients_address, admin, origin })
+        Ok(Self { clients, clients_address, admin, startup })
     }
 }
 
@@ -89,32 +90,32 @@
     admin::listen(address).await.map_err(|source| ListenError::Bind { address, source })
 }
 
-/// Paths in the state directory; without a directory there are none.
+/// Paths of the files in the state directory. Without a directory, every path is `None`.
 pub struct StateFiles {
     dir: Option<PathBuf>,
-    /// What the file names start with. Other proxies may use the same directory, so it holds the name and the
-    /// address.
+    /// Prefix of the file names. It contains the proxy's name and listen address, because other proxies may
+    /// use the same directory.
     prefix: String,
 }
 
 impl StateFiles {
-    /// The files of the proxy with this configuration.
+    /// Creates the paths for the proxy with the given configuration.
     pub fn new(dir: Option<&Path>, config: &Config) -> Self {
         let prefix = format!("pipittack-{}-{}", config.name, config.listen);
         Self { dir: dir.map(Path::to_owned), prefix }
     }
 
-    /// The socket at which a process waits for its successor.
+    /// Returns the path of the Unix socket on which a process waits for its successor.
     pub fn handover_socket(&self) -> Option<PathBuf> {
         self.path("2.sock")
     }
 
-    /// The same socket of builds before the present format.
-    fn early_handover_socket(&self) -> Option<PathBuf> {
+    /// Returns the path of the same socket in builds before 0.2, which use an older handover format.
+    fn legacy_handover_socket(&self) -> Option<PathBuf> {
         self.path("sock")
     }
 
-    /// The file that lists the servers that are out of service.
+    /// Returns the path of the file that lists the servers out of service.
     pub fn out_of_service_list(&self) -> Option<PathBuf> {
         self.path("json")
     }
@@ -124,8 +125,8 @@
     }
 
     async fn find_predecessor(&self, hello: &Hello) -> PredecessorStatus {
-        match (self.handover_socket(), self.early_handover_socket()) {
-            (Some(path), Some(early_path)) => frame::inherit(&path, &early_path, hello).await,
+        match (self.handover_socket(), self.legacy_handover_socket()) {
+            (Some(path), Some(legacy_path)) => frame::inherit(&path, &legacy_path, hello).await,
             _ => PredecessorStatus::NotRunning,
         }
     }
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,8 +1,8 @@
-//! The log: one line per record on standard error, for the `log` crate.
+//! Logger for the `log` crate that writes one line per record to standard error.
 //!
-//! A line has the Unix time in seconds, the level, the proxy's name, the last part of the module path, and
-//! the text. A thread of its own writes the lines. When standard error blocks and the queue is full, lines
-//! are dropped; a caller never waits.
+//! A line consists of the Unix time in seconds, the level, the proxy's name, the component and the text. A
+//! separate thread writes the lines, so that logging never blocks the caller. Lines are dropped while the
+//! queue to this thread is full, which happens if standard error blocks.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{sync_channel, Receiver, SyncSender};
@@ -13,14 +13,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Largest number of lines that wait to be written.
+/// Largest number of lines in the queue to the writer thread.
 const MAX_QUEUED_LINES: usize = 1024;
-/// How long a flush waits until they are written.
+/// Longest time that a flush waits until the queued lines are written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(100);
 
 enum Message {
     Line(String),
-    /// Reply once all lines before it are written.
+    /// Request for a reply once all lines queued before it are written.
     Flush(SyncSender<()>),
 }
 
@@ -30,7 +30,8 @@
 }
 
 impl Logger {
-    /// A logger whose lines are written to `output` by a thread, which ends with the logger.
+    /// Creates a logger, and a thread that writes its lines to `output`. The thread ends when the logger is
+    /// dropped.
     fn new(name: &str, output: impl Write + Send + 'static) -> Self {
         let (messages, queue) = sync_channel(MAX_QUEUED_LINES);
         std::thread::spawn(move || write_messages(queue, output));
@@ -41,7 +42,7 @@
 fn write_messages(queue: Receiver<Message>, mut output: impl Write) {
     for message in queue {
         match message {
-            // There is nowhere to report a failed write.
+            // A failed write is ignored: there is no other place to report it.
             Message::Line(line) => drop(output.write_all(line.as_bytes())),
             Message::Flush(done) => drop(done.try_send(())),
         }
@@ -68,20 +69,21 @@
     }
 }
 
-/// A record as one line; control characters in its text become spaces.
+/// Formats a record as one line. Replaces control characters in its text by spaces.
 fn format_line(now: SystemTime, name: &str, record: &Record<'_>) -> String {
-    let unix = now.duration_since(UNIX_EPOCH).unwrap_or_default();
+    let unix_time = now.duration_since(UNIX_EPOCH).unwrap_or_default();
     let component = component(record.target());
     let text = record.args().to_string().replace(|c: char| c.is_control(), " ");
     format!(
         "{}.{:03} {:5} {name} {component}: {text}\n",
-        unix.as_secs(),
-        unix.subsec_millis(),
+        unix_time.as_secs(),
+        unix_time.subsec_millis(),
         record.level()
     )
 }
 
-/// The part of the proxy that a module path belongs to: the module below `net`, else the crate.
+/// Returns the component that a module path belongs to: the name of the module below `net`, or else the name
+/// of the crate.
 fn component(module_path: &str) -> &str {
     let mut segments = module_path.split("::");
     let crate_name = segments.next().unwrap_or_default();
@@ -91,7 +93,7 @@
     }
 }
 
-/// Installs the logger of this process. A second call changes nothing.
+/// Installs the logger of this process. Has no effect if a logger is already installed.
 pub fn install(name: &str, level: LevelFilter) {
     if log::set_boxed_logger(Box::new(Logger::new(name, io::stderr()))).is_ok() {
         log::set_max_level(level);
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,5 +1,4 @@
-//! The proxy's program: runs the subcommand that the command line names and turns its result into an exit
-//! code.
+//! The `pipittack` program: runs the subcommand on the command line. The exit code is non-zero if it fails.
 
 mod bootstrap;
 mod cli;
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -1,7 +1,7 @@
-//! Configuration reload: on SIGHUP the files are read again, and all of them take effect or nothing does.
+//! Configuration reload on SIGHUP. Either all files take effect, or nothing changes.
 //!
-//! Owns the configuration in force. The listener, the admin API's address, the resource limits, the name and
-//! the seed are read as well, but take effect only when a process starts.
+//! [`Reloader`] owns the current configuration. The listen address, the admin API's address, the resource
+//! limits, the name and the seed are also read, but take effect only when a process starts.
 
 use std::net::SocketAddr;
 
@@ -15,19 +15,19 @@
 
 use crate::config_files::{ConfigFiles, LoadError};
 
-/// Why a reload changed nothing.
+/// Reason why a reload changed nothing.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// The files cannot replace the configuration in force.
+    /// The files cannot be loaded, or lack a key of the current configuration.
     #[error("configuration unchanged: {0}")]
     Load(#[from] LoadError),
 }
 
-/// The configuration in force and the components that follow it.
+/// The current configuration and the components that a reload updates.
 pub struct Reloader<'f> {
     pub files: &'f ConfigFiles,
     pub current: Config,
-    /// Tells the discovery task where the discovery service is.
+    /// Sends the address of the discovery service to the discovery task.
     pub discovery_address: watch::Sender<SocketAddr>,
     pub clients: ClientService,
     pub driver: PgDriver,
@@ -35,19 +35,19 @@
 }
 
 impl Reloader<'_> {
-    /// Reads the files and applies them.
+    /// Loads the files and applies their settings.
     ///
     /// # Errors
     ///
-    /// Where a file cannot be used; the configuration in force then stays as it is.
+    /// Returns an error if a file cannot be loaded. The current configuration is unchanged in that case.
     pub fn reload(&mut self) -> Result<(), ReloadError> {
         let LoadedConfig { config, settings, connections } = self.files.load_replacement(&self.current)?;
         let same_address = config.discovery == self.current.discovery;
         log::info!(
-            "configuration reloaded: {} classes, {} attempts; discovery is {} at {}",
+            "configuration reloaded: {} classes, at most {} attempts, discovery address {}: {}",
             settings.classes.len(),
             settings.limits.max_attempts,
-            if same_address { "still" } else { "now" },
+            if same_address { "unchanged" } else { "changed" },
             config.discovery
         );
         self.current = config;
@@ -57,12 +57,13 @@
     }
 
     fn update_discovery_address(&self) {
-        let new = self.current.discovery;
-        self.discovery_address.send_if_modified(|address| std::mem::replace(address, new) != new);
+        let new_address = self.current.discovery;
+        self.discovery_address
+            .send_if_modified(|address| std::mem::replace(address, new_address) != new_address);
     }
 
     fn apply(&self, mut settings: Settings, connections: ConnectionSettings) {
-        // The registry's zones keep their numbers.
+        // The registry keeps its zone ids across reloads, so the zone's id is looked up there by name.
         let zone_name = connections.names.zone_name(settings.zone).unwrap_or_default();
         settings.zone = self.registry.borrow_mut().zone(zone_name);
         let command = ServerCommand::Reconfigure(Box::new(settings.clone()), connections.server_idle_timeout);
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,19 +1,20 @@
-//! The signals that a process handles: SIGTERM and SIGINT shut it down, SIGHUP reloads its configuration.
+//! Signal handling: SIGTERM and SIGINT start a graceful shutdown, SIGHUP reloads the configuration.
 
 use std::io;
 
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// What a signal asks for.
+/// Operation that a signal requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SignalRequest {
-    /// A graceful shutdown.
+    /// A graceful shutdown (SIGTERM or SIGINT).
     ShutDown,
-    /// A reload of the configuration.
+    /// A reload of the configuration (SIGHUP).
     Reload,
 }
 
-/// The installed signal handlers. From [`Self::install`] on, a signal no longer ends the process by itself.
+/// The installed signal handlers. After [`Self::install`], these signals no longer terminate the process by
+/// default.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -25,7 +26,7 @@
     ///
     /// # Errors
     ///
-    /// Where the system refuses one of them.
+    /// Returns an error if the system rejects a handler.
     pub fn install() -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -34,7 +35,7 @@
         })
     }
 
-    /// Waits for the next signal. Signals that arrived since the last call are not lost.
+    /// Waits for the next signal. A signal that arrives between two calls is not lost.
     pub async fn next(&mut self) -> SignalRequest {
         tokio::select! {
             _ = self.terminate.recv() => SignalRequest::ShutDown,
--- a/src/socket_budget.rs
+++ b/src/socket_budget.rs
@@ -1,47 +1,47 @@
-//! How the sockets that a process may open are divided between clients and data servers.
+//! Division of the sockets that a process may open between clients and data servers.
 
 use std::io;
 
 use pipittack::settings::MIN_SOCKETS;
 
-/// Descriptors for everything that is neither a client nor a data server: standard streams, listeners,
-/// discovery, the runtime's own, and clients that are rejected.
+/// File descriptors that are reserved for all other uses: standard streams, listeners, discovery, the
+/// asynchronous runtime, and clients that are rejected.
 const RESERVED_DESCRIPTORS: usize = 28;
-/// The clients' shares of the sockets. Data servers have those that clients do not use.
+/// Shares of the sockets that clients may use. Data servers get the sockets that clients do not use.
 const CLIENT_SHARES: SocketShares = SocketShares { usual: 0.55, max: 0.86 };
 
-/// Shares of the sockets, from 0 to 1.
+/// Shares of the sockets for clients, from 0 to 1.
 struct SocketShares {
-    /// Share without any competition.
+    /// Share that is reserved for clients.
     usual: f64,
-    /// Largest share, where more clients connect than that.
+    /// Largest share, with the sockets that clients may take from data servers.
     max: f64,
 }
 
-/// Why a process has too few descriptors.
+/// Reason why a process cannot get enough file descriptors.
 #[derive(Debug, thiserror::Error)]
 pub enum SocketBudgetError {
-    /// The limit on descriptors cannot be changed.
-    #[error("cannot raise the limit on descriptors: {0}")]
+    /// The limit on open file descriptors cannot be raised.
+    #[error("cannot raise the limit on open file descriptors: {0}")]
     RaiseLimit(#[source] io::Error),
     /// The system's limit is too low.
-    #[error("the system grants {granted} descriptors, and {MIN_SOCKETS} are needed")]
+    #[error("the limit on open file descriptors is {granted}, at least {MIN_SOCKETS} are required")]
     TooFew { granted: usize },
 }
 
-/// The sockets for clients and data servers.
+/// Number of sockets for clients and data servers, and its division between them.
 #[derive(Debug, Clone, Copy)]
 pub struct SocketBudget {
     total: usize,
 }
 
 impl SocketBudget {
-    /// Raises the process's limit on descriptors towards the configured number, and budgets what it then has,
-    /// less a reserve.
+    /// Raises the process's limit on open file descriptors to `configured`, or as far as the system allows.
+    /// The budget is the resulting number, less the reserved descriptors.
     ///
     /// # Errors
     ///
-    /// Where the limit cannot be changed, or is below [`MIN_SOCKETS`].
+    /// Returns an error if the limit cannot be raised, or if the resulting number is below [`MIN_SOCKETS`].
     pub fn acquire(configured: usize) -> Result<Self, SocketBudgetError> {
         let limit =
             rlimit::increase_nofile_limit(configured as u64).map_err(SocketBudgetError::RaiseLimit)?;
@@ -52,27 +52,28 @@
         Ok(Self { total: granted - RESERVED_DESCRIPTORS })
     }
 
-    /// Sockets for clients and data servers together.
+    /// Returns the number of sockets for clients and data servers together.
     pub fn total(self) -> usize {
         self.total
     }
 
-    /// Clients beyond whom each further one takes a socket from the data servers.
+    /// Returns the number of clients whose sockets are reserved. Each further client takes a socket from the
+    /// data servers.
     pub fn usual_clients(self) -> usize {
-        self.part(CLIENT_SHARES.usual)
+        self.fraction_of_total(CLIENT_SHARES.usual)
     }
 
-    /// Largest number of clients.
+    /// Returns the largest number of clients.
     pub fn max_clients(self) -> usize {
-        self.part(CLIENT_SHARES.max)
+        self.fraction_of_total(CLIENT_SHARES.max)
     }
 
-    /// Largest number of sockets to data servers.
+    /// Returns the largest number of sockets to data servers.
     pub fn max_server_sockets(self) -> usize {
         self.total - self.usual_clients()
     }
 
-    fn part(self, share: f64) -> usize {
+    fn fraction_of_total(self, share: f64) -> usize {
         (self.total as f64 * share) as usize
     }
 }
