--- a/src/bin/simulator-adapter/event.rs
+++ b/src/bin/simulator-adapter/event.rs
@@ -4,7 +4,7 @@
     AttemptEnded, AttemptNumber, Event, GroupId, LoadReport, Outcome, Request, RequestId, ServerId,
     ServerStatus, TenantId, TimerId,
 };
-use pipittack::settings::{millis, ConnectionSettings};
+use pipittack::settings::{duration_from_millis, ConnectionSettings};
 use serde_json::Value;
 
 use crate::error::ParseError;
@@ -57,7 +57,7 @@
         time_left: fields.duration(2, "TimeLeftMs")?,
         is_retry: marks & MARK_RETRY != 0,
         statement_bytes: 0,
-        expected_work: cost.map(|ms| millis(ms, "CostMs")).transpose()?,
+        expected_work: cost.map(|ms| duration_from_millis(ms, "CostMs")).transpose()?,
         session: fields.optional_text(7).map(str::to_owned),
         last_write_age,
     })
@@ -114,7 +114,7 @@
     let encoded = fields.integer(7, "Stand")?;
     let position = match encoded / 4 {
         0 => None,
-        ms => Some(millis(connections.zero_ms + ms as f64, "Stand")?),
+        ms => Some(duration_from_millis(connections.position_base_ms + ms as f64, "Stand")?),
     };
     let primary = match encoded % 4 {
         1 => Some(true),
@@ -139,8 +139,8 @@
         let Some(value) = row.optional_number(index, column)? else { continue };
         match column.as_str() {
             "x0" => {
-                let position = connections.zero_ms + value * MILLIS_PER_SECOND;
-                report.position = Some(millis(position, "x0")?);
+                let position = connections.position_base_ms + value * MILLIS_PER_SECOND;
+                report.position = Some(duration_from_millis(position, "x0")?);
             }
             "x1" => report.primary = Some(value == 1.0),
             "busy_reqs" => report.in_flight = Some(value),
--- a/src/bin/simulator-adapter/fields.rs
+++ b/src/bin/simulator-adapter/fields.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use pipittack::settings::millis;
+use pipittack::settings::duration_from_millis;
 use serde_json::Value;
 
 use crate::error::ParseError;
@@ -59,7 +59,7 @@
 
     /// A number of milliseconds.
     pub fn duration(self, index: usize, field: &'static str) -> Result<Duration, ParseError> {
-        Ok(millis(self.number(index, field)?, field)?)
+        Ok(duration_from_millis(self.number(index, field)?, field)?)
     }
 
     /// A number of milliseconds; zero and less count as absent.
@@ -69,7 +69,7 @@
         field: &'static str,
     ) -> Result<Option<Duration>, ParseError> {
         match self.optional_number(index, field)?.filter(|ms| *ms > 0.0) {
-            Some(ms) => Ok(Some(millis(ms, field)?)),
+            Some(ms) => Ok(Some(duration_from_millis(ms, field)?)),
             None => Ok(None),
         }
     }
--- a/src/operator_settings/error.rs
+++ b/src/operator_settings/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong in the operators' file.
+//! Errors in the operators' file.
 
 use std::fmt;
 use std::io;
@@ -6,28 +6,28 @@
 
 use pipittack_core::api::InvalidFailoverSetting;
 
-/// An operators' file that cannot be used.
+/// Error in loading the operators' file.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorSettingsFileError {
     /// The file cannot be read.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read {}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why it cannot be read.
+        /// Error of the system call that failed.
         source: io::Error,
     },
-    /// Its content has problems.
+    /// The file's content is invalid.
     #[error(transparent)]
     Invalid(#[from] OperatorSettingsError),
 }
 
-/// All problems in a text, one per line.
+/// All problems in the text of an operators' file. The message has one line for each problem.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OperatorSettingsError {
-    /// The text's name in the report.
+    /// Name of the text in the message, such as its file path.
     pub name: String,
-    /// The problems, in the order of the text.
+    /// Problems, in the order in which the reader found them.
     pub problems: Vec<Problem>,
 }
 
@@ -46,37 +46,37 @@
     }
 }
 
-/// A problem at one place of a text.
+/// A problem and its position in the text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Where it is.
+    /// Position at which the problem begins.
     pub position: Position,
-    /// What it is.
+    /// Kind of the problem.
     pub kind: ProblemKind,
 }
 
-/// A place in a text.
+/// Position in a text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Position {
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// The column, from 1.
+    /// Column number, from 1.
     pub column: usize,
 }
 
-/// What is wrong at a place.
+/// Kind of a problem.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProblemKind {
     /// The text is not an S-expression.
     Syntax {
-        /// The parser's message.
+        /// Error message of the parser.
         message: String,
     },
-    /// An S-expression is not the expected one.
+    /// An S-expression differs from what the format requires.
     Unexpected {
-        /// What may be there.
+        /// Expression that the format requires at this position.
         expected: Expectation,
-        /// The start of what is there.
+        /// Text of the expression that was found, cut off after 40 characters.
         found: String,
     },
 }
@@ -90,27 +90,27 @@
     }
 }
 
-/// What may be at a place.
+/// Expression that the format requires at a position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Expectation {
-    /// A form that exists.
+    /// A form with a known name.
     KnownForm,
-    /// A form that has not occurred before.
-    FormOnce,
-    /// A setting: its name and a number.
+    /// A form that does not repeat an earlier form.
+    UniqueForm,
+    /// A setting, which is a list of a name and a number.
     Setting,
-    /// The name of a setting that exists.
+    /// A setting with a known name.
     KnownSetting,
-    /// A setting that has not occurred before.
-    SettingOnce,
-    /// One number after the name of a setting.
+    /// A setting that does not repeat an earlier setting.
+    UniqueSetting,
+    /// Exactly one number after the name of a setting.
     Number {
-        /// The setting's name.
+        /// Name of the setting.
         setting: String,
     },
-    /// A whole number of at least 1.
+    /// A whole number, at least 1.
     PositiveWholeNumber,
-    /// A value in the setting's range.
+    /// A value in the range of its setting.
     InRange(InvalidFailoverSetting),
 }
 
@@ -118,12 +118,12 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::KnownForm => f.write_str("(failover ...)"),
-            Self::FormOnce => f.write_str("each form once"),
+            Self::UniqueForm => f.write_str("each form once"),
             Self::Setting => f.write_str("(NAME NUMBER)"),
             Self::KnownSetting => {
                 f.write_str("hold-count, hold-bytes, hold-share, patience, refuse-under or hold-over")
             }
-            Self::SettingOnce => f.write_str("each name once"),
+            Self::UniqueSetting => f.write_str("each name once"),
             Self::Number { setting } => write!(f, "({setting} NUMBER)"),
             Self::PositiveWholeNumber => f.write_str("a whole number of 1 or more"),
             Self::InRange(invalid) => write!(f, "{} for {}", invalid.expected, invalid.name),
--- a/src/operator_settings/mod.rs
+++ b/src/operator_settings/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' settings file: S-expressions, one form for each subsystem.
+//! The operators' file: settings as S-expressions, with one form for each subsystem.
 //!
-//! The names of forms and settings are spelled here. A file with any problem has no effect, and all of its
+//! Only this module knows the names of forms and settings. A file with any problem has no effect. All of its
 //! problems are reported together, each with its position.
 
 mod error;
@@ -18,22 +18,22 @@
 };
 use self::form_reader::{Form, FormReader};
 
-/// Largest whole number that a setting may have; a floating-point number holds it exactly.
+/// Largest whole number that a setting may have. An `f64` represents whole numbers up to this one exactly.
 const MAX_WHOLE_NUMBER: f64 = 1e15;
 
-/// The content of an operators' file.
+/// Settings in an operators' file.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct OperatorSettings {
-    /// `(failover ...)`: changes of primary.
+    /// Settings of the form `(failover ...)`: detection of failovers and buffering of writes.
     pub failover: FailoverSettings,
 }
 
 impl OperatorSettings {
-    /// Reads a file; without one, the defaults.
+    /// Loads the file at `path`. Returns the defaults if there is no path.
     ///
     /// # Errors
     ///
-    /// Where the file cannot be read or has problems.
+    /// Returns an error if the file cannot be read or is invalid.
     pub fn load(path: Option<&Path>) -> Result<Self, OperatorSettingsFileError> {
         let Some(path) = path else { return Ok(Self::default()) };
         let text = std::fs::read_to_string(path)
@@ -41,11 +41,11 @@
         Ok(Self::read(&path.display().to_string(), &text)?)
     }
 
-    /// Reads a text. `name` is the text's name in a report of problems.
+    /// Parses the text of an operators' file. `name` is the name of the text in error messages.
     ///
     /// # Errors
     ///
-    /// All problems in the text.
+    /// Returns an error that lists all problems in the text.
     pub fn read(name: &str, text: &str) -> Result<Self, OperatorSettingsError> {
         let mut reader = FormReader::default();
         let settings = read_forms(&mut reader, text);
@@ -59,7 +59,7 @@
 
 fn read_forms(reader: &mut FormReader, text: &str) -> OperatorSettings {
     let mut settings = OperatorSettings::default();
-    let mut seen: Vec<String> = Vec::new();
+    let mut seen_names: Vec<String> = Vec::new();
     let mut parser = Parser::from_str(text);
     loop {
         let datum = match parser.next_datum() {
@@ -71,11 +71,11 @@
             }
         };
         let Some(form) = reader.form(datum.as_ref(), Expectation::KnownForm) else { continue };
-        if seen.iter().any(|name| name == form.name) {
-            reader.report(form.datum, Expectation::FormOnce);
+        if seen_names.iter().any(|name| name == form.name) {
+            reader.report(form.datum, Expectation::UniqueForm);
             continue;
         }
-        seen.push(form.name.to_owned());
+        seen_names.push(form.name.to_owned());
         match form.name {
             "failover" => settings.failover = read_failover(reader, &form),
             _ => reader.report(form.datum, Expectation::KnownForm),
@@ -87,22 +87,23 @@
 fn read_failover(reader: &mut FormReader, form: &Form<'_>) -> FailoverSettings {
     let mut settings = FailoverSettings::default();
     let problems_before = reader.problems.len();
-    let mut seen: Vec<&str> = Vec::new();
+    let mut seen_names: Vec<&str> = Vec::new();
     for item in &form.items {
         let Some(setting) = reader.form(*item, Expectation::Setting) else { continue };
-        if seen.contains(&setting.name) {
-            reader.report(setting.datum, Expectation::SettingOnce);
+        if seen_names.contains(&setting.name) {
+            reader.report(setting.datum, Expectation::UniqueSetting);
             continue;
         }
         let Some(number) = reader.number(&setting) else { continue };
-        seen.push(setting.name);
-        if let Err(expected) = set_failover(&mut settings, setting.name, number) {
+        seen_names.push(setting.name);
+        if let Err(expected) = apply_setting(&mut settings, setting.name, number) {
             reader.report(setting.datum, expected);
         }
         let invalid = settings.validate().err().filter(|invalid| invalid.name == setting.name);
         if let Some(invalid) = invalid {
             reader.report(setting.datum, Expectation::InRange(invalid));
-            // An invalid value would hide the problems of settings that are validated after it.
+            // Resets the invalid value: `validate` returns only the first error, so the value would hide
+            // errors in other settings.
             settings = FailoverSettings::default();
         }
     }
@@ -114,7 +115,7 @@
     settings
 }
 
-fn set_failover(settings: &mut FailoverSettings, name: &str, number: f64) -> Result<(), Expectation> {
+fn apply_setting(settings: &mut FailoverSettings, name: &str, number: f64) -> Result<(), Expectation> {
     match name {
         "hold-count" => settings.max_buffered_writes = positive_whole_number(number)? as usize,
         "hold-bytes" => settings.max_buffered_bytes = positive_whole_number(number)?,
--- a/src/settings/classes.rs
+++ b/src/settings/classes.rs
@@ -1,12 +1,13 @@
-//! Request classes and tenants in the settings object.
+//! Reads the classes of requests and the tenants from the settings object.
 
 use serde_json::Value;
 
 use super::error::ConfigError;
-use super::reader::{millis, ObjectReader};
+use super::reader::{duration_from_millis, ObjectReader};
 use crate::api::{Class, Consistency, Idempotency, KeyScope, Tenant};
 
-/// The classes. What each requires of data is in the object `Domain`, in arrays by the class's index.
+/// Reads the classes of requests. The consistency of each class is in the object `Domain`, whose arrays are
+/// indexed by class.
 pub(super) fn read_classes(
     settings: ObjectReader<'_>,
     domain: ObjectReader<'_>,
@@ -26,26 +27,26 @@
         late_weight: class.number_or("LateValue", 0.0)?,
         idempotency,
         consistency,
-        streaming: class.flag("Stream")?,
+        streaming: class.boolean("Stream")?,
     })
 }
 
 fn read_idempotency(class: ObjectReader<'_>) -> Result<Idempotency, ConfigError> {
     let window = class.duration("WindowMs")?;
-    match class.word("Effect") {
+    match class.string("Effect") {
         "repeatable" => Ok(Idempotency::Idempotent),
         "once" => Ok(Idempotency::NonIdempotent),
         "by_key" => Ok(Idempotency::WithKey { scope: read_key_scope(class)?, window }),
-        other => Err(unknown_word("Effect", other)),
+        other => Err(unknown_value("Effect", other)),
     }
 }
 
 fn read_key_scope(class: ObjectReader<'_>) -> Result<KeyScope, ConfigError> {
-    match class.word("DedupScope") {
+    match class.string("DedupScope") {
         "all" => Ok(KeyScope::All),
         "zone" => Ok(KeyScope::Zone),
         "cell" => Ok(KeyScope::Group),
-        other => Err(unknown_word("DedupScope", other)),
+        other => Err(unknown_value("DedupScope", other)),
     }
 }
 
@@ -57,10 +58,10 @@
         Some("lag_bound") => {
             let max_age = domain.array("MaxAgeMs").get(index).and_then(Value::as_f64);
             let max_age = max_age.ok_or_else(|| ConfigError::MissingKey { key: "MaxAgeMs".to_owned() })?;
-            Ok(Consistency::BoundedStaleness(millis(max_age, "MaxAgeMs")?))
+            Ok(Consistency::BoundedStaleness(duration_from_millis(max_age, "MaxAgeMs")?))
         }
         Some("eventual") => Ok(Consistency::Eventual),
-        other => Err(unknown_word("NeedsByClass", other.unwrap_or("(absent)"))),
+        other => Err(unknown_value("NeedsByClass", other.unwrap_or("(absent)"))),
     }
 }
 
@@ -72,7 +73,7 @@
     Ok(Tenant { quota_per_s: tenant.number_or("QuotaPerS", 0.0)?, share: tenant.number_or("Share", 0.0)? })
 }
 
-/// The error for a word that its key may not have.
-pub(super) fn unknown_word(key: &'static str, word: &str) -> ConfigError {
-    ConfigError::UnknownWord { key, word: word.to_owned() }
+/// Returns the error for a string that is not a valid value of its key.
+pub(super) fn unknown_value(key: &'static str, value: &str) -> ConfigError {
+    ConfigError::UnknownValue { key, value: value.to_owned() }
 }
--- a/src/settings/config.rs
+++ b/src/settings/config.rs
@@ -1,4 +1,4 @@
-//! The proxy's configuration file.
+//! The configuration file.
 
 use std::net::SocketAddr;
 
@@ -10,16 +10,16 @@
 use crate::api::Settings;
 use crate::endpoint_list::EndpointList;
 
-/// Smallest limit on descriptors with which a proxy can work.
+/// Smallest number of open file descriptors with which a proxy process can work.
 pub const MIN_SOCKETS: usize = 64;
 
-/// Limits on a process's resources.
+/// Limits on the resources of a proxy process.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct ResourceLimits {
-    /// Memory in megabytes.
+    /// Memory in megabytes (10^6 bytes).
     pub memory_mb: u64,
-    /// Open file descriptors.
+    /// Number of open file descriptors.
     pub sockets: usize,
 }
 
@@ -29,47 +29,48 @@
     }
 }
 
-/// The content of a configuration file. Keys that are not known are ignored.
+/// Content of a configuration file. Unknown keys are ignored.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Config {
-    /// The proxy's name, for its log.
+    /// Name of the proxy instance. It appears in the log, in the names of files in the state directory and in
+    /// the handover to a successor.
     #[serde(default)]
     pub name: String,
-    /// Where clients connect.
+    /// Address at which the proxy listens for clients.
     pub listen: SocketAddr,
-    /// The discovery service.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// Address of the admin API; without it there is none.
+    /// Address of the admin API; `None` for no admin API, unless the command line sets its address.
     #[serde(default, rename = "ops")]
     pub admin: Option<SocketAddr>,
-    /// Seed of the engine's random numbers, in hex.
+    /// Seed of the routing engine's random number generator, in hexadecimal.
     pub seed: String,
-    /// Limits on the process's resources.
+    /// Limits on the resources of the process.
     #[serde(default)]
     pub limits: ResourceLimits,
-    /// The endpoint list as of an earlier run, in the form that discovery sends.
+    /// Endpoint list from an earlier run, in the format of the discovery service.
     #[serde(default, rename = "known")]
     pub cached_endpoints: Option<EndpointList>,
     settings: Value,
 }
 
-/// A configuration file with its settings, all checked.
+/// A validated configuration file and the settings in it.
 #[derive(Debug, Clone)]
 pub struct LoadedConfig {
-    /// The file itself.
+    /// Content of the configuration file.
     pub config: Config,
-    /// Settings of the routing engine.
+    /// Settings of the routing engine. [`Config::read`] leaves the failover settings at their defaults.
     pub settings: Settings,
-    /// Settings of the connections around it.
+    /// Settings of the connections to clients and data servers.
     pub connections: ConnectionSettings,
 }
 
 impl Config {
-    /// Reads the text of a configuration file.
+    /// Parses and validates the text of a configuration file.
     ///
     /// # Errors
     ///
-    /// Where the text is not a configuration, or a value cannot be used.
+    /// Returns an error if the text is not a configuration, or if a value in it is invalid.
     pub fn read(text: &str) -> Result<LoadedConfig, ConfigError> {
         let config: Self = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
         let (settings, connections) = super::read(&config.settings)?;
@@ -81,12 +82,13 @@
         Ok(LoadedConfig { config, settings, connections })
     }
 
-    /// Reads the text of a configuration file that replaces this one.
+    /// Parses and validates the text of a configuration file that replaces this configuration.
     ///
     /// # Errors
     ///
-    /// As [`Self::read`], and where a key of this configuration is missing, so that a file that is not yet
-    /// written to its end is refused. Keys that only a start needs may be missing.
+    /// Returns an error as [`Self::read`] does, and if a key of this configuration is missing. A file that is
+    /// only partly written is rejected this way. Optional keys that take effect only at the start may be
+    /// missing.
     pub fn read_replacement(&self, text: &str) -> Result<LoadedConfig, ConfigError> {
         let replacement: Value = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
         let missing_key = ["name", "limits"].into_iter().find(|key| replacement.get(*key).is_none());
@@ -100,37 +102,37 @@
         }
     }
 
-    /// The seed as a number.
+    /// Returns the seed as a number.
     ///
     /// # Errors
     ///
-    /// Where it is not a hex number of 64 bits.
+    /// Returns an error if the seed is not a hexadecimal 64-bit number.
     pub fn seed(&self) -> Result<u64, ConfigError> {
         u64::from_str_radix(&self.seed, 16).map_err(|_| ConfigError::InvalidSeed)
     }
 }
 
-/// A key of `before` that `after` lacks, with the keys of the objects around it. Inner objects are compared
-/// as well; for arrays see [`find_missing_entry_key`].
-fn find_missing_key(before: &Value, after: &Value, path: &str) -> Option<String> {
-    match (before, after) {
+/// Returns the path of a key of `current` that `updated` lacks. `path` is the path of both values. Nested
+/// objects are also compared; for arrays see [`find_missing_entry_key`].
+fn find_missing_key(current: &Value, updated: &Value, path: &str) -> Option<String> {
+    match (current, updated) {
         (Value::Null, _) => None,
-        (Value::Object(before), Value::Object(after)) => before.iter().find_map(|(key, value)| {
-            let replacement = after.get(key).unwrap_or(&Value::Null);
-            find_missing_key(value, replacement, &format!("{path}.{key}"))
+        (Value::Object(current), Value::Object(updated)) => current.iter().find_map(|(key, value)| {
+            let new_value = updated.get(key).unwrap_or(&Value::Null);
+            find_missing_key(value, new_value, &format!("{path}.{key}"))
         }),
-        (Value::Array(before), Value::Array(after)) => find_missing_entry_key(before, after, path),
+        (Value::Array(current), Value::Array(updated)) => find_missing_entry_key(current, updated, path),
         (Value::Object(_) | Value::Array(_), _) | (_, Value::Null) => Some(path.to_owned()),
         _ => None,
     }
 }
 
-/// A key that every entry of `before` has and some entry of `after` lacks.
-fn find_missing_entry_key(before: &[Value], after: &[Value], path: &str) -> Option<String> {
-    let first = before.first().and_then(Value::as_object)?;
-    let in_every_entry = |key: &&String| before.iter().all(|entry| entry.get(key.as_str()).is_some());
+/// Returns the path of a key that every entry of `current` has and an entry of `updated` lacks.
+fn find_missing_entry_key(current: &[Value], updated: &[Value], path: &str) -> Option<String> {
+    let first = current.first().and_then(Value::as_object)?;
+    let in_every_entry = |key: &&String| current.iter().all(|entry| entry.get(key.as_str()).is_some());
     let required: Vec<_> = first.keys().filter(in_every_entry).collect();
     let lacks = |entry: &Value, key: &str| entry.get(key).is_none_or(Value::is_null);
-    let missing = after.iter().find_map(|entry| required.iter().find(|key| lacks(entry, key)));
+    let missing = updated.iter().find_map(|entry| required.iter().find(|key| lacks(entry, key)));
     missing.map(|key| format!("{path}.{key}"))
 }
--- a/src/settings/engine.rs
+++ b/src/settings/engine.rs
@@ -1,6 +1,6 @@
-//! The routing engine's settings in the settings object.
+//! Reads the routing engine's settings from the settings object.
 
-use super::classes::{read_classes, read_tenants, unknown_word};
+use super::classes::{read_classes, read_tenants, unknown_value};
 use super::error::ConfigError;
 use super::names::NameTable;
 use super::reader::ObjectReader;
@@ -9,22 +9,22 @@
     Settings, StaleReadPolicy,
 };
 
-/// The settings. The instance's zone is added to the names where they lack it.
+/// Reads the settings. If `names` lacks the instance's zone, adds it.
 pub(super) fn read_settings(
     settings: ObjectReader<'_>,
     names: &mut NameTable,
 ) -> Result<Settings, ConfigError> {
     let domain = settings.object("Domain");
     Ok(Settings {
-        instance_index: settings.count_or("Index", 0)?,
-        instance_count: settings.count_or("GroupSize", 1)?,
-        zone: names.zone(settings.word("Zone")),
+        instance_index: settings.integer_or("Index", 0)?,
+        instance_count: settings.integer_or("GroupSize", 1)?,
+        zone: names.zone(settings.string("Zone")),
         min_step_interval: settings.duration("TickMs")?,
         classes: read_classes(settings, domain)?,
         tenants: read_tenants(settings)?,
         over_quota_weight: settings.number_or("OverShareWorth", 1.0)?,
         stale_read_policy: read_stale_read_policy(domain)?,
-        responses_carry_position: domain.flag("Positions")?,
+        responses_carry_position: domain.boolean("Positions")?,
         session_tokens: read_session_tokens(domain)?,
         listed_role: read_listed_role(domain),
         load_reports: read_load_reports(settings.object("Report")),
@@ -37,24 +37,24 @@
 }
 
 fn read_stale_read_policy(domain: ObjectReader<'_>) -> Result<StaleReadPolicy, ConfigError> {
-    match domain.word("ServerChecks") {
+    match domain.string("ServerChecks") {
         "silent" => Ok(StaleReadPolicy::AnswerStale),
         "bounce" => Ok(StaleReadPolicy::Decline),
         "await" => Ok(StaleReadPolicy::WaitThenDecline(domain.duration("HoldsForMs")?)),
-        other => Err(unknown_word("ServerChecks", other)),
+        other => Err(unknown_value("ServerChecks", other)),
     }
 }
 
 fn read_session_tokens(domain: ObjectReader<'_>) -> Result<SessionTokens, ConfigError> {
-    match domain.word("SessionMarks") {
+    match domain.string("SessionMarks") {
         "brought" => Ok(SessionTokens::FromClient),
         "kept" => Ok(SessionTokens::Tracked),
-        other => Err(unknown_word("SessionMarks", other)),
+        other => Err(unknown_value("SessionMarks", other)),
     }
 }
 
 fn read_listed_role(domain: ObjectReader<'_>) -> ListedRole {
-    match domain.word("ShowsRole") {
+    match domain.string("ShowsRole") {
         "trailing" => ListedRole::Delayed,
         "static" => ListedRole::Static,
         _ => ListedRole::Absent,
@@ -62,7 +62,7 @@
 }
 
 fn read_load_reports(report: ObjectReader<'_>) -> LoadReports {
-    match report.word("How") {
+    match report.string("How") {
         "piggyback" => LoadReports::Piggyback,
         "pull" => LoadReports::OnHealthCheck,
         _ => LoadReports::Never,
@@ -70,7 +70,7 @@
 }
 
 fn read_discovery_mode(settings: ObjectReader<'_>) -> DiscoveryMode {
-    match settings.word("Discovery") {
+    match settings.string("Discovery") {
         "subscribe" => DiscoveryMode::Subscribe,
         _ => DiscoveryMode::Push,
     }
@@ -78,15 +78,15 @@
 
 fn read_limits(limits: ObjectReader<'_>) -> Result<Limits, ConfigError> {
     Ok(Limits {
-        max_attempts: limits.count_or("AttemptsCap", 1)?,
-        allow_cancel: limits.flag("MayCancel")?,
-        allow_gossip: limits.flag("MayTell")?,
-        allow_health_checks: limits.flag("Probes")?,
-        allow_hedging: limits.flag("SecondCopies")?,
-        send_retry_after: limits.flag("RetryAfter")?,
+        max_attempts: limits.integer_or("AttemptsCap", 1)?,
+        allow_cancel: limits.boolean("MayCancel")?,
+        allow_gossip: limits.boolean("MayTell")?,
+        allow_health_checks: limits.boolean("Probes")?,
+        allow_hedging: limits.boolean("SecondCopies")?,
+        send_retry_after: limits.boolean("RetryAfter")?,
         max_retry_after: limits.duration("MaxRetryAfterMs")?,
         connect_timeout: limits.duration("ConnectTimeoutMs")?,
-        max_streams_per_connection: limits.count_or("StreamsPerConn", 1)?,
+        max_streams_per_connection: limits.integer_or("StreamsPerConn", 1)?,
     })
 }
 
@@ -99,7 +99,7 @@
         overload_factor: contract.number_or("OverloadFactor", 1.0)?,
         overload_duration: contract.duration("OverloadForMs")?,
         drain_grace_period: contract.duration("StopSendingWithinMs")?,
-        removed_may_serve: contract.flag("OnlyDrainingBinds")?,
+        removed_may_serve: contract.boolean("OnlyDrainingBinds")?,
     })
 }
 
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,65 +1,65 @@
-//! What can be wrong in a configuration.
+//! Errors in a configuration.
 
 use crate::api::SettingsError;
 use crate::settings::MIN_SOCKETS;
 
-/// A configuration that cannot be used. Its text is one line.
+/// Error in a configuration file or a settings object. The message is one line.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The text is not JSON, or not of a configuration's shape.
+    /// The text is not JSON, or the JSON value does not have the structure of a configuration.
     #[error("not a configuration: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// A key is required and absent.
-    #[error("{key} is missing")]
+    /// A required key is absent.
+    #[error("key {key} is missing")]
     MissingKey {
-        /// The key, with the keys of the objects around it.
+        /// Path of the key: its name, after the names of the enclosing objects.
         key: String,
     },
-    /// An entry of a list of names has no name.
-    #[error("{key} has an entry without a name")]
+    /// An entry of an array has no name.
+    #[error("an entry of {key} has no name")]
     UnnamedEntry {
-        /// The list's key.
+        /// Key of the array.
         key: &'static str,
     },
     /// A value is not a number.
     #[error("{key} is not a number")]
     NotANumber {
-        /// The value's key.
+        /// Key of the value.
         key: &'static str,
     },
-    /// A value is not a whole number of 32 bits.
-    #[error("{key} is not a whole number")]
-    NotAWholeNumber {
-        /// The value's key.
+    /// A value is not an unsigned 32-bit integer.
+    #[error("{key} is not an unsigned 32-bit integer")]
+    NotAnInteger {
+        /// Key of the value.
         key: &'static str,
     },
     /// A value is not a boolean.
     #[error("{key} is not a boolean")]
     NotABoolean {
-        /// The value's key.
+        /// Key of the value.
         key: &'static str,
     },
-    /// A number of milliseconds does not fit a duration.
-    #[error("{key} is not a duration")]
-    NotADuration {
-        /// The value's key.
+    /// A number of milliseconds is too large for a [`Duration`](std::time::Duration).
+    #[error("{key} is too large for a duration in milliseconds")]
+    DurationTooLarge {
+        /// Key of the value.
         key: &'static str,
     },
-    /// A value is not one of the words that its key may have.
-    #[error("unknown {key} {word}")]
-    UnknownWord {
-        /// The value's key.
+    /// A string is not one of the values that its key may have.
+    #[error("unknown value \"{value}\" of {key}")]
+    UnknownValue {
+        /// Key of the value.
         key: &'static str,
-        /// The word; empty or `(absent)` where there is none.
-        word: String,
+        /// The unknown value; empty or `(absent)` if the key is absent or its value is not a string.
+        value: String,
     },
-    /// The engine cannot work with the settings.
+    /// A setting is out of range, or there are no classes of requests.
     #[error(transparent)]
     InvalidSettings(#[from] SettingsError),
-    /// The seed cannot be parsed.
-    #[error("seed is not a hex number of 64 bits")]
+    /// The seed is not a hexadecimal 64-bit number.
+    #[error("seed is not a hexadecimal 64-bit number")]
     InvalidSeed,
-    /// The limit on descriptors is too low.
-    #[error("limits.sockets is under {MIN_SOCKETS}")]
+    /// The limit on open file descriptors is too low.
+    #[error("limits.sockets is below the minimum of {MIN_SOCKETS}")]
     TooFewSockets,
 }
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -1,11 +1,13 @@
-//! The names behind the engine's indices of classes, tenants, zones and machine kinds.
+//! Maps names of classes, tenants, zones and machine kinds to the indices by which the routing engine knows
+//! them.
 
 use serde_json::Value;
 
 use super::error::ConfigError;
 use crate::api::{ClassId, MachineKindId, TenantId, ZoneId};
 
-/// Names by index. The settings' names come first; an endpoint list may add zones and machine kinds.
+/// Names of classes, tenants, zones and machine kinds, by index. The names in the settings come first.
+/// Endpoint lists may add zones and machine kinds.
 #[derive(Debug, Clone)]
 pub struct NameTable {
     classes: Vec<String>,
@@ -15,7 +17,7 @@
 }
 
 impl NameTable {
-    /// The names in a settings object.
+    /// Reads the names in a settings object.
     pub(super) fn read(settings: &Value) -> Result<Self, ConfigError> {
         let string = |entry: &Value| entry.as_str().map(str::to_owned);
         let name_of_object = |entry: &Value| entry.get("Name").and_then(string);
@@ -27,34 +29,34 @@
         })
     }
 
-    /// The class with this name.
+    /// Returns the class of the given name.
     pub fn class(&self, name: &str) -> Option<ClassId> {
-        find(&self.classes, name).map(ClassId)
+        find_index(&self.classes, name).map(ClassId)
     }
 
-    /// The names of the classes, by index.
+    /// Returns the names of the classes, by index.
     pub fn classes(&self) -> &[String] {
         &self.classes
     }
 
-    /// The name of a zone, if it has one.
+    /// Returns the name of a zone; `None` if the table does not have the zone.
     pub fn zone_name(&self, zone: ZoneId) -> Option<&str> {
         self.zones.get(zone.0).map(String::as_str)
     }
 
-    /// The tenant with this name.
+    /// Returns the tenant of the given name.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
-        find(&self.tenants, name).map(TenantId)
+        find_index(&self.tenants, name).map(TenantId)
     }
 
-    /// The zone with this name; a new name gets the next index.
+    /// Returns the zone of the given name. A new name is added with the next index.
     pub fn zone(&mut self, name: &str) -> ZoneId {
-        ZoneId(find_or_add(&mut self.zones, name))
+        ZoneId(find_or_insert(&mut self.zones, name))
     }
 
-    /// The machine kind with this name; a new name gets the next index.
+    /// Returns the machine kind of the given name. A new name is added with the next index.
     pub fn kind(&mut self, name: &str) -> MachineKindId {
-        MachineKindId(find_or_add(&mut self.machine_kinds, name))
+        MachineKindId(find_or_insert(&mut self.machine_kinds, name))
     }
 }
 
@@ -67,12 +69,12 @@
     entries.iter().map(|entry| name_of(entry).ok_or(ConfigError::UnnamedEntry { key })).collect()
 }
 
-fn find(names: &[String], name: &str) -> Option<usize> {
-    names.iter().position(|known| known == name)
+fn find_index(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|other| other == name)
 }
 
-fn find_or_add(names: &mut Vec<String>, name: &str) -> usize {
-    find(names, name).unwrap_or_else(|| {
+fn find_or_insert(names: &mut Vec<String>, name: &str) -> usize {
+    find_index(names, name).unwrap_or_else(|| {
         names.push(name.to_owned());
         names.len() - 1
     })
