--- a/examples/embed.rs
+++ b/examples/embed.rs
@@ -1,4 +1,5 @@
-//! Embeds the routing engine in a loop of its own: one replica set of three servers that answer after 20 ms.
+//! Embeds the routing engine in an event loop, with one replica set of three simulated servers that respond
+//! after 20 ms.
 
 use std::time::Duration;
 
@@ -100,7 +101,7 @@
     }
 }
 
-/// Every fourth request is a write.
+/// Creates a request. Every fourth request is a write.
 fn request(id: u64) -> Request {
     Request {
         id: RequestId(id),
@@ -116,7 +117,7 @@
     }
 }
 
-/// The server's response to a forwarded request.
+/// Creates the event for a server's successful response to a forwarded request.
 fn response(request: RequestId, server: ServerId, now: Duration) -> AttemptEnded {
     AttemptEnded {
         request,
@@ -133,7 +134,7 @@
 fn main() -> Result<(), SettingsError> {
     let mut engine = RoutingEngine::new(settings(), 42)?;
     let mut actions = Vec::new();
-    let mut now = ms(1_000_000); // any clock that only advances
+    let mut now = ms(1_000_000); // time on any monotonic clock
     let endpoints = (1..=SERVER_COUNT).map(|number| endpoint(ServerId(number))).collect();
     let mut events = vec![Event::Endpoints(EndpointUpdate::Cached(endpoints))];
     for id in 0..12 {
@@ -146,7 +147,7 @@
                     println!("request {} -> server {}", request.0, server.0);
                     events.push(Event::AttemptEnded(response(request, server, now)));
                 }
-                Action::SetTimer { .. } => {} // this loop steps every 20 ms anyway
+                Action::SetTimer { .. } => {} // not needed: this loop steps the engine every 20 ms
                 other => println!("{other:?}"),
             }
         }
--- a/examples/toy/main.rs
+++ b/examples/toy/main.rs
@@ -1,7 +1,8 @@
-//! A small site to try the proxy with: discovery, and one replica set of a primary and two replicas.
+//! Servers to try the proxy with: a discovery service, and one replica set of a primary and two replicas.
 //!
-//! `cargo run --example toy` writes a configuration to the path given as its argument and then serves until
-//! it is stopped; `pipittack serve --config PATH` in another terminal is the proxy.
+//! `cargo run --example toy -- PATH` writes a configuration file for the proxy to PATH (`toy.json` by
+//! default) and then runs the servers until the process is stopped. Start the proxy in another terminal with
+//! `pipittack serve --config PATH`.
 
 use std::time::Duration;
 
@@ -10,12 +11,12 @@
 
 const DEFAULT_CONFIG_PATH: &str = "toy.json";
 const RESPONSE_TIME: Duration = Duration::from_millis(20);
-/// PostgreSQL's code for a write on a replica.
+/// SQLSTATE of PostgreSQL's error for a write on a replica.
 const READ_ONLY_TRANSACTION: &str = "25006";
-/// Discovery's address in the configuration that is the template.
+/// Address of the discovery service in `examples/config.json`, which is replaced by the real one.
 const TEMPLATE_DISCOVERY_ADDRESS: &str = "127.0.0.1:8500";
 
-/// The role as discovery spells it.
+/// Returns the role's name in the endpoint list.
 fn listed_role(role: ServerRole) -> &'static str {
     match role {
         ServerRole::Primary => "read-write",
@@ -23,6 +24,7 @@
     }
 }
 
+/// A data server of the replica set.
 struct Member {
     name: &'static str,
     role: ServerRole,
@@ -56,7 +58,7 @@
     let config = include_str!("../config.json");
     let config = config.replace(TEMPLATE_DISCOVERY_ADDRESS, &discovery.address.to_string());
     std::fs::write(&path, config)?;
-    println!("configuration in {path}; now run: pipittack serve --config {path}");
+    println!("configuration written to {path}; start the proxy with: pipittack serve --config {path}");
     loop {
         std::thread::park();
     }
--- a/src/bin/simulator-adapter/endpoints.rs
+++ b/src/bin/simulator-adapter/endpoints.rs
@@ -1,4 +1,4 @@
-//! Parses endpoint lists and their updates.
+//! Parses endpoint lists and updates of them.
 
 use pipittack::api::{Endpoint, EndpointState, EndpointUpdate, GroupId, ServerId};
 use pipittack::settings::NameTable;
@@ -7,7 +7,7 @@
 use crate::error::ParseError;
 use crate::fields::{unknown, wrong_type, Fields};
 
-/// The entries of a numbered list. New zones and machine kinds are added to the names.
+/// Parses the entries of a numbered list. Adds new zones and machine kinds to `names`.
 pub fn parse_endpoints(items: &Value, names: &mut NameTable) -> Result<Vec<Endpoint>, ParseError> {
     let items = items.as_array().ok_or_else(|| wrong_type("Items", "an array"))?;
     items.iter().map(|item| parse_endpoint(item, names)).collect()
@@ -39,7 +39,7 @@
     }
 }
 
-/// An update of the endpoint list, by its form.
+/// Creates an update of the endpoint list. `form` is the kind of the update in the line protocol.
 pub fn endpoint_update(form: &str, endpoints: Vec<Endpoint>) -> Result<EndpointUpdate, ParseError> {
     match form {
         "changes" => Ok(EndpointUpdate::Changes(endpoints)),
--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -1,18 +1,18 @@
-//! What can be wrong in the simulator's lines.
+//! Errors in the simulator's input.
 
 use std::io;
 
 use pipittack::api::SettingsError;
 use pipittack::settings::ConfigError;
 
-/// A line that cannot be parsed.
+/// Error in parsing a line.
 #[derive(Debug, thiserror::Error)]
 pub enum ParseError {
     #[error("not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
     #[error("not an array")]
     NotAnArray,
-    #[error("a message starts with its name")]
+    #[error("the message does not start with its name")]
     Unnamed,
     #[error("{field} is missing")]
     Missing { field: String },
@@ -20,25 +20,25 @@
     WrongType { field: String, expected: &'static str },
     #[error("{field} is too large")]
     TooLarge { field: &'static str },
-    /// A word or name that its field may not have.
-    #[error("unknown {field} {word}")]
-    Unknown { field: &'static str, word: String },
-    #[error("{field}: {source}")]
+    /// A string that is not a valid value of its field.
+    #[error("unknown {field} {value}")]
+    Unknown { field: &'static str, value: String },
+    #[error("{field} is not hexadecimal: {source}")]
     NotHex { field: &'static str, source: hex::FromHexError },
     #[error(transparent)]
     Duration(#[from] ConfigError),
 }
 
-/// A line that cannot be carried out.
+/// Error in processing a line.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
     #[error(transparent)]
     Parse(#[from] ParseError),
-    /// An instance's settings cannot be read.
+    /// The settings of an instance cannot be read.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The engine refuses an instance's settings.
-    #[error("settings: {0}")]
+    /// The routing engine rejects the settings of an instance.
+    #[error("invalid settings: {0}")]
     Settings(#[from] SettingsError),
     #[error("no list number {number}")]
     UnknownList { number: u64 },
@@ -50,7 +50,7 @@
     Io(#[from] io::Error),
 }
 
-/// Why the adapter ended early.
+/// Reason why the adapter ended before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     #[error("line {number}: {source}")]
--- a/src/bin/simulator-adapter/event.rs
+++ b/src/bin/simulator-adapter/event.rs
@@ -1,4 +1,4 @@
-//! Parses the events of an instance: order of the values, units and names.
+//! Parses the events of an instance, from values in protocol order to the engine's types, units and indices.
 
 use pipittack::api::{
     AttemptEnded, AttemptNumber, Event, GroupId, LoadReport, Outcome, Request, RequestId, ServerId,
@@ -11,13 +11,13 @@
 use crate::fields::{unknown, wrong_type, Fields};
 use crate::parse::Message;
 
-/// Flag in `Marks`: the request's expected work is known.
+/// Bit in `Marks`: the expected work of the request is known.
 const MARK_COST_KNOWN: u64 = 1;
-/// Flag in `Marks`: the client repeats an earlier request.
+/// Bit in `Marks`: the request is a client's retry.
 const MARK_RETRY: u64 = 2;
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// An event of an instance with these connection settings.
+/// Parses an event of an instance. `connections` holds the connection settings of the instance.
 pub fn parse_event(message: &Message, connections: &ConnectionSettings) -> Result<Event, ParseError> {
     let fields = Fields(&message.values);
     let request = || fields.integer(1, "Job").map(RequestId);
@@ -87,8 +87,8 @@
     })
 }
 
-fn parse_outcome(word: &str) -> Result<Outcome, ParseError> {
-    match word {
+fn parse_outcome(name: &str) -> Result<Outcome, ParseError> {
+    match name {
         "ok" => Ok(Outcome::Success),
         "error" => Ok(Outcome::ServerError),
         "full" => Ok(Outcome::Rejected),
@@ -102,8 +102,8 @@
     }
 }
 
-/// The server's replication position and role, in one number: four times the milliseconds, plus 1 for a
-/// primary or 2 for a replica.
+/// Parses the server's replication position and role, which are encoded in one number: four times the
+/// position in milliseconds, plus 1 for a primary or 2 for a replica.
 fn parse_status(
     fields: Fields<'_>,
     connections: &ConnectionSettings,
@@ -127,7 +127,7 @@
     }))
 }
 
-/// A row of values, one for each column of the settings.
+/// Parses a load report, which is a row with one value for each column in the settings.
 fn parse_load_report(
     row: Option<&Value>,
     connections: &ConnectionSettings,
--- a/src/bin/simulator-adapter/fields.rs
+++ b/src/bin/simulator-adapter/fields.rs
@@ -1,4 +1,4 @@
-//! Typed access to a message's values by position. A value that is null is absent.
+//! Typed access to the values of a message by position. A null value counts as absent.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::error::ParseError;
 
-/// The values of a message, or of an array in one.
+/// Values of a message, or of an array in a message.
 #[derive(Clone, Copy)]
 pub struct Fields<'v>(pub &'v [Value]);
 
@@ -25,7 +25,7 @@
         self.optional_number(index, field)?.ok_or_else(|| missing(field))
     }
 
-    /// A whole number; `1.0` is one as well.
+    /// Returns a non-negative integer, which may be written with a fraction of zero, as in `1.0`.
     pub fn integer(self, index: usize, field: &str) -> Result<u64, ParseError> {
         let value = self.get(index).ok_or_else(|| missing(field))?;
         let from_float = || {
@@ -35,7 +35,7 @@
         value.as_u64().or_else(from_float).ok_or_else(|| wrong_type(field, "a whole number"))
     }
 
-    /// A whole number; zero where it is absent.
+    /// Returns a non-negative integer, or zero if it is absent.
     pub fn integer_or_zero(self, index: usize, field: &str) -> Result<u64, ParseError> {
         self.get(index).map_or(Ok(0), |_| self.integer(index, field))
     }
@@ -44,7 +44,7 @@
         u32::try_from(self.integer(index, field)?).map_err(|_| ParseError::TooLarge { field })
     }
 
-    /// A string, if there is one.
+    /// Returns a string, or `None` if the value is absent or has another type.
     pub fn optional_text(self, index: usize) -> Option<&'v str> {
         self.get(index).and_then(Value::as_str)
     }
@@ -57,12 +57,12 @@
         self.get(index).and_then(Value::as_bool).ok_or_else(|| wrong_type(field, "a boolean"))
     }
 
-    /// A number of milliseconds.
+    /// Returns a number of milliseconds as a duration.
     pub fn duration(self, index: usize, field: &'static str) -> Result<Duration, ParseError> {
         Ok(duration_from_millis(self.number(index, field)?, field)?)
     }
 
-    /// A number of milliseconds; zero and less count as absent.
+    /// Returns a number of milliseconds as a duration. Zero and negative numbers count as absent.
     pub fn positive_duration(
         self,
         index: usize,
@@ -83,6 +83,6 @@
     ParseError::WrongType { field: field.to_owned(), expected }
 }
 
-pub fn unknown(field: &'static str, word: &str) -> ParseError {
-    ParseError::Unknown { field, word: word.to_owned() }
+pub fn unknown(field: &'static str, value: &str) -> ParseError {
+    ParseError::Unknown { field, value: value.to_owned() }
 }
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,7 +1,9 @@
-//! Hosts routing engines for a simulator, which drives them by a line protocol on standard input and output.
+//! Runs routing engines for a simulator, which drives them through a line protocol on standard input and
+//! output.
 //!
-//! Input comes in batches. Each line is a JSON array with a name first. `TURN` starts a batch and `EOB` ends
-//! it; the reply is one line for each action, and then `OK`. A line that is malformed ends the process.
+//! Each line is a JSON array that starts with the name of its message. Input comes in batches: `TURN` starts
+//! a batch and `EOB` ends it. The reply to a batch is one line for each action, and then `OK`. A malformed
+//! line ends the process.
 
 mod endpoints;
 mod error;
@@ -16,7 +18,7 @@
 
 use crate::error::{LineError, RunError};
 use crate::host::Host;
-use crate::parse::{parse_line, parse_message, parse_turn, Turn};
+use crate::parse::{parse_line, parse_message, parse_turn, OpenBatch};
 
 fn main() -> ExitCode {
     let mut out = io::BufWriter::new(io::stdout().lock());
@@ -35,18 +37,18 @@
         let result = line.map_err(LineError::Io).and_then(|line| session.process(&line, out));
         result.map_err(|source| RunError::Line { number: index + 1, source })?;
     }
-    match session.turn {
+    match session.open_batch {
         Some(_) => Err(RunError::UnfinishedBatch),
         None => Ok(()),
     }
 }
 
-/// The state between two lines.
+/// State of the line protocol between two lines.
 #[derive(Default)]
 struct Session {
     host: Host,
-    /// The batch that is open.
-    turn: Option<Turn>,
+    /// The current batch; `None` between batches.
+    open_batch: Option<OpenBatch>,
 }
 
 impl Session {
@@ -55,13 +57,13 @@
             return Ok(());
         }
         let message = parse_message(line)?;
-        match (message.name.as_str(), &self.turn) {
-            ("TURN", None) => self.turn = Some(parse_turn(&message.values)?),
+        match (message.name.as_str(), &self.open_batch) {
+            ("TURN", None) => self.open_batch = Some(parse_turn(&message.values)?),
             ("TURN", Some(_)) => return Err(LineError::NestedBatch),
             (_, None) => return Err(LineError::OutsideBatch { message: message.name }),
-            ("EOB", Some(turn)) => {
-                self.host.reply(turn, out)?;
-                self.turn = None;
+            ("EOB", Some(batch)) => {
+                self.host.end_batch(batch, out)?;
+                self.open_batch = None;
             }
             _ => self.host.apply(parse_line(message)?)?,
         }
--- a/src/bin/simulator-adapter/write.rs
+++ b/src/bin/simulator-adapter/write.rs
@@ -1,4 +1,4 @@
-//! Writes the engine's actions as lines.
+//! Encodes the routing engine's actions as lines.
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-fn millis(duration: Duration) -> f64 {
+fn to_millis(duration: Duration) -> f64 {
     duration.as_secs_f64() * MILLIS_PER_SECOND
 }
 
-/// The line for one action of an instance.
-pub fn action(instance: u64, action: &Action) -> Value {
+/// Encodes an action of an instance as a line.
+pub fn encode_action(instance: u64, action: &Action) -> Value {
     match action {
         Action::Forward { request, server, timeout } => {
-            json!(["FORWARD", instance, request.0, server.0, millis(*timeout)])
+            json!(["FORWARD", instance, request.0, server.0, to_millis(*timeout)])
         }
         Action::Reject { request, retry_after } => {
-            json!(["BOUNCE", instance, request.0, retry_after.map(millis)])
+            json!(["BOUNCE", instance, request.0, retry_after.map(to_millis)])
         }
         Action::Fail { request } => json!(["FINISH_ERROR", instance, request.0]),
         Action::Cancel { request, attempt } => json!(["REVOKE", instance, request.0, attempt.0]),
@@ -28,7 +28,7 @@
         Action::CloseIdle { server } => json!(["DROP_CONNS", instance, server.0]),
         Action::Gossip { to: Some(peer), bytes } => json!(["MEMO_TO", instance, peer, hex::encode(bytes)]),
         Action::Gossip { to: None, bytes } => json!(["MEMO_TO", instance, "all", hex::encode(bytes)]),
-        Action::SetTimer { after, id } => json!(["AFTER", instance, millis(*after), id.0]),
+        Action::SetTimer { after, id } => json!(["AFTER", instance, to_millis(*after), id.0]),
         Action::Log(text) => json!(["LOG", instance, text]),
     }
 }
