--- a/src/bin/simulator-adapter/endpoints.rs
+++ b/src/bin/simulator-adapter/endpoints.rs
@@ -21,7 +21,7 @@
     Ok(Endpoint {
         server: ServerId(fields.integer_u32(0, "Server")?),
         zone: names.zone(fields.optional_text(1).unwrap_or("")),
-        machine_kind: names.kind(fields.optional_text(3).unwrap_or("")),
+        machine_kind: names.machine_kind(fields.optional_text(3).unwrap_or("")),
         group: GroupId(fields.integer_or_zero(4, "Group")?),
         listed_primary: fields.optional_number(2, "Head")? == Some(1.0),
         state,
--- a/src/net/discovery/registry.rs
+++ b/src/net/discovery/registry.rs
@@ -120,7 +120,7 @@
         Endpoint {
             server,
             zone: self.name_table.zone(&listed.zone),
-            machine_kind: self.name_table.kind(&listed.machine_kind),
+            machine_kind: self.name_table.machine_kind(&listed.machine_kind),
             group: GroupId(listed.group),
             listed_primary: listed.role.as_deref() == Some("read-write"),
             state: match listed.state.as_str() {
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -55,7 +55,7 @@
     }
 
     /// Returns the machine kind of the given name. A new name is added with the next index.
-    pub fn kind(&mut self, name: &str) -> MachineKindId {
+    pub fn machine_kind(&mut self, name: &str) -> MachineKindId {
         MachineKindId(find_or_insert(&mut self.machine_kinds, name))
     }
 }
