--- a/src/bin/simulator-adapter/event.rs
+++ b/src/bin/simulator-adapter/event.rs
@@ -1,4 +1,4 @@
-//! Parses the events of an instance, from values in protocol order to the engine's types, units and indices.
+//! Parses the events of an instance, and converts units and names to those of the routing engine.
 
 use pipittack::api::{
     AttemptEnded, AttemptNumber, Event, GroupId, LoadReport, Outcome, Request, RequestId, ServerId,
--- a/src/components.rs
+++ b/src/components.rs
@@ -87,7 +87,7 @@
         Self { driver, registry, clients, admin }
     }
 
-    /// Passes an endpoint list that an earlier process received to the routing engine.
+    /// Passes the cached endpoint list, which an earlier process received, to the routing engine.
     pub fn apply_cached_endpoints(&self, list: Option<EndpointList>) {
         let Some(list) = list else { return };
         let applied = self.registry.borrow_mut().apply_cached(list);
--- a/src/config_files.rs
+++ b/src/config_files.rs
@@ -60,7 +60,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error as [`Self::load`] does, and if a key of the current configuration is missing.
+    /// Returns an error as [`Self::load`] does, and if the configuration file lacks a key that a reload
+    /// needs; see [`Config::read_replacement`].
     pub fn load_replacement(&self, current: &Config) -> Result<LoadedConfig, LoadError> {
         self.load_with(|text| current.read_replacement(text))
     }
--- a/src/listeners.rs
+++ b/src/listeners.rs
@@ -25,7 +25,7 @@
 
 /// How a process starts to serve.
 pub enum Startup {
-    /// No other process of this proxy runs.
+    /// No other process of this proxy instance is running.
     Fresh,
     /// The process replaces a predecessor, which hands over its listener and its clients.
     Handover(Predecessor),
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -18,7 +18,7 @@
 /// Reason why a reload changed nothing.
 #[derive(Debug, thiserror::Error)]
 pub enum ReloadError {
-    /// The files cannot be loaded, or lack a key of the current configuration.
+    /// The files cannot be loaded, or the configuration file lacks a key that a reload needs.
     #[error("configuration unchanged: {0}")]
     Load(#[from] LoadError),
 }
--- a/src/settings/config.rs
+++ b/src/settings/config.rs
@@ -86,9 +86,9 @@
     ///
     /// # Errors
     ///
-    /// Returns an error as [`Self::read`] does, and if a key of this configuration is missing. A file that is
-    /// only partly written is rejected this way. Optional keys that take effect only at the start may be
-    /// missing.
+    /// Returns an error as [`Self::read`] does. Also returns an error if the text lacks `name`, `limits` or a
+    /// key of this configuration's settings, so that a file that is only partly written is rejected. Other
+    /// optional keys take effect only at the start and may be missing.
     pub fn read_replacement(&self, text: &str) -> Result<LoadedConfig, ConfigError> {
         let replacement: Value = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
         let missing_key = ["name", "limits"].into_iter().find(|key| replacement.get(*key).is_none());
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -12,7 +12,7 @@
     /// A required key is absent.
     #[error("key {key} is missing")]
     MissingKey {
-        /// Path of the key: its name, after the names of the enclosing objects.
+        /// Name of the key. For a reload, also the names of the enclosing objects, as in `settings.Limits`.
         key: String,
     },
     /// An entry of an array has no name.
