--- a/src/bin/simulator-adapter/event.rs
+++ b/src/bin/simulator-adapter/event.rs
@@ -1,23 +1,23 @@
-//! Parses the events of an instance: order of the values, units and names.
+//! Parses the events of an instance, and converts units and names to those of the routing engine.
 
 use pipittack::api::{
     AttemptEnded, AttemptNumber, Event, GroupId, LoadReport, Outcome, Request, RequestId, ServerId,
     ServerStatus, TenantId, TimerId,
 };
-use pipittack::settings::{millis, ConnectionSettings};
+use pipittack::settings::{duration_from_millis, ConnectionSettings};
 use serde_json::Value;
 
 use crate::error::ParseError;
 use crate::fields::{unknown, wrong_type, Fields};
 use crate::parse::Message;
 
-/// Flag in `Marks`: the request's expected work is known.
+/// Bit in `Marks`: the expected work of the request is known.
 const MARK_COST_KNOWN: u64 = 1;
-/// Flag in `Marks`: the client repeats an earlier request.
+/// Bit in `Marks`: the request is a client's retry.
 const MARK_RETRY: u64 = 2;
 const MILLIS_PER_SECOND: f64 = 1e3;
 
-/// An event of an instance with these connection settings.
+/// Parses an event of an instance. `connections` holds the connection settings of the instance.
 pub fn parse_event(message: &Message, connections: &ConnectionSettings) -> Result<Event, ParseError> {
     let fields = Fields(&message.values);
     let request = || fields.integer(1, "Job").map(RequestId);
@@ -57,7 +57,7 @@
         time_left: fields.duration(2, "TimeLeftMs")?,
         is_retry: marks & MARK_RETRY != 0,
         statement_bytes: 0,
-        expected_work: cost.map(|ms| millis(ms, "CostMs")).transpose()?,
+        expected_work: cost.map(|ms| duration_from_millis(ms, "CostMs")).transpose()?,
         session: fields.optional_text(7).map(str::to_owned),
         last_write_age,
     })
@@ -87,8 +87,8 @@
     })
 }
 
-fn parse_outcome(word: &str) -> Result<Outcome, ParseError> {
-    match word {
+fn parse_outcome(name: &str) -> Result<Outcome, ParseError> {
+    match name {
         "ok" => Ok(Outcome::Success),
         "error" => Ok(Outcome::ServerError),
         "full" => Ok(Outcome::Rejected),
@@ -102,8 +102,8 @@
     }
 }
 
-/// The server's replication position and role, in one number: four times the milliseconds, plus 1 for a
-/// primary or 2 for a replica.
+/// Parses the server's replication position and role, which are encoded in one number: four times the
+/// position in milliseconds, plus 1 for a primary or 2 for a replica.
 fn parse_status(
     fields: Fields<'_>,
     connections: &ConnectionSettings,
@@ -114,7 +114,7 @@
     let encoded = fields.integer(7, "Stand")?;
     let position = match encoded / 4 {
         0 => None,
-        ms => Some(millis(connections.zero_ms + ms as f64, "Stand")?),
+        ms => Some(duration_from_millis(connections.position_base_ms + ms as f64, "Stand")?),
     };
     let primary = match encoded % 4 {
         1 => Some(true),
@@ -127,7 +127,7 @@
     }))
 }
 
-/// A row of values, one for each column of the settings.
+/// Parses a load report, which is a row with one value for each column in the settings.
 fn parse_load_report(
     row: Option<&Value>,
     connections: &ConnectionSettings,
@@ -139,8 +139,8 @@
         let Some(value) = row.optional_number(index, column)? else { continue };
         match column.as_str() {
             "x0" => {
-                let position = connections.zero_ms + value * MILLIS_PER_SECOND;
-                report.position = Some(millis(position, "x0")?);
+                let position = connections.position_base_ms + value * MILLIS_PER_SECOND;
+                report.position = Some(duration_from_millis(position, "x0")?);
             }
             "x1" => report.primary = Some(value == 1.0),
             "busy_reqs" => report.in_flight = Some(value),
