--- a/src/net/admin/http.rs
+++ b/src/net/admin/http.rs
@@ -1,5 +1,5 @@
-//! The part of HTTP/1.1 that the admin API needs: parses the head of a call and encodes the response. Holds
-//! no state.
+//! The part of HTTP/1.1 that the admin API needs: parses the head of a call and encodes the response. This
+//! module holds no state.
 
 use percent_encoding::percent_decode_str;
 use winnow::ascii::{crlf, digit1};
@@ -11,43 +11,43 @@
 /// A call of the admin API.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdminCall {
-    /// Is this process ready to serve?
+    /// Report whether this process is ready to serve clients.
     Ready,
-    /// Take the server of this name out of service.
+    /// Take the data server with this name out of service.
     Offline(String),
-    /// Return the server of this name to service.
+    /// Return the data server with this name to service.
     Online(String),
-    /// Take this proxy instance out of service: its clients have to leave.
+    /// Take this process out of service: health checks fail, and clients are disconnected between requests.
     OutOfService,
-    /// Return this proxy instance to service.
+    /// Return this process to service.
     InService,
 }
 
-/// The status of a response.
+/// Status of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HttpStatus {
-    /// 200
+    /// 200: the call was executed, or the process is ready.
     Ok,
-    /// 400
+    /// 400: the head of the call is malformed or incomplete.
     BadRequest,
-    /// 404
+    /// 404: the path is unknown, or the server was never listed.
     NotFound,
-    /// 405
+    /// 405: the path requires another method.
     MethodNotAllowed,
-    /// 408
+    /// 408: the head of the call was not received in time.
     RequestTimeout,
-    /// 431
+    /// 431: the head of the call does not fit into one buffer.
     HeaderFieldsTooLarge,
-    /// 500
+    /// 500: the out-of-service list could not be read or stored.
     InternalServerError,
-    /// 503
+    /// 503: the process is not ready.
     ServiceUnavailable,
-    /// 505
+    /// 505: the HTTP version is not 1.x.
     VersionNotSupported,
 }
 
 impl HttpStatus {
-    /// The status code.
+    /// Returns the status code.
     pub fn code(self) -> u16 {
         match self {
             Self::Ok => 200,
@@ -62,7 +62,7 @@
         }
     }
 
-    fn reason(self) -> &'static str {
+    fn reason_phrase(self) -> &'static str {
         match self {
             Self::Ok => "OK",
             Self::BadRequest => "Bad Request",
@@ -77,9 +77,10 @@
     }
 }
 
-/// A response with a line of text as its body.
+/// A response whose body is one line of text.
 pub(super) struct Response {
     pub status: HttpStatus,
+    /// Body without the line end.
     pub text: &'static str,
 }
 
@@ -88,12 +89,12 @@
         Self { status, text }
     }
 
-    /// A response whose body is the reason of its status.
+    /// Creates a response whose body is the reason phrase of its status.
     pub fn error(status: HttpStatus) -> Self {
-        Self { status, text: status.reason() }
+        Self { status, text: status.reason_phrase() }
     }
 
-    /// The bytes of the response, which ends the connection.
+    /// Encodes the response, which tells the caller that the connection closes.
     pub fn encode(&self) -> String {
         let Self { status, text } = self;
         let allow = match status {
@@ -105,20 +106,23 @@
             "HTTP/1.1 {} {}\r\n{allow}Content-Type: text/plain\r\nContent-Length: {body_bytes}\r\n\
              Connection: close\r\n\r\n{text}\n",
             status.code(),
-            status.reason()
+            status.reason_phrase()
         )
     }
 }
 
-/// The first line of a call.
+/// Request line of a call.
 struct RequestLine<'a> {
     method: &'a [u8],
     target: &'a [u8],
     version: &'a [u8],
 }
 
-/// Parses the head of a call, up to and including the empty line at its end. Fails with the status of the
-/// response.
+/// Parses the head of a call, including the empty line at its end.
+///
+/// # Errors
+///
+/// Returns the status of the response if the call is malformed or not supported.
 pub fn parse_call(head: &[u8]) -> Result<AdminCall, HttpStatus> {
     let line = parse_head(head).ok_or(HttpStatus::BadRequest)?;
     if !line.version.starts_with(b"1.") {
@@ -127,14 +131,14 @@
     let target = std::str::from_utf8(line.target).map_err(|_| HttpStatus::BadRequest)?;
     let path = target.split_once('?').map_or(target, |(path, _)| path);
     let call = route(path)?;
-    if line.method == method_of(&call) {
+    if line.method == required_method(&call) {
         Ok(call)
     } else {
         Err(HttpStatus::MethodNotAllowed)
     }
 }
 
-/// Parses the first line and checks the form of the header fields, which are not used.
+/// Parses the request line. Checks the syntax of the header fields and discards them.
 fn parse_head(mut head: &[u8]) -> Option<RequestLine<'_>> {
     let token = || take_while::<_, _, ContextError>(1.., |c: u8| c.is_ascii_graphic() && c != b':');
     let target = take_till(1.., |c: u8| c.is_ascii_whitespace());
@@ -147,18 +151,19 @@
     Some(RequestLine { method, target, version })
 }
 
+/// Returns the call that a path stands for.
 fn route(path: &str) -> Result<AdminCall, HttpStatus> {
     match path.strip_prefix("/control/").unwrap_or_default() {
         "ready" => Ok(AdminCall::Ready),
         "out-of-service" => Ok(AdminCall::OutOfService),
         "in-service" => Ok(AdminCall::InService),
-        other => route_server(other),
+        server_path => route_server(server_path),
     }
 }
 
 fn route_server(path: &str) -> Result<AdminCall, HttpStatus> {
-    let parts = path.strip_prefix("data-servers/").and_then(|rest| rest.rsplit_once('/'));
-    let (id, action) = parts.ok_or(HttpStatus::NotFound)?;
+    let id_and_action = path.strip_prefix("data-servers/").and_then(|rest| rest.rsplit_once('/'));
+    let (id, action) = id_and_action.ok_or(HttpStatus::NotFound)?;
     if id.is_empty() || id.contains('/') {
         return Err(HttpStatus::NotFound);
     }
@@ -174,7 +179,7 @@
     Ok(id.into_owned())
 }
 
-fn method_of(call: &AdminCall) -> &'static [u8] {
+fn required_method(call: &AdminCall) -> &'static [u8] {
     match call {
         AdminCall::Ready => b"GET",
         AdminCall::Offline(_) | AdminCall::Online(_) | AdminCall::OutOfService | AdminCall::InService => {
--- a/src/net/admin/http/tests.rs
+++ b/src/net/admin/http/tests.rs
@@ -1,4 +1,4 @@
-//! Recorded bytes of responses.
+//! Tests with recorded bytes of responses.
 
 use rstest::rstest;
 
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,8 +1,9 @@
-//! The admin API: readiness, and what operators take out of service, over HTTP at an address of its own.
+//! The admin API: an HTTP server with an address of its own, which reports readiness and takes data
+//! servers or this process out of service.
 //!
-//! `http` parses calls and encodes responses, `server` owns the connections, and `out_of_service` the
-//! list of servers that are out of service with its file. [`AdminApi`] applies calls to the driver and to the
-//! client side. A call that changes the list succeeds only once the change is stored.
+//! `http` parses calls and encodes responses, `server` owns the connections, and `out_of_service` owns the
+//! list of servers that are out of service and the file that stores it. [`AdminApi`] applies calls to the
+//! driver and the client side. A call that changes the list succeeds only after the change is stored.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -21,25 +22,25 @@
 
 use http::Response;
 
-/// Time between two checks of the file and of discovery.
+/// Interval between checks for changes of the file, and between checks for the first endpoint list.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What calls act on.
+/// Applies admin calls to the components of a process.
 pub struct AdminApi {
-    /// The routing engine's driver.
+    /// Driver of the routing engine.
     pub driver: PgDriver,
-    /// The servers' names.
+    /// Endpoint list, with the ids and names of the servers.
     pub registry: SharedEndpointRegistry,
-    /// The client side.
+    /// Client side.
     pub clients: ClientService,
-    /// The servers that are out of service.
+    /// Servers that are out of service.
     pub out_of_service: OutOfServiceList,
-    /// Whether clients are accepted and the endpoint list is known.
+    /// Whether this process accepts clients and has an endpoint list, or has waited long enough for one.
     pub ready: Cell<bool>,
 }
 
 impl AdminApi {
-    /// Applies changes that other processes of this proxy instance store in the file. Never returns.
+    /// Applies the changes that other processes of this proxy instance store in the file. Never returns.
     pub async fn follow_file(&self) {
         let mut interval = tokio::time::interval(POLL_INTERVAL);
         loop {
@@ -48,36 +49,37 @@
         }
     }
 
-    /// Applies changes in the file at once. A file that cannot be read is logged, and nothing changes.
+    /// Reads the file if it has changed, and applies the changes. If the file cannot be read, logs the error
+    /// and changes nothing.
     pub fn sync_file(&self) {
         match self.out_of_service.reload() {
-            Ok(changes) => changes.iter().for_each(|change| self.apply(&change.uid, change.state)),
-            Err(e) => log::warn!("cannot reload the servers out of service: {e}"),
+            Ok(changes) => changes.iter().for_each(|change| self.apply_state(&change.uid, change.state)),
+            Err(e) => log::warn!("reloading the out-of-service list failed: {e}"),
         }
     }
 
-    /// Waits until discovery has received the endpoint list.
+    /// Waits until the discovery service has sent or confirmed the endpoint list.
     pub async fn wait_for_endpoints(&self) {
-        while !self.registry.borrow().is_live() {
+        while !self.registry.borrow().is_confirmed() {
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Has the routing engine use a server or leave it out.
-    fn apply(&self, uid: &str, state: ServiceState) {
+    /// Logs the new state of a server and sets it in the driver.
+    fn apply_state(&self, uid: &str, state: ServiceState) {
         match state {
-            ServiceState::OutOfService => log::info!("server {uid} was taken out of service"),
-            ServiceState::InService => log::info!("server {uid} was returned to service"),
+            ServiceState::OutOfService => log::info!("server {uid} taken out of service"),
+            ServiceState::InService => log::info!("server {uid} returned to service"),
         }
         let server = self.registry.borrow().server_id(uid);
         self.driver.set_out_of_service(server, state == ServiceState::OutOfService);
     }
 
-    fn answer(&self, call: AdminCall) -> Response {
+    fn handle_call(&self, call: AdminCall) -> Response {
         match call {
             AdminCall::Ready => self.readiness(),
-            AdminCall::Offline(uid) => self.set(&uid, ServiceState::OutOfService),
-            AdminCall::Online(uid) => self.set(&uid, ServiceState::InService),
+            AdminCall::Offline(uid) => self.set_state(&uid, ServiceState::OutOfService),
+            AdminCall::Online(uid) => self.set_state(&uid, ServiceState::InService),
             AdminCall::OutOfService => {
                 self.clients.take_out_of_service();
                 Response::new(HttpStatus::Ok, "out of service")
@@ -99,20 +101,21 @@
         }
     }
 
-    fn set(&self, uid: &str, state: ServiceState) -> Response {
-        self.sync_file(); // another process may have stored an earlier call
+    /// Stores the new state of a server and applies it.
+    fn set_state(&self, uid: &str, state: ServiceState) -> Response {
+        self.sync_file(); // another process may have stored a change
         if !self.registry.borrow().has_listed(uid) && !self.out_of_service.contains(uid) {
             return Response::new(HttpStatus::NotFound, "no such data server was ever listed");
         }
         let previous = self.out_of_service.state(uid);
         if let Err(e) = self.out_of_service.set(uid, state) {
-            log::warn!("cannot store the state {state:?} of server {uid}: {e}");
+            log::warn!("storing the state {state:?} of server {uid} failed: {e}");
             return Response::new(HttpStatus::InternalServerError, "it could not be written down");
         }
         if previous == state {
             return Response::new(HttpStatus::Ok, "as before");
         }
-        self.apply(uid, state);
+        self.apply_state(uid, state);
         let text = match state {
             ServiceState::OutOfService => "out",
             ServiceState::InService => "back",
--- a/src/net/admin/out_of_service.rs
+++ b/src/net/admin/out_of_service.rs
@@ -1,7 +1,8 @@
-//! The servers that operators have taken out of service, and the file that stores them.
+//! The list of servers that operators have taken out of service, and the file that stores it.
 //!
-//! All processes of a proxy instance share the file: one that is replaced, and its successor. A change is
-//! stored before it counts. The file is replaced as a whole, so that a reader never sees a part of it.
+//! All processes of a proxy instance share the file, for example a predecessor and its successor. A change is
+//! stored before it takes effect. The file is replaced atomically, so that a reader never sees a partial
+//! list.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -12,87 +13,89 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Whether operators let a server get requests.
+/// Whether operators have taken a data server out of service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServiceState {
-    /// The server may get requests.
+    /// The routing engine may use the server.
     InService,
-    /// An operator has taken the server out of service.
+    /// The routing engine does not use the server, because an operator has taken it out of service.
     OutOfService,
 }
 
-/// A server whose state has changed.
+/// Change of a server's state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceChange {
-    /// The server's name in the endpoint list.
+    /// Name of the server in the endpoint list.
     pub uid: String,
-    /// Its new state.
+    /// New state of the server.
     pub state: ServiceState,
 }
 
-/// A file that could not be read or written.
+/// Reason why the file could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum OutOfServiceError {
-    /// The file exists and cannot be read.
+    /// The file exists but cannot be read.
     #[error("cannot read {}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the system call.
         source: io::Error,
     },
-    /// The file has other content.
+    /// The content of the file is not a list of servers.
     #[error("cannot parse {}: {source}", path.display())]
     Parse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Error of the JSON decoder.
         source: serde_json::Error,
     },
-    /// The file cannot be replaced.
+    /// The new file cannot be written, or cannot replace the old one.
     #[error("cannot write {}: {source}", path.display())]
     Write {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the system call.
         source: io::Error,
     },
 }
 
-/// The content of the file.
+/// Content of the file.
 #[derive(Default, Serialize, Deserialize)]
 struct StoredList {
+    /// Names of the servers that are out of service.
     offline: BTreeSet<String>,
 }
 
-/// Identifies one version of the file. Each write makes a new inode.
+/// Identifies a version of the file. Each write creates a new inode.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct FileVersion {
     modified: SystemTime,
     inode: u64,
 }
 
-/// The names of the servers that are out of service.
+/// List of the servers that are out of service, by name.
 pub struct OutOfServiceList {
+    /// Path of the file; `None` if the list is not stored.
     file: Option<PathBuf>,
-    /// The version of the file that was read last.
+    /// Version of the file that [`Self::reload`] read last; `None` before the first read.
     version: Cell<Option<FileVersion>>,
     servers: RefCell<BTreeSet<String>>,
 }
 
 impl OutOfServiceList {
-    /// An empty list that is stored in `file`; without one, it lasts as long as the process. Reads nothing
-    /// yet.
+    /// Creates an empty list that is stored in `file`, without reading the file. If `file` is `None`, the
+    /// list is kept only until the process ends.
     pub fn new(file: Option<PathBuf>) -> Self {
         Self { file, version: Cell::default(), servers: RefCell::default() }
     }
 
-    /// Whether the server of this name is out of service.
+    /// Returns whether the server with this name is out of service.
     pub fn contains(&self, uid: &str) -> bool {
         self.servers.borrow().contains(uid)
     }
 
-    /// The state of the server of this name.
+    /// Returns the state of the server with this name.
     pub fn state(&self, uid: &str) -> ServiceState {
         if self.contains(uid) {
             ServiceState::OutOfService
@@ -101,7 +104,11 @@
         }
     }
 
-    /// Sets a server's state, and stores it. Nothing changes if that fails.
+    /// Stores the new state of a server and then sets it.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the file cannot be read or written. The list is then unchanged.
     pub fn set(&self, uid: &str, state: ServiceState) -> Result<(), OutOfServiceError> {
         let stored = self.read()?;
         let mut servers = stored.unwrap_or_else(|| self.servers.borrow().clone());
@@ -111,14 +118,18 @@
         };
         let list = StoredList { offline: servers };
         if let Some(file) = &self.file {
-            write(file, &list).map_err(|source| OutOfServiceError::Write { path: file.clone(), source })?;
+            replace_file(file, &list)
+                .map_err(|source| OutOfServiceError::Write { path: file.clone(), source })?;
         }
         self.servers.replace(list.offline);
         Ok(())
     }
 
-    /// Reads the file if it has changed since it was last read, and returns the servers whose state differs.
-    /// A file that cannot be read is not read again until it changes.
+    /// Reads the file if it has changed since the last call, and returns the servers whose state has changed.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the file cannot be read. The file is not read again until it changes.
     pub fn reload(&self) -> Result<Vec<ServiceChange>, OutOfServiceError> {
         let version = self.file.as_deref().and_then(file_version);
         if version.is_none() || version == self.version.get() {
@@ -132,7 +143,7 @@
         Ok(changed.map(|uid| ServiceChange { uid: uid.clone(), state: self.state(uid) }).collect())
     }
 
-    /// The content of the file; `None` if there is none.
+    /// Reads the list from the file. Returns `None` if there is no file.
     fn read(&self) -> Result<Option<BTreeSet<String>>, OutOfServiceError> {
         let Some(path) = &self.file else { return Ok(None) };
         let content = match std::fs::read(path) {
@@ -147,13 +158,14 @@
     }
 }
 
+/// Returns the current version of the file, or `None` if the file cannot be inspected.
 fn file_version(file: &Path) -> Option<FileVersion> {
     let metadata = std::fs::metadata(file).ok()?;
     Some(FileVersion { modified: metadata.modified().ok()?, inode: metadata.ino() })
 }
 
-/// Writes a new file and renames it to `file`.
-fn write(file: &Path, list: &StoredList) -> io::Result<()> {
+/// Replaces `file` atomically: writes a new file and renames it.
+fn replace_file(file: &Path, list: &StoredList) -> io::Result<()> {
     let new_file = file.with_extension(format!("new-{}", std::process::id()));
     std::fs::write(&new_file, serde_json::to_vec(list)?)?;
     std::fs::rename(&new_file, file)
--- a/src/net/admin/server.rs
+++ b/src/net/admin/server.rs
@@ -1,8 +1,8 @@
-//! The admin server: accepts connections and answers one call on each.
+//! The admin server: accepts connections and answers one call on each of them.
 //!
-//! [`run`] owns the task of each connection. A task ends once its call is answered, or after [`CALL_TIMEOUT`]
-//! for one that sends nothing. When there are too many, the oldest is aborted, so that idle callers do not
-//! keep others out. The errors of a connection are logged.
+//! [`run`] owns the task of each connection. A task ends when its call is answered; a call must be received
+//! within [`CALL_TIMEOUT`]. When the number of connections reaches [`MAX_CONNECTIONS`], the oldest one is
+//! aborted for a new one, so that idle connections do not block new calls. Errors of a connection are logged.
 
 use std::collections::VecDeque;
 use std::io::{self, IoSlice};
@@ -19,39 +19,43 @@
 use super::AdminApi;
 use crate::net::buffers::{self, write_all, BufferPool};
 
-/// Most connections at a time.
+/// Largest number of open connections.
 const MAX_CONNECTIONS: usize = 8;
-/// How long a caller may take to send its call.
+/// Time limit for receiving the head of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long the rest of what a caller sends is read.
+/// Time limit for reading and discarding what the caller sends after the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after which a failed accept is repeated.
+/// Pause after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// What ends the head of a call.
+/// End of the head of a call: the line end of the last line, and the empty line.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Why there is no call to answer.
+/// Reason why no call was read.
 #[derive(Debug, thiserror::Error)]
 enum ReadError {
-    #[error("the call is rejected with {0:?}")]
+    #[error("call rejected with status {0:?}")]
     Rejected(HttpStatus),
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Listens for calls. Fails if the address cannot be bound.
+/// Opens the listener of the admin API.
+///
+/// # Errors
+///
+/// Returns an error if the address cannot be bound.
 pub async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
 
-/// Answers calls. Never returns. Must run inside a [`tokio::task::LocalSet`].
+/// Accepts connections and answers calls. Never returns. Must run inside a [`tokio::task::LocalSet`].
 pub async fn run(listener: TcpListener, api: Rc<AdminApi>, pool: BufferPool) {
     let mut connections: VecDeque<AbortHandle> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log::warn!("admin connection: accept failed: {e}");
+                log::warn!("accept failed on the admin listener: {e}");
                 sleep(ACCEPT_RETRY_INTERVAL).await;
                 continue;
             }
@@ -65,23 +69,25 @@
     }
 }
 
+/// Serves a connection and logs its error.
 async fn serve_logged(stream: TcpStream, api: Rc<AdminApi>, pool: BufferPool) {
     if let Err(e) = serve(stream, &api, &pool).await {
-        log::debug!("admin connection: {e}");
+        log::debug!("admin connection failed: {e}");
     }
 }
 
+/// Reads one call, writes the response and closes the connection.
 async fn serve(mut stream: TcpStream, api: &AdminApi, pool: &BufferPool) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let call = timeout(CALL_TIMEOUT, read_call(&stream, pool)).await;
     let response = match call.unwrap_or(Err(ReadError::Rejected(HttpStatus::RequestTimeout))) {
-        Ok(call) => answer(api, call),
+        Ok(call) => handle_call(api, call),
         Err(ReadError::Rejected(status)) => Response::error(status),
         Err(ReadError::Io(e)) => return Err(e),
     };
     write_all(&stream, &mut [IoSlice::new(response.encode().as_bytes())]).await?;
     stream.shutdown().await?;
-    discard_rest(&stream, pool).await;
+    discard_input(&stream, pool).await;
     Ok(())
 }
 
@@ -108,15 +114,16 @@
     }
 }
 
-fn answer(api: &AdminApi, call: AdminCall) -> Response {
-    let response = api.answer(call.clone());
-    log::debug!("admin call {call:?}: {} {}", response.status.code(), response.text);
+/// Executes a call and logs the response.
+fn handle_call(api: &AdminApi, call: AdminCall) -> Response {
+    let response = api.handle_call(call.clone());
+    log::debug!("admin call {call:?} answered: {} {}", response.status.code(), response.text);
     response
 }
 
-/// Reads what the caller still sends. To close a connection with unread bytes would reset it, and the caller
-/// could lose the response.
-async fn discard_rest(stream: &TcpStream, pool: &BufferPool) {
+/// Reads and discards bytes until the caller closes its side, for at most [`LINGER_TIMEOUT`]. Closing a
+/// socket with unread bytes resets the connection, and the caller could lose the response.
+async fn discard_input(stream: &TcpStream, pool: &BufferPool) {
     let read_to_end = async { while pool.chain().read_from(stream).await.is_ok_and(|length| length > 0) {} };
     let _ = timeout(LINGER_TIMEOUT, read_to_end).await;
 }
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -1,8 +1,9 @@
-//! Polls and watches the endpoint list as the routing engine commands.
+//! Polls and watches the endpoint list on command of the routing engine.
 //!
-//! [`run`] owns the task of the current poll or watch, and at most one runs at a time, so that a late
-//! response cannot undo the update of a newer one. The task reports updates to the driver. If it fails, it
-//! logs the error and reports [`EndpointUpdate::Failed`]; the engine then decides when to try again.
+//! [`run`] owns the task of the current poll or watch. At most one such task runs at a time, so that a late
+//! response of an older poll or watch cannot overwrite a newer update. The task reports updates to the
+//! driver. A task that fails logs the error and reports [`EndpointUpdate::Failed`]; the routing engine then
+//! decides when to retry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,20 +19,20 @@
 use crate::net::driver::DiscoveryCommand;
 use crate::net::server::PgDriver;
 
-/// Time after which a watch without a complete line has failed; the service sends a line every 2 s. Changes
-/// count as missed 6 s after the last line. Until then there is time to connect again (after at most 0.75 s),
-/// fail within 0.5 s, and connect once more (1.5 s later).
+/// Time limit for the next complete line of a watch. The service sends a line every 2 s, and changes count as
+/// missed 6 s after the last line. The remaining time is enough to reconnect (after at most 0.75 s), to fail
+/// within 0.5 s and to reconnect again (1.5 s later).
 const WATCH_TIMEOUT: Duration = Duration::from_millis(2700);
 
-/// Carries out the commands of the driver until the driver is dropped. When the address of the `service`
-/// changes, the current poll or watch starts again at the new address.
+/// Carries out the driver's commands until the driver is dropped. When the address of the discovery service
+/// in `service` changes, restarts the current poll or watch at the new address.
 pub async fn run(
     driver: PgDriver,
     mut commands: UnboundedReceiver<DiscoveryCommand>,
     mut service: watch::Receiver<SocketAddr>,
     registry: SharedEndpointRegistry,
 ) {
-    let mut current: Option<Call> = None;
+    let mut current: Option<ActiveRequest> = None;
     loop {
         let command = tokio::select! {
             command = commands.recv() => match command {
@@ -39,48 +40,51 @@
                 None => return,
             },
             Ok(()) = service.changed() => match &current {
-                Some(call) => call.command,
+                Some(request) => request.command,
                 None => continue,
             },
         };
-        // The previous call has ended, has not been answered, or is not trusted any more.
+        // The previous poll or watch has ended, is unanswered, or is obsolete because of the new command or
+        // the new address.
         drop(current.take());
         let kind = match command {
             DiscoveryCommand::Watch(false) => continue,
-            DiscoveryCommand::Watch(true) => CallKind::Watch,
-            DiscoveryCommand::Poll => CallKind::Poll,
+            DiscoveryCommand::Watch(true) => RequestKind::Watch,
+            DiscoveryCommand::Poll => RequestKind::Poll,
         };
         let service = *service.borrow_and_update();
-        let task = tokio::task::spawn_local(call(kind, service, driver.clone(), registry.clone()));
-        current = Some(Call { command, task });
+        let task = tokio::task::spawn_local(fetch(kind, service, driver.clone(), registry.clone()));
+        current = Some(ActiveRequest { command, task });
     }
 }
 
+/// Kind of a request to the discovery service.
 #[derive(Debug, Clone, Copy)]
-enum CallKind {
+enum RequestKind {
     Poll,
     Watch,
 }
 
-/// The current poll or watch. Its task is aborted when this is dropped.
-struct Call {
+/// The current poll or watch. Dropping it aborts its task.
+struct ActiveRequest {
     command: DiscoveryCommand,
     task: JoinHandle<()>,
 }
 
-impl Drop for Call {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-async fn call(kind: CallKind, service: SocketAddr, driver: PgDriver, registry: SharedEndpointRegistry) {
-    let (result, failure) = match kind {
-        CallKind::Poll => (poll_list(service, &driver, &registry).await, "call failed"),
-        CallKind::Watch => (watch_list(service, &driver, &registry).await, "watch ended"),
+/// Polls or watches the list. Logs a failure and reports it to the driver.
+async fn fetch(kind: RequestKind, service: SocketAddr, driver: PgDriver, registry: SharedEndpointRegistry) {
+    let (result, event) = match kind {
+        RequestKind::Poll => (poll_list(service, &driver, &registry).await, "poll failed"),
+        RequestKind::Watch => (watch_list(service, &driver, &registry).await, "watch failed"),
     };
     if let Err(error) = result {
-        log::warn!("discovery {failure}: {error}");
+        log::warn!("discovery {event}: {error}");
         driver.endpoints_updated(EndpointUpdate::Failed, []);
     }
 }
@@ -116,9 +120,10 @@
                 let update = registry.borrow_mut().apply(list)?;
                 report(driver, update);
             }
-            // An empty first line says that nothing has changed since `revision`. Later ones are heartbeats.
+            // An empty first line means that the list has not changed since `revision`. Later empty lines are
+            // heartbeats.
             None if is_first => {
-                registry.borrow_mut().mark_live();
+                registry.borrow_mut().mark_confirmed();
                 driver.endpoints_updated(EndpointUpdate::Changes(Vec::new()), []);
             }
             None => {}
@@ -127,6 +132,7 @@
     }
 }
 
+/// Reports an update of the list to the driver.
 fn report(driver: &PgDriver, RegistryUpdate { update, addresses }: RegistryUpdate) {
     driver.endpoints_updated(update, addresses);
 }
--- a/src/net/discovery/mod.rs
+++ b/src/net/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! Discovery: the endpoint list, received over HTTP/1.1 by polls and watches.
+//! Discovery: receives the endpoint list over HTTP/1.1, by polls and watches.
 //!
-//! The [`EndpointRegistry`] keeps the list and the ids of its servers. [`run`] polls and watches the service
-//! as the routing engine commands, and reports each update or failure to the driver.
+//! The [`EndpointRegistry`] stores the list and the ids of its servers. [`run`] polls or watches the
+//! discovery service on command of the routing engine, and reports each update or failure to the driver.
 
 mod client;
 mod error;
--- a/src/net/discovery/registry.rs
+++ b/src/net/discovery/registry.rs
@@ -1,7 +1,8 @@
-//! The endpoint list as it was last received, and the ids of its servers.
+//! The current endpoint list, and the ids of its servers.
 //!
-//! Ids are hashes of names, so that all proxy instances order servers alike. The id of a server that was
-//! removed stays known until the next update, so that its removal can still be logged and passed on by name.
+//! A server's id is a hash of its name, so that all proxy instances order the servers in the same way. The id
+//! of a removed server stays registered until the next update, so that the removal can be logged and reported
+//! to the peer by name.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -14,34 +15,37 @@
 use crate::net::driver::Clock;
 use crate::settings::NameTable;
 
-/// How many names are kept of servers that the list has or had.
+/// Largest number of names that are kept of servers that the list contains or contained.
 const MAX_RECENTLY_LISTED: usize = 4096;
-/// The state of an entry whose server was removed from the list.
+/// State of an entry whose server was removed from the list.
 const REMOVED_STATE: &str = "Gone";
 
-/// Converts endpoint lists to updates for the routing engine, and maps ids to names.
+/// Stores the endpoint list, converts lists to updates for the routing engine, and maps ids to names.
 pub struct EndpointRegistry {
     name_table: NameTable,
     clock: Clock,
+    /// Names of the servers in the list and of those that the last update removed.
     names_by_id: BTreeMap<ServerId, String>,
     /// Servers that the last update removed.
     removed: Vec<ServerId>,
-    /// The current list, by server name.
-    cached: BTreeMap<String, ListedEndpoint>,
-    /// The names that were listed last, the current ones included.
+    /// Entries of the current list, by server name.
+    endpoints_by_name: BTreeMap<String, ListedEndpoint>,
+    /// Names of servers that the list contains or contained, oldest first.
     recently_listed: VecDeque<String>,
+    /// Revision of the current list; 0 if the next watch must start with the complete list.
     revision: u64,
-    is_live: bool,
+    /// Whether the service has confirmed the list since this process started.
+    is_confirmed: bool,
 }
 
-/// A registry that discovery and the admin API share.
+/// The registry that discovery, the admin API and hot restart share.
 pub type SharedEndpointRegistry = Rc<RefCell<EndpointRegistry>>;
 
 /// An update of the endpoint list.
 pub struct RegistryUpdate {
     /// The update for the routing engine.
     pub update: EndpointUpdate,
-    /// The address of each server in it.
+    /// Addresses of the servers in the update.
     pub addresses: Vec<(ServerId, SocketAddr)>,
 }
 
@@ -53,25 +57,26 @@
             clock,
             names_by_id: BTreeMap::new(),
             removed: Vec::new(),
-            cached: BTreeMap::new(),
+            endpoints_by_name: BTreeMap::new(),
             recently_listed: VecDeque::new(),
             revision: 0,
-            is_live: false,
+            is_confirmed: false,
         }
     }
 
     /// Applies a list that the service sent.
     ///
     /// # Errors
-    /// [`DiscoveryError::RevisionWentBack`] for changes whose revision is older than the cached one. They do
-    /// not apply to the cached list, and the next watch starts with the complete list.
+    ///
+    /// Returns [`DiscoveryError::RevisionWentBack`] for changes whose revision is older than that of the
+    /// current list. Such changes are not applied, and the next watch starts with the complete list.
     pub fn apply(&mut self, list: EndpointList) -> Result<RegistryUpdate, DiscoveryError> {
         if !list.complete && list.revision < self.revision {
             let error = DiscoveryError::RevisionWentBack { cached: self.revision, received: list.revision };
             self.revision = 0;
             return Err(error);
         }
-        self.is_live = true;
+        self.is_confirmed = true;
         let is_complete = list.complete;
         let (entries, addresses) = self.merge_list(list);
         let update =
@@ -79,43 +84,44 @@
         Ok(RegistryUpdate { update, addresses })
     }
 
-    /// Applies a list from the configuration or from the predecessor process.
+    /// Applies a list from the configuration or from the predecessor, which the service has not confirmed.
     pub fn apply_cached(&mut self, list: EndpointList) -> RegistryUpdate {
         let (entries, addresses) = self.merge_list(list);
         RegistryUpdate { update: EndpointUpdate::Cached(entries), addresses }
     }
 
-    /// Merges a list into the cached one. Returns its entries and their addresses.
+    /// Merges a list into the current list. Returns the entries of the given list and their addresses.
     fn merge_list(&mut self, list: EndpointList) -> (Vec<Endpoint>, Vec<(ServerId, SocketAddr)>) {
         self.revision = list.revision;
         for id in self.removed.drain(..) {
             self.names_by_id.remove(&id);
         }
         if list.complete {
-            self.cached.clear();
+            self.endpoints_by_name.clear();
         }
         let mut addresses = Vec::new();
         let mut entries = Vec::new();
         for listed in list.endpoints {
             let server = self.register(&listed);
             addresses.push((server, listed.address));
-            entries.push(self.endpoint(server, &listed));
+            entries.push(self.convert_endpoint(server, &listed));
         }
-        self.note_removed(&entries, list.complete);
+        self.record_removed(&entries, list.complete);
         (entries, addresses)
     }
 
-    /// Updates the cached list, and gives the server an id.
+    /// Updates the current list with an entry, and returns the server's id.
     fn register(&mut self, listed: &ListedEndpoint) -> ServerId {
         if listed.state == REMOVED_STATE {
-            self.cached.remove(&listed.name);
+            self.endpoints_by_name.remove(&listed.name);
         } else {
-            self.cached.insert(listed.name.clone(), listed.clone());
+            self.endpoints_by_name.insert(listed.name.clone(), listed.clone());
         }
         self.assign_id(&listed.name)
     }
 
-    fn endpoint(&mut self, server: ServerId, listed: &ListedEndpoint) -> Endpoint {
+    /// Converts an entry of the list to an endpoint for the routing engine.
+    fn convert_endpoint(&mut self, server: ServerId, listed: &ListedEndpoint) -> Endpoint {
         let started_unix_ms = Some(listed.started_unix_ms).filter(|unix_ms| *unix_ms > 0.0);
         Endpoint {
             server,
@@ -126,7 +132,7 @@
             state: match listed.state.as_str() {
                 "Ready" => EndpointState::Healthy,
                 REMOVED_STATE => EndpointState::Removed,
-                // A server in an unknown state gets no new attempts.
+                // `Terminating`, or a state that this build does not know: the server gets no new attempts.
                 _ => EndpointState::Draining,
             },
             relative_capacity: listed.relative_capacity.unwrap_or(1.0),
@@ -134,7 +140,9 @@
         }
     }
 
-    fn note_removed(&mut self, entries: &[Endpoint], is_complete: bool) {
+    /// Records the servers that an update removes: those marked as removed, and those that a complete list
+    /// does not contain.
+    fn record_removed(&mut self, entries: &[Endpoint], is_complete: bool) {
         let removed = entries.iter().filter(|entry| entry.state == EndpointState::Removed);
         self.removed.extend(removed.map(|entry| entry.server));
         if is_complete {
@@ -143,52 +151,53 @@
         }
     }
 
-    /// The number of the zone of this name.
+    /// Returns the number of the zone with this name.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         self.name_table.zone(name)
     }
 
-    /// The current list.
+    /// Returns the current list.
     pub fn endpoint_list(&self) -> EndpointList {
         EndpointList {
             revision: self.revision,
             complete: true,
-            endpoints: self.cached.values().cloned().collect(),
+            endpoints: self.endpoints_by_name.values().cloned().collect(),
         }
     }
 
-    /// The revision of the current list; 0 if the next watch must start with the complete list.
+    /// Returns the revision of the current list; 0 if the next watch must start with the complete list.
     pub(super) fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The ids and names of the servers in the list.
-    pub fn names(&self) -> Vec<(u32, String)> {
+    /// Returns the ids and names of the servers in the list, including those that the last update removed.
+    pub fn server_names(&self) -> Vec<(u32, String)> {
         self.names_by_id.iter().map(|(id, name)| (id.0, name.clone())).collect()
     }
 
-    /// The name of a server, if it is in the list.
-    pub fn name(&self, server: ServerId) -> Option<&str> {
+    /// Returns the name of a server, or `None` if the server is neither in the list nor among those that the
+    /// last update removed.
+    pub fn server_name(&self, server: ServerId) -> Option<&str> {
         self.names_by_id.get(&server).map(String::as_str)
     }
 
-    /// Whether the service itself has confirmed the list since the process started.
-    pub fn is_live(&self) -> bool {
-        self.is_live
+    /// Returns whether the service has confirmed the list since this process started.
+    pub fn is_confirmed(&self) -> bool {
+        self.is_confirmed
     }
 
     /// Records that the service has confirmed the current list.
-    pub(super) fn mark_live(&mut self) {
-        self.is_live = true;
+    pub(super) fn mark_confirmed(&mut self) {
+        self.is_confirmed = true;
     }
 
-    /// Whether the list has a server or had it recently.
+    /// Returns whether the list contains a server with this name, or contained one recently.
     pub fn has_listed(&self, name: &str) -> bool {
         self.recently_listed.iter().any(|listed| listed == name)
     }
 
-    /// The id of a server, listed or not: a hash of its name, or the next free number if another server has
-    /// that one.
+    /// Returns the id of a server, listed or not: the hash of its name, or the next free number if that id
+    /// belongs to another server.
     pub fn server_id(&self, name: &str) -> ServerId {
         let mut id = ServerId(fnv1a(name));
         while self.names_by_id.get(&id).is_some_and(|other| other != name) {
@@ -197,10 +206,11 @@
         id
     }
 
+    /// Registers the id of a listed server and returns it.
     fn assign_id(&mut self, name: &str) -> ServerId {
         let id = self.server_id(name);
         if self.names_by_id.insert(id, name.to_owned()).is_none() {
-            log::info!("server {} is {name}", id.0);
+            log::info!("server id {} assigned to {name}", id.0);
             if !self.has_listed(name) {
                 self.recently_listed.push_back(name.to_owned());
                 let excess = self.recently_listed.len().saturating_sub(MAX_RECENTLY_LISTED);
@@ -211,7 +221,7 @@
     }
 }
 
-/// The 32-bit FNV-1a hash.
+/// Returns the 32-bit FNV-1a hash of a text.
 fn fnv1a(text: &str) -> u32 {
     const OFFSET_BASIS: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
--- a/src/net/discovery/response.rs
+++ b/src/net/discovery/response.rs
@@ -1,7 +1,7 @@
-//! A GET request to the discovery service, and its response as it is received.
+//! Sends a GET request to the discovery service and reads its response.
 //!
-//! Owns the connection and the bytes that were received and not used yet. Each read has a deadline, and the
-//! number of buffered bytes has a limit.
+//! [`HttpResponse`] owns the connection and the received bytes that were not returned yet. Each read has a
+//! deadline, and the number of buffered bytes is limited.
 
 use std::io::IoSlice;
 use std::net::SocketAddr;
@@ -11,30 +11,30 @@
 use tokio::time::{timeout, timeout_at, Instant};
 
 use super::error::DiscoveryError;
-use super::http::{find, parse_response_head, BodyDecoder, BodyFraming, ResponseHead};
+use super::http::{find_subslice, parse_response_head, BodyDecoder, BodyFraming, ResponseHead};
 use crate::endpoint_list::EndpointList;
 use crate::net::buffers::{write_all, BufferPool};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time for a complete response, the connection included. The service works off its requests one after
-/// another and rejects those that have waited for 2 s.
+/// Time limit for a complete response, including the connect. The service processes its requests one after
+/// another and rejects requests that have waited for 2 s.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2500);
-/// The most bytes that are buffered of a response's head, or of a list.
+/// Largest number of bytes that are buffered for the head of a response or for a list.
 const MAX_BUFFERED_BYTES: usize = 4 << 20;
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A response with status 200.
+/// A response with status 200, whose body is read incrementally.
 pub(super) struct HttpResponse {
     stream: TcpStream,
     pool: BufferPool,
-    /// Bytes as they were received, still in their framing.
+    /// Received bytes that were not decoded yet.
     received: Vec<u8>,
-    /// Bytes of the body that were not returned yet.
+    /// Decoded bytes of the body that were not returned yet.
     body: Vec<u8>,
     decoder: BodyDecoder,
-    /// Bytes at the start of `body` that are known not to complete a value.
-    searched: usize,
-    /// When the part that is read at present must be complete.
+    /// Number of bytes at the start of `body` that are known not to contain a complete list.
+    scanned_bytes: usize,
+    /// Time by which the part that is being read must be complete.
     deadline: Instant,
 }
 
@@ -55,7 +55,7 @@
             received: Vec::new(),
             body: Vec::new(),
             decoder: BodyDecoder::new(BodyFraming::UntilClose),
-            searched: 0,
+            scanned_bytes: 0,
             deadline,
         };
         let head = response.read_head().await?;
@@ -69,18 +69,18 @@
 
     async fn read_head(&mut self) -> Result<ResponseHead, DiscoveryError> {
         let end = loop {
-            if let Some(end) = find(&self.received, HEAD_END) {
+            if let Some(end) = find_subslice(&self.received, HEAD_END) {
                 break end;
             }
             self.receive().await?;
         };
-        // The line end of the last field belongs to the head.
+        // The line end of the last header field belongs to the head.
         let head = parse_response_head(&self.received[..end + 2]).ok_or(DiscoveryError::MalformedHead)?;
         self.received.drain(..end + HEAD_END.len());
         Ok(head)
     }
 
-    /// Reads once from the connection.
+    /// Reads once from the connection and buffers the bytes.
     async fn receive(&mut self) -> Result<(), DiscoveryError> {
         let mut chain = self.pool.chain();
         let Ok(read) = timeout_at(self.deadline, chain.read_from(&self.stream)).await else {
@@ -102,16 +102,16 @@
         self.decoder.decode(&mut self.received, &mut self.body)
     }
 
-    /// Gives the next part of a watch this much time from now on.
-    pub(super) fn extend_deadline(&mut self, time: Duration) {
-        self.deadline = Instant::now() + time;
+    /// Sets the deadline for the next line of a watch to `timeout` from now.
+    pub(super) fn extend_deadline(&mut self, timeout: Duration) {
+        self.deadline = Instant::now() + timeout;
     }
 
-    /// Reads the rest of the body as one list.
+    /// Reads the whole body and decodes it as one list.
     pub(super) async fn into_list(mut self) -> Result<EndpointList, DiscoveryError> {
         while !self.decoder.is_complete() {
             match self.receive().await {
-                Err(DiscoveryError::UnexpectedEnd) if self.decoder.ends_with_connection() => break,
+                Err(DiscoveryError::UnexpectedEnd) if self.decoder.is_close_delimited() => break,
                 received => received?,
             }
             self.decode()?;
@@ -119,7 +119,7 @@
         Ok(serde_json::from_slice(&self.body)?)
     }
 
-    /// Reads the next list of a watch, however its JSON is laid out. Returns `None` for an empty line.
+    /// Reads the next list of a watch, whose JSON may span several lines. Returns `None` for an empty line.
     pub(super) async fn next_list(&mut self) -> Result<Option<EndpointList>, DiscoveryError> {
         loop {
             if self.take_empty_line() {
@@ -136,23 +136,23 @@
         }
     }
 
-    /// Takes a line from the start of the body if it has nothing but white space.
+    /// Removes the first line of `body` if it contains only white space. Returns whether it did.
     fn take_empty_line(&mut self) -> bool {
         let first = self.body.iter().position(|byte| *byte == b'\n' || !byte.is_ascii_whitespace());
         match first {
             Some(end) if self.body[end] == b'\n' => {
                 self.body.drain(..=end);
-                self.searched = 0;
+                self.scanned_bytes = 0;
                 true
             }
             _ => false,
         }
     }
 
-    /// Takes a list from the start of the body if it is there completely.
+    /// Removes the list at the start of `body` and returns it, or `None` if the list is not complete yet.
     fn take_list(&mut self) -> Result<Option<EndpointList>, DiscoveryError> {
-        // A list ends with a brace, so it is not parsed again before another one is received.
-        if self.body[self.searched..].contains(&b'}') {
+        // A list ends with a closing brace. It is parsed again only when another closing brace has arrived.
+        if self.body[self.scanned_bytes..].contains(&b'}') {
             let mut values = serde_json::Deserializer::from_slice(&self.body).into_iter();
             match values.next() {
                 Some(Err(error)) if error.is_eof() => {}
@@ -160,13 +160,13 @@
                     let list = list?;
                     let end = values.byte_offset();
                     self.body.drain(..end);
-                    self.searched = 0;
+                    self.scanned_bytes = 0;
                     return Ok(Some(list));
                 }
                 None => {}
             }
         }
-        self.searched = self.body.len();
+        self.scanned_bytes = self.body.len();
         Ok(None)
     }
 }
--- a/src/net/hot_restart/error.rs
+++ b/src/net/hot_restart/error.rs
@@ -1,4 +1,4 @@
-//! Why a handover failed.
+//! Errors of a handover.
 
 use std::io;
 
@@ -7,26 +7,26 @@
 use super::frame::{FrameError, FrameKind};
 use super::state::{Hello, StateError};
 
-/// A step of a hot restart that failed.
+/// Reason why a step of a hot restart failed.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum HandoverError {
     #[error(transparent)]
     Frame(#[from] FrameError),
     #[error(transparent)]
     State(#[from] StateError),
-    #[error("unexpected frame {0:?}")]
+    #[error("received an unexpected frame: {0:?}")]
     UnexpectedFrame(FrameKind),
-    #[error("unexpected message {0:#04x} from a build before 0.2")]
+    #[error("received an unexpected message from a build before 0.2: kind {0:#04x}")]
     UnexpectedLegacyMessage(u8),
-    #[error("the state was received before the listener")]
+    #[error("received the state before the listener")]
     MissingListener,
-    #[error("{found} is no successor of {expected}")]
+    #[error("hello mismatch: received {found}, expected {expected}")]
     HelloMismatch { found: Hello, expected: Hello },
-    #[error("a newer process listens there")]
+    #[error("a newer process listens on the handover socket")]
     NewerProcess,
-    #[error("the connection closed during the handover")]
+    #[error("connection closed during the handover")]
     ConnectionClosed,
-    #[error("timed out")]
+    #[error("timed out waiting for the other process")]
     Timeout(#[from] Elapsed),
     #[error(transparent)]
     Io(#[from] io::Error),
--- a/src/net/hot_restart/frame.rs
+++ b/src/net/hot_restart/frame.rs
@@ -1,8 +1,8 @@
-//! The frame format between a process and its successor.
+//! Frame format of the handover connection between a process and its successor.
 //!
-//! A frame is a header of 9 bytes and a payload. The header holds the kind (1 byte), the payload's length and
-//! its CRC-32 (4 bytes each, big-endian). Frames of some kinds carry a file descriptor with their first byte.
-//! Holds no state.
+//! A frame is a header of 9 bytes and a payload. The header contains the kind (1 byte), and the length and
+//! the CRC-32 of the payload (4 bytes each, big-endian). The first byte of a frame carries a file descriptor
+//! if the kind requires one. This module holds no state.
 
 use std::io;
 use std::os::fd::{BorrowedFd, OwnedFd};
@@ -11,44 +11,44 @@
 
 use super::socket::{read_exactly, receive_with_descriptor, send_with_descriptor, write_all};
 
-// The paths at which the program and the client side use these.
+// Re-exported because the program and the client side import these names from this module.
 pub use super::predecessor::{inherit, Predecessor, PredecessorStatus};
 pub use super::state::{HandoverState, Hello};
 pub use super::successor::Successor;
 
-/// Longest payload in bytes.
+/// Length in bytes of the longest payload.
 const MAX_PAYLOAD_BYTES: u32 = 16 << 20;
-/// Length of a header in bytes.
+/// Length of the header in bytes.
 const HEADER_BYTES: usize = 9;
 
-/// A frame that could not be sent or received.
+/// Reason why a frame could not be sent or received.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The payload is longer than 16 MiB.
-    #[error("the payload of a frame is too long")]
+    /// The payload is longer than 16 MiB, or the state of a build before 0.2 is longer than 1 MiB.
+    #[error("frame payload is too long")]
     TooLong,
-    /// The header has a kind that this build does not know.
+    /// The header contains a kind that this build does not support.
     #[error("unknown frame kind {0:#04x}")]
     UnknownKind(u8),
     /// The payload does not match the checksum in the header.
-    #[error("the checksum of a frame does not match")]
+    #[error("frame payload does not match its checksum")]
     Checksum,
-    /// The kind carries a descriptor, and none was received: the limit on open files may be reached.
-    #[error("the file descriptor of a frame was lost")]
+    /// The kind requires a descriptor, but none was received. The limit on open files may have been reached.
+    #[error("frame has no file descriptor")]
     MissingDescriptor,
-    /// The payload should be a 32-bit number.
-    #[error("the payload of a frame is not a 32-bit number")]
+    /// The payload must be a 32-bit number and has another length.
+    #[error("frame payload is not a 32-bit number")]
     NotANumber,
     /// The stream ended within a frame.
-    #[error("the connection closed within a frame")]
+    #[error("connection closed within a frame")]
     Truncated,
-    /// Reading or writing failed.
+    /// A read or write on the connection failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
 impl FrameError {
-    /// Whether the fault is in this frame and not in the connection, so that further frames may be received.
+    /// Returns whether the error concerns only this frame, so that the receiver may read the next one.
     pub(super) fn is_malformed(&self) -> bool {
         match self {
             Self::TooLong
@@ -61,10 +61,10 @@
     }
 }
 
-/// The kind of a frame.
+/// Kind of a frame, which determines the direction and the payload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum FrameKind {
-    /// To the predecessor: who the successor is, as JSON.
+    /// To the predecessor: protocol version and proxy instance of the successor, as JSON.
     Hello,
     /// To the successor: the listening socket.
     Listener,
@@ -72,13 +72,16 @@
     PeerChannel,
     /// To the successor: the state, as JSON.
     HandoverState,
-    /// To the predecessor: the successor is about to accept clients.
+    /// To the predecessor: the successor is ready to accept clients. No payload.
     Ready,
-    /// To the successor: how many clients it may have for now. The predecessor accepts no more clients.
+    /// To the successor: the successor's client limit, as a 32-bit number. The predecessor has stopped
+    /// accepting clients.
     ClientLimit,
-    /// To the predecessor: the successor timed out. It serves in parallel and takes nothing over.
+    /// To the predecessor: the successor's request for the handover timed out. The successor serves in
+    /// parallel and takes over nothing. No payload.
     ServesInParallel,
-    /// To the successor: a client connection without a request in flight; whether its startup is complete.
+    /// To the successor: a client connection without a request in flight. The payload is one byte: 1 if the
+    /// startup of the client is complete, otherwise 0.
     Client,
 }
 
@@ -115,7 +118,7 @@
     }
 }
 
-/// The part of a frame before its payload.
+/// Header of a frame.
 struct Header {
     kind: FrameKind,
     /// Length of the payload in bytes.
@@ -125,7 +128,7 @@
 }
 
 impl Header {
-    fn of(kind: FrameKind, payload: &[u8]) -> Result<Self, FrameError> {
+    fn for_payload(kind: FrameKind, payload: &[u8]) -> Result<Self, FrameError> {
         let length = u32::try_from(payload.len()).map_err(|_| FrameError::TooLong)?;
         if length > MAX_PAYLOAD_BYTES {
             return Err(FrameError::TooLong);
@@ -157,36 +160,36 @@
 pub(super) struct Frame {
     pub kind: FrameKind,
     pub payload: Vec<u8>,
-    /// Present in each frame whose kind carries one.
+    /// Received descriptor; always present if the kind requires one.
     pub descriptor: Option<OwnedFd>,
 }
 
 impl Frame {
-    /// The payload as a big-endian number.
+    /// Decodes the payload as a big-endian number.
     pub fn payload_as_u32(&self) -> Result<u32, FrameError> {
         let bytes = self.payload[..].try_into().map_err(|_| FrameError::NotANumber)?;
         Ok(u32::from_be_bytes(bytes))
     }
 }
 
-/// Sends a frame, with a descriptor where its kind carries one.
+/// Sends a frame. `descriptor` must be present if the kind requires one.
 pub(super) async fn send(
     stream: &UnixStream,
     kind: FrameKind,
     payload: &[u8],
     descriptor: Option<BorrowedFd<'_>>,
 ) -> Result<(), FrameError> {
-    let mut bytes = Header::of(kind, payload)?.encode().to_vec();
+    let mut bytes = Header::for_payload(kind, payload)?.encode().to_vec();
     bytes.extend_from_slice(payload);
     let sent = send_with_descriptor(stream, &bytes, descriptor).await?;
     if sent < HEADER_BYTES {
-        // The kernel sends so few bytes at once or not at all.
+        // Not expected: the kernel sends this few bytes either completely or not at all.
         return Err(FrameError::Io(io::ErrorKind::WriteZero.into()));
     }
     Ok(write_all(stream, &bytes[sent..]).await?)
 }
 
-/// Receives the next frame; `None` at the end of the stream.
+/// Receives the next frame. Returns `None` at the end of the stream.
 pub(super) async fn receive(stream: &UnixStream) -> Result<Option<Frame>, FrameError> {
     let mut bytes = [0; HEADER_BYTES];
     let mut length = 0;
@@ -197,7 +200,7 @@
         match received.length {
             0 if length == 0 => return Ok(None),
             0 => return Err(FrameError::Truncated),
-            more => length += more,
+            count => length += count,
         }
         descriptor = received.descriptor.or(descriptor);
     }
--- a/src/net/hot_restart/handover.rs
+++ b/src/net/hot_restart/handover.rs
@@ -1,9 +1,9 @@
-//! The running process: waits for successors on a Unix socket, and hands over to them.
+//! Predecessor's side of a hot restart: waits for successors on a Unix socket and hands over to them.
 //!
-//! Owns the socket file and the connection to the successor. A successor is served until either process
-//! exits; then the next one is waited for. Only connections without a request in flight are handed over. The
-//! caller of [`run`] owns its task; no further task is spawned here but that of the `PeerChannel`, and
-//! errors are logged.
+//! This module owns the socket file and the connection to the successor. It serves one successor at a time,
+//! until either process exits, and then waits for the next one. The client side hands over only connections
+//! without a request in flight. The caller of [`run`] owns its task. The `PeerChannel` spawns the only other
+//! task. Errors are logged.
 
 use std::os::fd::{AsFd, OwnedFd};
 use std::os::unix::fs::MetadataExt;
@@ -17,35 +17,36 @@
 
 use super::error::HandoverError;
 use super::frame::{receive, send, FrameKind};
-use super::peer_channel::{pair, PeerChannel};
+use super::peer_channel::{socket_pair, PeerChannel};
 use super::socket::wait_until_closed;
 use super::state::{HandoverState, Hello};
 use super::successor::Successor;
 
 pub use super::shared_resources::SharedResources;
 
-/// How long a successor may take to send its hello.
+/// Time limit for receiving the hello of a successor.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after which a failed attempt to listen is repeated.
+/// Delay before a failed attempt to listen is retried.
 const LISTEN_RETRY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The Unix socket on which a process waits for its successor.
+/// Unix socket on which a process waits for its successor.
 struct HandoverSocket {
     path: PathBuf,
-    /// Inode of the socket file that this process created.
+    /// Inode of the socket file that this process created last; `None` before the first attempt to listen.
     inode: Option<u64>,
 }
 
 impl HandoverSocket {
-    /// Waits for a connection. The newest process owns the path: an older one takes it back only if that is
-    /// gone.
+    /// Listens on the path until a successor connects. The path belongs to the newest process. A process
+    /// whose socket file was replaced listens on the path again only if no other process accepts connections
+    /// there.
     async fn accept(&mut self) -> Result<UnixStream, HandoverError> {
         let current = inode(&self.path);
         let replaced = self.inode.is_some() && current.is_some() && current != self.inode;
         if replaced && UnixStream::connect(&self.path).await.is_ok() {
             return Err(HandoverError::NewerProcess);
         }
-        let _ = std::fs::remove_file(&self.path); // a process that is gone may have left one
+        let _ = std::fs::remove_file(&self.path); // an exited process may have left the file
         let listener = UnixListener::bind(&self.path)?;
         self.inode = inode(&self.path);
         let (stream, _) = listener.accept().await?;
@@ -57,32 +58,32 @@
     std::fs::metadata(path).map(|file| file.ino()).ok()
 }
 
-/// How a successor serves.
+/// Mode in which a successor serves.
 enum SuccessorMode {
-    /// It accepts the clients in place of this process.
+    /// The successor accepts the clients in place of this process.
     TakesOver,
-    /// It timed out, and has a listener of its own.
+    /// The successor's request for the handover timed out. It serves with a listener of its own.
     ServesInParallel,
 }
 
-/// Waits for successors at a path and hands over to them, one after another. Never returns.
+/// Waits for successors on the socket at `path` and hands over to them, one after another. Never returns.
 pub async fn run(path: PathBuf, hello: Hello, listener: OwnedFd, resources: Rc<SharedResources>) {
     let mut socket = HandoverSocket { path, inode: None };
     loop {
         match socket.accept().await {
             Ok(stream) => match check_hello(&stream, &hello).await {
                 Ok(()) => serve_successor(Rc::new(stream), &listener, &resources).await,
-                Err(e) => log::warn!("a connection to the handover socket was refused: {e}"),
+                Err(e) => log::warn!("connection to the handover socket rejected: {e}"),
             },
             Err(e) => {
-                log::warn!("cannot listen for a successor at {}: {e}", socket.path.display());
+                log::warn!("listening for a successor at {} failed: {e}", socket.path.display());
                 tokio::time::sleep(LISTEN_RETRY_INTERVAL).await;
             }
         }
     }
 }
 
-/// Reads the successor's hello. Fails for another proxy instance and for another protocol version.
+/// Receives the successor's hello. Fails if the proxy instance or the protocol version differs.
 async fn check_hello(stream: &UnixStream, expected: &Hello) -> Result<(), HandoverError> {
     let frame = timeout(HELLO_TIMEOUT, receive(stream)).await??;
     let frame = frame.ok_or(HandoverError::ConnectionClosed)?;
@@ -94,9 +95,10 @@
     }
 }
 
-/// Hands over to a successor. Returns only if the successor is gone before this process exits.
+/// Hands over to a successor. Returns when the connection to the successor has closed or the handover has
+/// failed.
 async fn serve_successor(stream: Rc<UnixStream>, listener: &OwnedFd, resources: &SharedResources) {
-    log::info!("a successor connected");
+    log::info!("successor connected");
     let clients = &resources.clients;
     match negotiate(&stream, listener, resources).await {
         Ok(SuccessorMode::TakesOver) => {
@@ -104,20 +106,21 @@
             wait_until_closed(&stream).await;
         }
         Ok(SuccessorMode::ServesInParallel) => {
-            log::warn!("the successor timed out: it serves in parallel and takes nothing over");
+            log::warn!("handover to the successor timed out: it serves in parallel and takes over nothing");
             resources.serve_in_parallel();
             clients.set_parallel_successor(Some(Successor(stream.clone())));
             wait_until_closed(&stream).await;
             clients.set_parallel_successor(None);
         }
-        Err(e) => log::warn!("the handover failed: {e}"),
+        Err(e) => log::warn!("handover to the successor failed: {e}"),
     }
     clients.set_successor(None);
     resources.reclaim();
-    log::warn!("the successor is gone");
+    log::warn!("handover to the successor ended; this process uses all resources again");
 }
 
-/// Sends the listener and the state, waits until the successor is ready, and stops accepting clients.
+/// Sends the listener and the state, waits until the successor is ready, and stops accepting clients. Returns
+/// how the successor serves.
 async fn negotiate(
     stream: &UnixStream,
     listener: &OwnedFd,
@@ -126,10 +129,10 @@
     let mut reply = pin!(receive(stream));
     let reply = tokio::select! {
         biased;
-        // A successor that timed out before this process read its hello has sent that by now.
+        // A successor that timed out before this process read its hello has already sent `ServesInParallel`.
         reply = &mut reply => reply,
-        handed_over = hand_over(stream, listener, resources) => {
-            handed_over?;
+        sent = send_handover(stream, listener, resources) => {
+            sent?;
             reply.await
         }
     };
@@ -139,26 +142,26 @@
         FrameKind::ServesInParallel => return Ok(SuccessorMode::ServesInParallel),
         other => return Err(HandoverError::UnexpectedFrame(other)),
     }
-    // The successor may have the clients that this process has no more; each one handed over moves the limit
-    // by one.
+    // The limits of both processes add up to the limit of this process. Each client that is handed over later
+    // lowers the limit of this process by one and raises the successor's limit by one.
     let limit = resources.clients.limit();
     let remaining = resources.clients.stop_accepting();
     resources.share_with_peer();
-    log::info!("the successor accepts clients; {remaining} remain in this process");
+    log::info!("successor accepts clients; {remaining} remain in this process");
     let successor_limit = (limit - remaining) as u32;
     send(stream, FrameKind::ClientLimit, &successor_limit.to_be_bytes(), None).await?;
     Ok(SuccessorMode::TakesOver)
 }
 
-/// Sends the listener, the peer channel and the state. The peer channel is connected in the same step in
-/// which the state is read, so that each later event is sent over it.
-async fn hand_over(
+/// Sends the listener, the peer channel and the state. The driver is connected to the peer channel and the
+/// state is read without an await in between, so that each later change is sent over the channel.
+async fn send_handover(
     stream: &UnixStream,
     listener: &OwnedFd,
     resources: &SharedResources,
 ) -> Result<(), HandoverError> {
-    let (local, remote) = pair()?;
-    PeerChannel::join(&resources.driver, &resources.registry, local)?;
+    let (local, remote) = socket_pair()?;
+    PeerChannel::connect(&resources.driver, &resources.registry, local)?;
     let state = current_state(resources);
     send(stream, FrameKind::Listener, &[], Some(listener.as_fd())).await?;
     send(stream, FrameKind::PeerChannel, &[], Some(remote.as_fd())).await?;
@@ -169,7 +172,7 @@
     let driver = &resources.driver;
     let registry = resources.registry.borrow();
     let zero_unix_ms = driver.clock().zero_unix_ms();
-    HandoverState::new(zero_unix_ms, registry.endpoint_list(), registry.names(), driver.snapshot())
+    HandoverState::new(zero_unix_ms, registry.endpoint_list(), registry.server_names(), driver.snapshot())
 }
 
 #[cfg(test)]
--- a/src/net/hot_restart/handover/tests.rs
+++ b/src/net/hot_restart/handover/tests.rs
@@ -1,4 +1,4 @@
-//! Which hello a running process accepts.
+//! Tests of the check of a successor's hello.
 
 use rstest::rstest;
 use tokio::net::UnixStream;
@@ -15,7 +15,7 @@
 #[case::no_name(br#"{"version":2}"#, false)]
 #[tokio::test]
 async fn hello_is_accepted_from_the_same_proxy_and_version(#[case] content: &[u8], #[case] accepted: bool) {
-    let (sender, receiver) = UnixStream::pair().expect("a pair of sockets");
-    send(&sender, FrameKind::Hello, content, None).await.expect("an open stream");
+    let (sender, receiver) = UnixStream::pair().expect("socket pair is created");
+    send(&sender, FrameKind::Hello, content, None).await.expect("hello is sent");
     assert_eq!(check_hello(&receiver, &Hello::new("gw-a")).await.is_ok(), accepted);
 }
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -1,12 +1,14 @@
 //! Hot restart: a new process takes over the listener and the client connections of the running one.
 //!
-//! The running process, the predecessor, listens on a Unix socket ([`handover`]). A new process, its
-//! successor, connects there when it starts (`predecessor`). The successor gets the listening socket, so
-//! that no connection in the accept queue is lost, then the state (`state`), and then each client
-//! connection that has no request in flight. Both send [`frame`]s over `socket` helpers; `legacy` reads
-//! what builds before 0.2 send. While both serve, they divide `shared_resources` and report acknowledged
-//! writes to each other over a `peer_channel`. `docs/design.md` has the table of what each process is
-//! responsible for.
+//! The running process (the predecessor) listens on a Unix socket ([`handover`]). A new process (the
+//! successor) connects to this socket when it starts (`predecessor`). The predecessor sends its listening
+//! socket, so that no connection in the accept queue is lost, then its state (`state`), and then each client
+//! connection that has no request in flight.
+//!
+//! Both processes exchange [`frame`]s, which `socket` reads and writes; `legacy` reads the messages of builds
+//! before 0.2. While both processes serve, they divide the `shared_resources` and report acknowledged writes
+//! to each other over a `peer_channel`. A table in `docs/design.md` lists the responsibilities of each
+//! process.
 
 mod error;
 pub mod frame;
--- a/src/net/hot_restart/peer_channel.rs
+++ b/src/net/hot_restart/peer_channel.rs
@@ -1,14 +1,15 @@
-//! The channel on which two processes of one proxy instance report to each other while both serve.
+//! Channel for messages between two processes of one proxy instance while both serve.
 //!
-//! A session may write through one process and read through the other. So each process reports an
-//! acknowledged write before its client gets the response, and reads all reports before it decides anything;
-//! the kernel preserves their order. If a report cannot be sent, the sender closes its side before the client
-//! gets the response, and the receiver assumes writes that it does not know of from then on. No call here
-//! waits.
+//! A session may write through one process and read through the other. Each process therefore reports an
+//! acknowledged write to the peer before the client gets the response, and the driver receives all reports
+//! of the peer before each step of the routing engine. The kernel preserves the order of the packets. If a
+//! report cannot be sent, the sender shuts down its side of the channel before the client gets the response.
+//! From then on, the receiver assumes that the peer acknowledges writes without a report. No function in this
+//! module blocks.
 //!
-//! Owns this process's end of the channel, and the task that wakes the driver when a packet arrives.
-//! [`PeerChannel`] aborts the task when it is dropped; the task itself ends if the socket fails, which the
-//! next read notices too.
+//! A [`PeerChannel`] owns this process's end of the channel and the task that wakes the driver when a packet
+//! arrives. Dropping the `PeerChannel` aborts the task. The task also ends when the socket fails; the next
+//! read then returns the error.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -31,54 +32,58 @@
 use crate::net::driver::{Clock, PeerLink};
 use crate::net::server::PgDriver;
 
-/// Longest packet in bytes. A session name that does not fit closes the channel.
+/// Length in bytes of the longest packet. A session name that does not fit closes the channel.
 const MAX_PACKET_BYTES: usize = 16 * 1024;
 
-/// A packet of the channel, as JSON.
+/// A packet of the channel, encoded as JSON.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum PeerPacket {
-    /// A session's write was acknowledged.
+    /// A data server has acknowledged a write of a session.
     #[serde(rename = "wrote")]
     SessionWrite {
         session: String,
         /// Time of the commit, in Unix milliseconds.
         commit_ms: f64,
     },
-    /// The endpoint list says that the server of this name drains or is gone.
+    /// The endpoint list says that the server with this name drains or was removed.
     #[serde(rename = "withdrawn")]
     ServerWithdrawn { uid: String },
-    /// The last packet: no request is in flight, and none will be accepted.
+    /// Last packet: the sender has no request in flight and accepts no more requests.
     #[serde(rename = "over")]
     Closed,
 }
 
-/// This process's end of the channel.
+/// This process's end of the channel to the peer.
 pub struct PeerChannel {
     socket: Rc<UnixStream>,
-    /// Notified when all packets that had arrived are read.
+    /// Notified when the driver has read all packets that had arrived.
     drained: Rc<Notify>,
     clock: Clock,
     registry: SharedEndpointRegistry,
-    /// The peer sends nothing more, or its packets cannot be read any more.
+    /// Whether the peer has closed the channel or a read has failed. No more packets are read then.
     closed: Cell<bool>,
+    /// Buffer for one packet.
     buffer: RefCell<Vec<u8>>,
     wake_task: AbortHandle,
 }
 
-/// Creates the two ends of a channel.
-pub fn pair() -> io::Result<(OwnedFd, OwnedFd)> {
+/// Creates the sockets for the two ends of a channel.
+pub fn socket_pair() -> io::Result<(OwnedFd, OwnedFd)> {
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     Ok(socketpair(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?)
 }
 
 impl PeerChannel {
-    /// Connects the driver to one end of a channel. Must run inside a [`tokio::task::LocalSet`]. Fails if the
-    /// runtime does not accept the socket.
-    pub fn join(driver: &PgDriver, registry: &SharedEndpointRegistry, end: OwnedFd) -> io::Result<()> {
-        // tokio has no type for sequenced packets. This one is only waited on, and never read or written
-        // through tokio.
-        let socket = Rc::new(UnixStream::from_std(end.into())?);
+    /// Connects the driver to one end of a channel. Must run inside a [`tokio::task::LocalSet`].
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the runtime cannot register the socket.
+    pub fn connect(driver: &PgDriver, registry: &SharedEndpointRegistry, socket: OwnedFd) -> io::Result<()> {
+        // tokio has no type for SEQPACKET sockets. The `UnixStream` only signals readiness; packets are read
+        // and written with direct system calls.
+        let socket = Rc::new(UnixStream::from_std(socket.into())?);
         let drained = Rc::new(Notify::new());
         let wake_task = spawn_local(wake_on_packets(driver.clone(), socket.clone(), drained.clone()));
         driver.connect_peer(Rc::new(Self {
@@ -93,23 +98,23 @@
         Ok(())
     }
 
-    /// Sends a packet. Closes this side of the channel if that fails.
+    /// Sends a packet. If that fails, shuts down this side of the channel.
     fn send_packet(&self, packet: &PeerPacket) {
         let bytes = serde_json::to_vec(packet).unwrap_or_default();
         let fits = !bytes.is_empty() && bytes.len() <= MAX_PACKET_BYTES;
         let flags = SendFlags::DONTWAIT | SendFlags::NOSIGNAL;
         let sent = fits && send(self.socket.as_fd(), &bytes, flags).is_ok();
         if !sent {
-            let _ = shutdown(self.socket.as_fd(), Shutdown::Write); // fails if the peer is gone
+            let _ = shutdown(self.socket.as_fd(), Shutdown::Write); // fails if the peer has closed its end
         }
     }
 
-    /// Reads the next packet; `None` if there is none yet. Fails at the end of the channel and for a packet
-    /// that cannot be decoded.
+    /// Reads the next packet. Returns `None` if none has arrived. Fails if the peer has shut down its side of
+    /// the channel, and for a packet that cannot be decoded.
     fn receive_packet(&self) -> io::Result<Option<PeerPacket>> {
         let mut buffer = self.buffer.borrow_mut();
         loop {
-            // Calls the kernel directly: the runtime's readiness is only as of its last poll.
+            // Calls `recv` directly, since the runtime's readiness state is as old as its last poll.
             match recv(self.socket.as_fd(), &mut buffer[..], RecvFlags::DONTWAIT) {
                 Ok((0, _)) => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Ok((length, _)) => return Ok(Some(serde_json::from_slice(&buffer[..length])?)),
@@ -120,8 +125,8 @@
         }
     }
 
-    /// The message of a packet; `None` for the last one.
-    fn message(&self, packet: PeerPacket) -> Option<PeerMessage> {
+    /// Converts a packet to a message for the routing engine. Returns `None` for [`PeerPacket::Closed`].
+    fn convert_packet(&self, packet: PeerPacket) -> Option<PeerMessage> {
         match packet {
             PeerPacket::SessionWrite { session, commit_ms } => {
                 let commit = self.clock.from_unix_ms(commit_ms).as_secs_f64();
@@ -135,7 +140,8 @@
     }
 }
 
-/// Wakes the driver whenever a packet has arrived, once for all packets that it reads together.
+/// Wakes the driver when packets have arrived. After each wake-up, waits until the driver has read all of
+/// them.
 async fn wake_on_packets(driver: PgDriver, socket: Rc<UnixStream>, drained: Rc<Notify>) {
     while socket.readable().await.is_ok() {
         driver.wake();
@@ -154,11 +160,11 @@
                 });
             }
             PeerMessage::ServerWithdrawn(server) => {
-                if let Some(uid) = self.registry.borrow().name(*server) {
+                if let Some(uid) = self.registry.borrow().server_name(*server) {
                     self.send_packet(&PeerPacket::ServerWithdrawn { uid: uid.to_owned() });
                 }
             }
-            // The peer notices these by itself.
+            // Not sent: the peer detects both conditions itself.
             PeerMessage::PeerUnreachable(_) | PeerMessage::ProcessPaused(_) => {}
         }
     }
@@ -171,19 +177,19 @@
         let mut messages = Vec::new();
         while !self.closed.get() {
             match self.receive_packet() {
-                Ok(Some(packet)) => match self.message(packet) {
+                Ok(Some(packet)) => match self.convert_packet(packet) {
                     Some(message) => messages.push(message),
                     None => self.closed.set(true),
                 },
                 Ok(None) => break,
-                // The peer may acknowledge writes that this process will not learn of.
+                // From now on the peer may acknowledge writes that this process does not learn of.
                 Err(_) => {
                     self.closed.set(true);
                     messages.push(PeerMessage::PeerUnreachable(true));
                 }
             }
         }
-        // Clears the runtime's readiness, so that the wake task waits for the next packet.
+        // Clears the runtime's readiness state, so that the wake task waits for the next packet.
         let no_packets = || Err::<(), _>(io::ErrorKind::WouldBlock.into());
         let _ = self.socket.try_io(Interest::READABLE, no_packets);
         self.drained.notify_one();
--- a/src/net/hot_restart/peer_channel/tests.rs
+++ b/src/net/hot_restart/peer_channel/tests.rs
@@ -1,5 +1,5 @@
-//! Packets of the peer channel, recorded at commit 985872a: the format that a predecessor and a successor of
-//! different builds share.
+//! Compatibility of the packet format of the peer channel, which a predecessor and a successor of different
+//! builds share: compares the code with packets that were recorded at commit 985872a.
 
 use super::PeerPacket;
 
@@ -18,29 +18,29 @@
     PeerPacket::ServerWithdrawn { uid: "store-b".to_owned() }
 }
 
-fn read(bytes: &[u8]) -> Option<PeerPacket> {
+fn decode(bytes: &[u8]) -> Option<PeerPacket> {
     serde_json::from_slice(bytes).ok()
 }
 
 #[test]
-fn recorded_peer_packets_are_read_and_written_byte_for_byte() {
+fn recorded_peer_packets_are_decoded_and_encoded_byte_for_byte() {
     for (recorded, packet) in [(COMMIT, commit()), (WITHDRAWN, withdrawn()), (CLOSED, PeerPacket::Closed)] {
-        let written = serde_json::to_vec(&packet).expect("a serializable packet");
-        assert_eq!(String::from_utf8_lossy(&written), String::from_utf8_lossy(recorded));
-        assert_eq!(read(recorded), Some(packet));
+        let encoded = serde_json::to_vec(&packet).expect("packet is serializable");
+        assert_eq!(String::from_utf8_lossy(&encoded), String::from_utf8_lossy(recorded));
+        assert_eq!(decode(recorded), Some(packet));
     }
 }
 
 #[test]
 fn unknown_fields_of_a_peer_packet_are_ignored() {
     let commit = PeerPacket::SessionWrite { session: "a".to_owned(), commit_ms: 5.0 };
-    assert_eq!(read(br#"{"wrote":{"later":[1],"commit_ms":5,"session":"a"}}"#), Some(commit));
-    assert_eq!(read(br#"{"withdrawn":{"uid":"store-b","later":null}}"#), Some(withdrawn()));
+    assert_eq!(decode(br#"{"wrote":{"later":[1],"commit_ms":5,"session":"a"}}"#), Some(commit));
+    assert_eq!(decode(br#"{"withdrawn":{"uid":"store-b","later":null}}"#), Some(withdrawn()));
 }
 
 #[test]
-fn peer_packets_without_a_field_or_of_an_unknown_kind_are_refused() {
-    let refused: [&[u8]; 6] = [
+fn peer_packets_with_a_missing_field_or_an_unknown_kind_are_rejected() {
+    let invalid: [&[u8]; 6] = [
         br#"{"wrote":{"session":"a"}}"#,
         br#"{"wrote":{"commit_ms":5.0}}"#,
         br#"{"withdrawn":{}}"#,
@@ -48,7 +48,7 @@
         br#"{"later":{}}"#,
         b"",
     ];
-    for bytes in refused {
-        assert_eq!(read(bytes), None, "{}", String::from_utf8_lossy(bytes));
+    for bytes in invalid {
+        assert_eq!(decode(bytes), None, "{}", String::from_utf8_lossy(bytes));
     }
 }
--- a/src/net/hot_restart/predecessor.rs
+++ b/src/net/hot_restart/predecessor.rs
@@ -1,7 +1,6 @@
-//! The start of a process beside its predecessor: it requests the handover, restores the state and receives
-//! clients.
+//! Successor's side of a hot restart: requests the handover, restores the state and receives clients.
 //!
-//! Owns the connection to the predecessor. No task is spawned here; the caller drives each step. The
+//! This module owns the connection to the predecessor. It spawns no task; the caller runs each step. The
 //! connection closes when the predecessor exits, which ends [`Predecessor::receive_clients`].
 
 use std::os::fd::OwnedFd;
@@ -19,55 +18,58 @@
 use super::shared_resources::SharedResources;
 use super::state::{HandoverState, Hello};
 
-/// How long the predecessor may take to hand over its listener. It may be paused for a while, and a start has
-/// to be done within seconds.
+/// Time limit for receiving the listener and the state. The predecessor may be paused for a while, but this
+/// process must start within a few seconds.
 const HANDOVER_TIMEOUT: Duration = Duration::from_millis(1200);
-/// How long the predecessor may take to stop accepting clients.
+/// Time limit for the predecessor to stop accepting clients and send the client limit.
 const STOP_ACCEPTING_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The format of what the predecessor sends.
+/// Format of the predecessor's messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Protocol {
-    /// That of this build.
+    /// The format of this build: [`super::frame`].
     Current,
-    /// That of builds before 0.2, which send the client limit first.
+    /// The format of builds before 0.2: [`super::legacy`]. Such a build sends the client limit together with
+    /// the listener.
     Legacy { client_limit: usize },
 }
 
-/// The process that this one replaces.
+/// The process that this process replaces, and the connection to it.
 pub struct Predecessor {
     pub(super) protocol: Protocol,
-    /// Its state; `None` if that could not be read.
+    /// State that the predecessor handed over; `None` if it could not be decoded or was already restored.
     pub state: Option<HandoverState>,
-    /// This process's end of the peer channel.
+    /// This process's end of the peer channel; `None` if the predecessor sent none or it is in use.
     pub peer_channel: Option<OwnedFd>,
     pub(super) stream: Rc<UnixStream>,
 }
 
-/// What a process finds when it starts.
+/// State of the predecessor when this process starts.
 pub enum PredecessorStatus {
-    /// No process runs.
+    /// No other process of this proxy instance runs.
     NotRunning,
-    /// One hands over its listener and its state.
+    /// A predecessor runs and has handed over its listener and its state.
     HandsOver(TcpListener, Predecessor),
-    /// One runs and did not hand over. It exits when this stream closes; there is one only after a timeout.
+    /// A predecessor runs and has not handed over its listener. The stream closes when the predecessor exits;
+    /// it is present only if the request for the handover timed out.
     Unresponsive(Option<UnixStream>),
 }
 
-/// A received listener, and the process that it is from.
+/// A received listener, and the predecessor that sent it.
 pub(super) struct Handover {
     pub listener: OwnedFd,
     pub predecessor: Predecessor,
 }
 
-/// A client connection as it was received.
+/// A client connection received from the predecessor.
 struct ReceivedClient {
     descriptor: OwnedFd,
     startup_complete: bool,
 }
 
-/// Requests the listener from the process that listens at `path`, or at `legacy_path` if that is of a build
-/// before 0.2. A socket file that a killed process left counts as none.
+/// Requests the handover from the process that listens on the socket at `path`, or on the socket of builds
+/// before 0.2 at `legacy_path`. A socket file on which no process listens was left by a killed process and
+/// counts as no predecessor.
 pub async fn inherit(path: &Path, legacy_path: &Path, hello: &Hello) -> PredecessorStatus {
     if let Ok(stream) = UnixStream::connect(path).await {
         return inherit_from(stream, hello).await;
@@ -77,14 +79,14 @@
     };
     let handover = timeout(HANDOVER_TIMEOUT, legacy::receive_handover(stream)).await;
     let handover = handover.unwrap_or_else(|elapsed| Err(elapsed.into()));
-    handover.and_then(accept).unwrap_or_else(|e| unresponsive(&e, None))
+    handover.and_then(use_listener).unwrap_or_else(|e| unresponsive(&e, None))
 }
 
 async fn inherit_from(stream: UnixStream, hello: &Hello) -> PredecessorStatus {
     let stream = Rc::new(stream);
     match timeout(HANDOVER_TIMEOUT, request_handover(&stream, hello)).await {
-        Ok(handover) => handover.and_then(accept).unwrap_or_else(|e| unresponsive(&e, None)),
-        // The predecessor is paused: it reads this when it goes on.
+        Ok(handover) => handover.and_then(use_listener).unwrap_or_else(|e| unresponsive(&e, None)),
+        // The predecessor may be paused. It reads this frame when it resumes.
         Err(elapsed) => match send(&stream, FrameKind::ServesInParallel, &[], None).await {
             Ok(()) => unresponsive(&elapsed.into(), Rc::into_inner(stream)),
             Err(e) => unresponsive(&e.into(), None),
@@ -92,17 +94,19 @@
     }
 }
 
-fn accept(handover: Handover) -> Result<PredecessorStatus, HandoverError> {
+fn use_listener(handover: Handover) -> Result<PredecessorStatus, HandoverError> {
     let listener = std::net::TcpListener::from(handover.listener);
     listener.set_nonblocking(true)?;
     Ok(PredecessorStatus::HandsOver(TcpListener::from_std(listener)?, handover.predecessor))
 }
 
+/// Logs the error and returns [`PredecessorStatus::Unresponsive`].
 fn unresponsive(error: &HandoverError, stream: Option<UnixStream>) -> PredecessorStatus {
-    log::warn!("the predecessor did not hand over its listener: {error}");
+    log::warn!("handover from the predecessor failed; this process opens its own listener: {error}");
     PredecessorStatus::Unresponsive(stream)
 }
 
+/// Sends the hello and receives the listener, the peer channel and the state.
 async fn request_handover(stream: &Rc<UnixStream>, hello: &Hello) -> Result<Handover, HandoverError> {
     send(stream, FrameKind::Hello, &hello.encode()?, None).await?;
     let mut listener = None;
@@ -117,52 +121,54 @@
         }
     };
     let listener = listener.ok_or(HandoverError::MissingListener)?;
-    let state = state.inspect_err(|e| log::warn!("the predecessor's state cannot be restored: {e}")).ok();
+    let state = state.inspect_err(|e| log::warn!("decoding the predecessor's state failed: {e}")).ok();
     let stream = stream.clone();
     let predecessor = Predecessor { protocol: Protocol::Current, state, peer_channel, stream };
     Ok(Handover { listener, predecessor })
 }
 
 impl Predecessor {
-    /// Connects this process's end of the peer channel to the driver. Without one, this process assumes that
-    /// the predecessor acknowledges writes that it does not learn of.
+    /// Connects the driver to this process's end of the peer channel. Without a usable peer channel, this
+    /// process assumes that the predecessor acknowledges writes without a report.
     pub fn connect_peer(&mut self, resources: &SharedResources) {
         let channel = self.peer_channel.take();
-        let joined =
-            channel.map(|channel| PeerChannel::join(&resources.driver, &resources.registry, channel));
-        if !matches!(joined, Some(Ok(()))) {
+        let connected =
+            channel.map(|channel| PeerChannel::connect(&resources.driver, &resources.registry, channel));
+        if !matches!(connected, Some(Ok(()))) {
             resources.driver.peer_unreachable();
         }
     }
 
-    /// Restores the predecessor's state and has it stop accepting clients. This process may accept clients
-    /// once this returns.
+    /// Restores the predecessor's state, has the predecessor stop accepting clients, and sets the client
+    /// limit of this process. The caller may accept clients after this returns.
     pub async fn take_over(&mut self, resources: &SharedResources) {
         self.restore_state(resources);
-        let client_limit = timeout(STOP_ACCEPTING_TIMEOUT, self.client_limit()).await;
+        let client_limit = timeout(STOP_ACCEPTING_TIMEOUT, self.receive_client_limit()).await;
         match client_limit.unwrap_or_else(|elapsed| Err(elapsed.into())) {
             Ok(limit) => {
                 resources.clients.set_limit(Some(limit));
                 resources.share_with_peer();
             }
-            Err(e) => log::warn!("the predecessor sent no client limit: {e}"),
+            Err(e) => log::warn!("receiving the client limit from the predecessor failed: {e}"),
         }
     }
 
-    /// Replaces the predecessor's server ids in the state with this process's, and passes it to the driver.
+    /// Replaces the predecessor's server ids in the state with those of this process, and passes the state
+    /// to the driver.
     fn restore_state(&mut self, resources: &SharedResources) {
         let mut state = self.state.take().unwrap_or_default();
         for server in &mut state.snapshot.servers {
-            let named = state.server_names.iter().find(|(id, _)| *id == server.server);
-            if let Some((_, name)) = named {
+            let entry = state.server_names.iter().find(|(id, _)| *id == server.server);
+            if let Some((_, name)) = entry {
                 server.server = resources.registry.borrow().server_id(name).0;
             }
         }
         resources.driver.restore(state.snapshot, state.zero_unix_ms);
     }
 
-    /// How many clients this process may have until more are handed over.
-    async fn client_limit(&self) -> Result<usize, HandoverError> {
+    /// Returns the client limit of this process, which each client that is handed over later raises by one.
+    /// Asks a predecessor of a current build to stop accepting clients.
+    async fn receive_client_limit(&self) -> Result<usize, HandoverError> {
         if let Protocol::Legacy { client_limit } = self.protocol {
             return Ok(client_limit);
         }
@@ -174,21 +180,22 @@
         }
     }
 
-    /// Receives client connections until the predecessor is gone, then reclaims the resources that were
-    /// divided.
+    /// Receives client connections until the connection to the predecessor closes or fails, then reclaims the
+    /// divided resources.
     pub async fn receive_clients(self, resources: &SharedResources) {
         loop {
             match self.receive_client().await {
-                Ok(Some(client)) => adopt(client, resources),
-                // Such a client is lost, for example at the limit on open files, but others may follow.
+                Ok(Some(client)) => take_over_client(client, resources),
+                // This client is lost, for example because the limit on open files is reached. Further
+                // clients may follow.
                 Err(HandoverError::Frame(e)) if e.is_malformed() => {
-                    log::warn!("a client connection could not be taken over: {e}");
+                    log::warn!("takeover of a client connection failed: {e}");
                 }
                 Ok(None) | Err(_) => break,
             }
         }
         resources.reclaim();
-        log::info!("the predecessor is gone");
+        log::info!("handover from the predecessor ended");
     }
 
     async fn receive_client(&self) -> Result<Option<ReceivedClient>, HandoverError> {
@@ -208,10 +215,10 @@
     }
 }
 
-fn adopt(client: ReceivedClient, resources: &SharedResources) {
+fn take_over_client(client: ReceivedClient, resources: &SharedResources) {
     let stream = std::net::TcpStream::from(client.descriptor);
     match stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
         Ok(stream) => resources.clients.take_over_connection(stream, client.startup_complete),
-        Err(e) => log::warn!("a client connection could not be taken over: {e}"),
+        Err(e) => log::warn!("takeover of a client connection failed: {e}"),
     }
 }
--- a/src/net/hot_restart/shared_resources.rs
+++ b/src/net/hot_restart/shared_resources.rs
@@ -1,7 +1,7 @@
-//! The resources that a process divides with its predecessor or successor while both run.
+//! Resources that a process divides with its predecessor or successor while both run.
 //!
-//! Owns no state of its own: the shares are set on the client side, the server side and the buffer pool. A
-//! process has all of them unless another one runs.
+//! This module holds no state: it sets the shares on the client side, the server side and the buffer pool. A
+//! process that runs alone uses all resources.
 
 use std::time::Duration;
 
@@ -14,28 +14,29 @@
 use crate::net::driver::ServerCommand;
 use crate::net::server::PgDriver;
 
-/// Share of the buffers and server connections, of each process while there are two.
+/// Share of the buffers and server connections that each process uses while two processes run.
 const HALF_SHARE: f64 = 0.5;
-/// The same for a process that runs alone.
+/// Share of the buffers and server connections that a process uses while it runs alone.
 const FULL_SHARE: f64 = 1.0;
-/// How long an unresponsive predecessor without a connection may run on: the time until it is terminated, and
-/// its longest graceful shutdown.
+/// Time for which an unresponsive predecessor without a connection is assumed to run: the time until it is
+/// terminated, plus its longest graceful shutdown.
 const UNRESPONSIVE_GRACE_PERIOD: Duration = Duration::from_secs(10);
 
-/// What two processes divide, and where the state that is handed over is read and restored.
+/// Components whose resources two processes divide. The handed-over state is read from them and restored to
+/// them.
 pub struct SharedResources {
-    /// The client side.
+    /// Client side, with the client limit.
     pub clients: ClientService,
-    /// The routing engine's driver.
+    /// Driver of the routing engine, with the share of server connections.
     pub driver: PgDriver,
-    /// The buffers.
+    /// Buffer pool.
     pub pool: BufferPool,
-    /// The servers' names.
+    /// Endpoint list, with the ids and names of the servers.
     pub registry: SharedEndpointRegistry,
 }
 
 impl SharedResources {
-    /// Leaves half of the buffers and server connections to the other process.
+    /// Limits this process to half of the buffers and server connections. The peer uses the other half.
     pub(super) fn share_with_peer(&self) {
         self.set_share(HALF_SHARE);
     }
@@ -45,8 +46,8 @@
         self.driver.command(ServerCommand::SetShare(share));
     }
 
-    /// Starts to serve in parallel with a process that this one cannot communicate with. Each has half of the
-    /// clients, and assumes that the other one acknowledges writes.
+    /// Starts to serve in parallel with a process that this process cannot communicate with. Each of them
+    /// uses half of the client limit, and assumes that the other acknowledges writes without a report.
     pub(super) fn serve_in_parallel(&self) {
         self.driver.peer_gone();
         self.driver.peer_unreachable();
@@ -54,8 +55,8 @@
         self.share_with_peer();
     }
 
-    /// Serves in parallel with an unresponsive predecessor until that is gone: until `stream` closes, or for
-    /// 10 s if there is none.
+    /// Serves in parallel with an unresponsive predecessor until `stream` closes, or for 10 s if `stream` is
+    /// `None`. Then reclaims the divided resources.
     pub async fn serve_until_gone(&self, stream: Option<UnixStream>) {
         self.serve_in_parallel();
         match stream {
@@ -63,10 +64,10 @@
             None => tokio::time::sleep(UNRESPONSIVE_GRACE_PERIOD).await,
         }
         self.reclaim();
-        log::info!("the predecessor is gone");
+        log::info!("parallel service with the predecessor ended");
     }
 
-    /// Takes all resources back, as the other process is gone.
+    /// Lets this process use all resources and accept clients, because the other process no longer serves.
     pub(super) fn reclaim(&self) {
         self.clients.resume_accepting();
         self.set_share(FULL_SHARE);
--- a/src/net/hot_restart/socket.rs
+++ b/src/net/hot_restart/socket.rs
@@ -1,7 +1,7 @@
 //! Reads and writes on a Unix stream socket, with file descriptors as ancillary data.
 //!
-//! Holds no state. A read asks for no more bytes than the caller's buffer holds, so that a descriptor is
-//! received together with the bytes that it was sent with.
+//! This module holds no state. A read requests no more bytes than the caller's buffer holds, so that a
+//! descriptor is received together with the bytes that it was sent with.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -14,18 +14,19 @@
 use tokio::io::Interest;
 use tokio::net::UnixStream;
 
-/// Bytes read at once.
+/// Largest number of bytes per read.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// The result of one read.
+/// Result of one read.
 pub(super) struct Received {
-    /// Bytes read; 0 at the end of the stream.
+    /// Number of bytes read; 0 at the end of the stream.
     pub length: usize,
-    /// The descriptor that came with them.
+    /// Descriptor that was sent with these bytes.
     pub descriptor: Option<OwnedFd>,
 }
 
-/// Sends the first of these bytes with a descriptor, if there is one. Returns how many bytes were sent.
+/// Sends as many of the bytes as one system call takes, and the descriptor, if any, with the first byte.
+/// Returns the number of bytes sent.
 pub(super) async fn send_with_descriptor(
     stream: &UnixStream,
     bytes: &[u8],
@@ -57,7 +58,7 @@
     Ok(())
 }
 
-/// Reads at most `buffer.len()` bytes, and the descriptor that comes with them.
+/// Reads at most `buffer.len()` bytes and the descriptor that was sent with them.
 pub(super) async fn receive_with_descriptor(stream: &UnixStream, buffer: &mut [u8]) -> io::Result<Received> {
     let read = || {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
@@ -72,7 +73,7 @@
     stream.async_io(Interest::READABLE, read).await
 }
 
-/// Reads exactly `length` bytes. The length is the peer's claim, so the memory grows only as bytes arrive.
+/// Reads exactly `length` bytes. Allocates memory only as bytes arrive, since `length` comes from the peer.
 pub(super) async fn read_exactly(stream: &UnixStream, length: usize) -> io::Result<Vec<u8>> {
     let mut content = Vec::new();
     let mut chunk = [0; READ_CHUNK_BYTES];
@@ -89,7 +90,7 @@
     Ok(content)
 }
 
-/// Waits until the stream ends or fails; discards what is still received.
+/// Waits until the stream ends or fails. Discards bytes that are received meanwhile.
 pub(super) async fn wait_until_closed(stream: &UnixStream) {
     while stream.readable().await.is_ok() {
         match stream.try_read(&mut [0; 4096]) {
--- a/src/net/hot_restart/state.rs
+++ b/src/net/hot_restart/state.rs
@@ -1,6 +1,6 @@
-//! What a process and its successor tell each other as JSON, and its encoding.
+//! JSON payloads of a hot restart: the successor's hello and the predecessor's state.
 //!
-//! Holds no state. The serialized names are part of the protocol: builds of different versions read them.
+//! The serialized names are part of the handover protocol, which builds of different versions share.
 
 use std::fmt;
 
@@ -9,28 +9,29 @@
 
 use crate::endpoint_list::EndpointList;
 
-/// Version of the protocol. A new optional field leaves it as it is; a changed meaning needs a new one.
+/// Version of the handover protocol. A new optional field keeps the version; a changed meaning requires a new
+/// version.
 const VERSION: u32 = 2;
 
-/// JSON that this build cannot use.
+/// Reason why a payload could not be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum StateError {
     #[error("invalid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("the state has version {found}, and this build reads version {VERSION}")]
+    #[error("unsupported state version {found}: this build supports version {VERSION}")]
     UnsupportedVersion { found: u32 },
 }
 
-/// How a successor introduces itself. A process accepts only a hello that is equal to its own.
+/// First payload that a successor sends. A predecessor accepts only a hello that is equal to its own.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Hello {
     version: u32,
-    /// The proxy instance's name.
+    /// Name of the proxy instance.
     name: String,
 }
 
 impl Hello {
-    /// The hello of a process of this build, for the proxy instance of this name.
+    /// Creates the hello of this build for the proxy instance `name`.
     pub fn new(name: &str) -> Self {
         Self { version: VERSION, name: name.to_owned() }
     }
@@ -50,26 +51,26 @@
     }
 }
 
-/// The state that a process hands over to its successor.
+/// State that a process hands over to its successor.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct HandoverState {
     pub(super) version: u32,
-    /// The zero of the process's clock, in Unix milliseconds.
+    /// Zero of the predecessor's clock, in Unix milliseconds.
     pub zero_unix_ms: f64,
-    /// The endpoint list.
+    /// Endpoint list; `None` from a build before 0.2, or after this process has taken it.
     #[serde(rename = "listing")]
     pub endpoint_list: Option<EndpointList>,
-    /// The ids that the snapshot uses for servers, with the servers' names in the endpoint list.
+    /// Server ids that the snapshot uses, with the names of the servers in the endpoint list.
     #[serde(rename = "names")]
     pub server_names: Vec<(u32, String)>,
-    /// The routing engine's state.
+    /// State of the routing engine.
     #[serde(rename = "heritage")]
     pub snapshot: StateSnapshot,
 }
 
 impl HandoverState {
-    /// The state of a process of this build.
+    /// Creates the state that this process hands over.
     pub fn new(
         zero_unix_ms: f64,
         endpoint_list: EndpointList,
--- a/src/net/hot_restart/state/tests.rs
+++ b/src/net/hot_restart/state/tests.rs
@@ -1,5 +1,5 @@
-//! The hello and the state of a hot restart, recorded at commit 985872a: a predecessor and a successor of
-//! different builds share them.
+//! Compatibility of the JSON of the hello and the state, which a predecessor and a successor of different
+//! builds share: compares the code with payloads that were recorded at commit 985872a.
 
 use pipittack_core::api::{FailoverKind, ReplicaSetSnapshot, ServerSnapshot, StateSnapshot};
 
@@ -14,7 +14,7 @@
 fn endpoint_list() -> EndpointList {
     let primary = ListedEndpoint {
         name: "store-a".to_owned(),
-        address: "10.0.0.1:5432".parse().expect("an address"),
+        address: "10.0.0.1:5432".parse().expect("address is valid"),
         zone: "eu-1a".to_owned(),
         machine_kind: "m5".to_owned(),
         group: 2,
@@ -23,9 +23,9 @@
         started_unix_ms: 1_767_225_000_000.0,
         role: Some("read-write".to_owned()),
     };
-    let plain = ListedEndpoint {
+    let bare = ListedEndpoint {
         name: "store-b".to_owned(),
-        address: "[::1]:5433".parse().expect("an address"),
+        address: "[::1]:5433".parse().expect("address is valid"),
         zone: String::new(),
         machine_kind: String::new(),
         group: 0,
@@ -34,7 +34,7 @@
         started_unix_ms: 0.0,
         role: None,
     };
-    EndpointList { revision: 41, complete: true, endpoints: vec![primary, plain] }
+    EndpointList { revision: 41, complete: true, endpoints: vec![primary, bare] }
 }
 
 fn routing_snapshot() -> StateSnapshot {
@@ -67,41 +67,42 @@
     HandoverState::new(1_767_225_600_123.5, endpoint_list(), names, routing_snapshot())
 }
 
-/// A state in which all that may be absent is absent.
+/// Returns a state whose optional fields are all absent or empty.
 fn empty_state() -> HandoverState {
     HandoverState { version: 2, ..HandoverState::default() }
 }
 
 #[test]
-fn recorded_hello_is_read_and_written_byte_for_byte() {
+fn recorded_hello_is_decoded_and_encoded_byte_for_byte() {
     let hello = Hello::new("gw-a");
     assert_eq!(serde_json::to_vec(&hello).ok().as_deref(), Some(HELLO));
     assert_eq!(serde_json::from_slice::<Hello>(HELLO).ok(), Some(hello));
 }
 
 #[test]
-fn recorded_state_is_read_and_written_byte_for_byte() {
+fn recorded_state_is_decoded_and_encoded_byte_for_byte() {
     for (recorded, state) in [(STATE_FULL, state()), (STATE_EMPTY, empty_state())] {
         assert_eq!(String::from_utf8_lossy(&state.encode()), String::from_utf8_lossy(recorded));
-        assert_eq!(HandoverState::decode(recorded).expect("readable bytes"), state);
+        assert_eq!(HandoverState::decode(recorded).expect("state is decoded"), state);
     }
 }
 
 #[test]
 fn unknown_fields_of_a_state_are_ignored() {
-    assert_eq!(HandoverState::decode(STATE_WITH_UNKNOWN_FIELDS).expect("readable bytes"), state());
+    assert_eq!(HandoverState::decode(STATE_WITH_UNKNOWN_FIELDS).expect("state is decoded"), state());
 }
 
 #[test]
-fn absent_fields_of_a_state_are_defaults() {
-    assert_eq!(HandoverState::decode(br#"{"version":2}"#).expect("readable bytes"), empty_state());
-    let list =
-        HandoverState::decode(br#"{"version":2,"listing":{"rev":5}}"#).expect("readable bytes").endpoint_list;
+fn absent_fields_of_a_state_get_default_values() {
+    assert_eq!(HandoverState::decode(br#"{"version":2}"#).expect("state is decoded"), empty_state());
+    let list = HandoverState::decode(br#"{"version":2,"listing":{"rev":5}}"#)
+        .expect("state is decoded")
+        .endpoint_list;
     assert_eq!(list, Some(EndpointList { revision: 5, complete: false, endpoints: Vec::new() }));
 }
 
 #[test]
-fn states_of_no_or_another_version_are_refused() {
+fn states_without_a_version_or_with_another_version_are_rejected() {
     assert!(HandoverState::decode(b"{}").is_err());
     assert!(HandoverState::decode(br#"{"version":1}"#).is_err());
     assert!(HandoverState::decode(br#"{"version":3}"#).is_err());
--- a/src/net/hot_restart/successor.rs
+++ b/src/net/hot_restart/successor.rs
@@ -1,4 +1,4 @@
-//! The running process's handle on its successor, for the client side.
+//! Handle to the successor, with which the client side of the running process hands over connections.
 
 use std::os::fd::{AsFd, OwnedFd};
 use std::rc::Rc;
@@ -7,13 +7,17 @@
 
 use super::frame::{send, FrameError, FrameKind};
 
-/// A successor that takes over client connections.
+/// Handle to a successor. Clones share one connection to it.
 #[derive(Clone)]
 pub struct Successor(pub(super) Rc<UnixStream>);
 
 impl Successor {
-    /// Hands a client connection over and closes it in this process. `startup_complete` says whether the
-    /// client's startup is done. Fails if the successor is gone; the connection closes then, as it would
+    /// Sends a client connection to the successor and closes it in this process. `startup_complete` says
+    /// whether the startup of the client is complete.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the successor cannot be reached. The client connection is then closed, as it is
     /// without a successor.
     pub async fn hand_over_client(
         &self,
--- a/src/net/hot_restart/test_support.rs
+++ b/src/net/hot_restart/test_support.rs
@@ -1,4 +1,4 @@
-//! Recorded bytes and raw sends that the tests of several modules use.
+//! Recorded payloads and a function to send raw bytes, shared by the tests of several modules.
 
 use std::io::IoSlice;
 use std::mem::MaybeUninit;
@@ -10,7 +10,7 @@
 pub(super) const HELLO: &[u8] = br#"{"version":2,"name":"gw-a"}"#;
 pub(super) const STATE_FULL: &[u8] = include_bytes!("../../../tests/fixtures/handover/state_full.json");
 
-/// Sends raw bytes, the first of them with a descriptor if there is one.
+/// Sends raw bytes, with a descriptor at the first byte if `has_descriptor` is set.
 pub(super) fn send_raw(stream: &UnixStream, bytes: &[u8], has_descriptor: bool) {
     let descriptors = [stream.as_fd()];
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,9 @@
-//! The proxy around the routing engine: real sockets, one thread.
+//! The proxy around the routing engine. All sockets are served by one thread.
 //!
-//! Clients ([`client`]) and data servers ([`server`]) meet only in the [`driver`], which asks the routing engine what to
-//! do. [`discovery`] keeps the endpoint list, [`admin`] answers operators, and [`hot_restart`] replaces the process.
+//! The client side ([`client`]) and the server side ([`server`]) communicate only through the [`driver`],
+//! which steps the routing engine and carries out its actions. [`discovery`] receives the endpoint list,
+//! [`admin`] serves the API for operators, and [`hot_restart`] hands over to a new process. [`postgres`]
+//! implements the wire protocol, and [`buffers`] the buffer pool.
 
 pub mod admin;
 pub mod buffers;
