--- a/src/listeners.rs
+++ b/src/listeners.rs
@@ -125,7 +125,7 @@
 
     async fn find_predecessor(&self, hello: &Hello) -> PredecessorStatus {
         match (self.handover_socket(), self.early_handover_socket()) {
-            (Some(path), Some(early_path)) => frame::inherit(&path, &early_path, hello).await,
+            (Some(path), Some(early_path)) => frame::take_over_listener(&path, &early_path, hello).await,
             _ => PredecessorStatus::NotRunning,
         }
     }
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -24,7 +24,7 @@
 mod test_support;
 
 pub use frame::FrameError;
-pub use predecessor::{inherit, Predecessor, PredecessorStatus};
+pub use predecessor::{take_over_listener, Predecessor, PredecessorStatus};
 pub use shared_resources::SharedResources;
 pub use state::{HandoverState, Hello};
 pub use successor::Successor;
--- a/src/net/hot_restart/predecessor.rs
+++ b/src/net/hot_restart/predecessor.rs
@@ -70,9 +70,9 @@
 /// Requests the handover from the process that listens on the socket at `path`, or on the socket of builds
 /// before 0.2 at `legacy_path`. A socket file on which no process listens was left by a killed process and
 /// counts as no predecessor.
-pub async fn inherit(path: &Path, legacy_path: &Path, hello: &Hello) -> PredecessorStatus {
+pub async fn take_over_listener(path: &Path, legacy_path: &Path, hello: &Hello) -> PredecessorStatus {
     if let Ok(stream) = UnixStream::connect(path).await {
-        return inherit_from(stream, hello).await;
+        return take_over_listener_from(stream, hello).await;
     }
     let Ok(stream) = UnixStream::connect(legacy_path).await else {
         return PredecessorStatus::NotRunning;
@@ -82,7 +82,7 @@
     handover.and_then(use_listener).unwrap_or_else(|e| unresponsive(&e, None))
 }
 
-async fn inherit_from(stream: UnixStream, hello: &Hello) -> PredecessorStatus {
+async fn take_over_listener_from(stream: UnixStream, hello: &Hello) -> PredecessorStatus {
     let stream = Rc::new(stream);
     match timeout(HANDOVER_TIMEOUT, request_handover(&stream, hello)).await {
         Ok(handover) => handover.and_then(use_listener).unwrap_or_else(|e| unresponsive(&e, None)),
