--- a/src/bootstrap.rs
+++ b/src/bootstrap.rs
@@ -126,7 +126,7 @@
     let DriverParts { driver, server_commands, discovery_commands } =
         DriverParts::new(settings, resources.seed, resources.clock)?;
     let components = Components::new(driver, connections.names, client_options, &resources, &state_files);
-    components.admin.sync_file();
+    components.admin.reload_out_of_service_list();
     // The predecessor's endpoint list comes from discovery, the configuration's from some earlier time.
     let cached_endpoints = listeners.origin.take_endpoint_list().or(config.cached_endpoints.take());
     components.apply_cached_endpoints(cached_endpoints);
--- a/src/components.rs
+++ b/src/components.rs
@@ -103,7 +103,7 @@
         buffers: BufferPool,
     ) -> Result<(), ListenError> {
         let admin = self.admin.clone();
-        spawn_local(async move { admin.follow_file().await });
+        spawn_local(async move { admin.watch_out_of_service_list().await });
         if let Some(listener) = listener {
             let address = listener.local_addr().map_err(ListenError::Unusable)?;
             log::info!("admin API listening at {address}");
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -41,17 +41,17 @@
 
 impl AdminApi {
     /// Applies the changes that other processes of this proxy instance store in the file. Never returns.
-    pub async fn follow_file(&self) {
+    pub async fn watch_out_of_service_list(&self) {
         let mut interval = tokio::time::interval(POLL_INTERVAL);
         loop {
-            self.sync_file();
+            self.reload_out_of_service_list();
             interval.tick().await;
         }
     }
 
     /// Reads the file if it has changed, and applies the changes. If the file cannot be read, logs the error
     /// and changes nothing.
-    pub fn sync_file(&self) {
+    pub fn reload_out_of_service_list(&self) {
         match self.out_of_service.reload() {
             Ok(changes) => changes.iter().for_each(|change| self.apply_state(&change.uid, change.state)),
             Err(e) => log::warn!("reloading the out-of-service list failed: {e}"),
@@ -103,7 +103,7 @@
 
     /// Stores the new state of a server and applies it.
     fn set_state(&self, uid: &str, state: ServiceState) -> Response {
-        self.sync_file(); // another process may have stored a change
+        self.reload_out_of_service_list(); // another process may have stored a change
         if !self.registry.borrow().has_listed(uid) && !self.out_of_service.contains(uid) {
             return Response::new(HttpStatus::NotFound, "no such data server was ever listed");
         }
