--- a/src/components.rs
+++ b/src/components.rs
@@ -162,7 +162,7 @@
             Origin::Successor(predecessor) => self.take_over(predecessor).await,
             Origin::Parallel(stream) => {
                 let shared = self.shared.clone();
-                spawn_local(async move { shared.serve_until_gone(stream).await });
+                spawn_local(async move { shared.serve_until_predecessor_exits(stream).await });
                 self.spawn_readiness_task();
             }
             Origin::Fresh => self.spawn_readiness_task(),
--- a/src/net/hot_restart/shared_resources.rs
+++ b/src/net/hot_restart/shared_resources.rs
@@ -57,7 +57,7 @@
 
     /// Serves in parallel with an unresponsive predecessor until `stream` closes, or for 10 s if `stream` is
     /// `None`. Then reclaims the divided resources.
-    pub async fn serve_until_gone(&self, stream: Option<UnixStream>) {
+    pub async fn serve_until_predecessor_exits(&self, stream: Option<UnixStream>) {
         self.serve_in_parallel();
         match stream {
             Some(stream) => wait_until_closed(&stream).await,
