--- a/src/net/hot_restart/handover.rs
+++ b/src/net/hot_restart/handover.rs
@@ -62,7 +62,7 @@
 enum SuccessorMode {
     /// The successor accepts the clients in place of this process.
     TakesOver,
-    /// The successor's request for the handover timed out. It serves with a listener of its own.
+    /// The successor's request for the handover timed out. The successor serves with a listener of its own.
     ServesInParallel,
 }
 
@@ -106,7 +106,7 @@
             wait_until_closed(&stream).await;
         }
         Ok(SuccessorMode::ServesInParallel) => {
-            log::warn!("handover to the successor timed out: it serves in parallel and takes over nothing");
+            log::warn!("handover to the successor timed out; the successor serves in parallel");
             resources.serve_in_parallel();
             clients.set_parallel_successor(Some(Successor(stream.clone())));
             wait_until_closed(&stream).await;
@@ -147,7 +147,7 @@
     let limit = resources.clients.limit();
     let remaining = resources.clients.stop_accepting();
     resources.share_with_peer();
-    log::info!("successor accepts clients; {remaining} remain in this process");
+    log::info!("successor accepts clients; {remaining} clients remain in this process");
     let successor_limit = (limit - remaining) as u32;
     send(stream, FrameKind::ClientLimit, &successor_limit.to_be_bytes(), None).await?;
     Ok(SuccessorMode::TakesOver)
--- a/src/net/hot_restart/predecessor.rs
+++ b/src/net/hot_restart/predecessor.rs
@@ -51,7 +51,7 @@
     /// A predecessor runs and has handed over its listener and its state.
     HandsOver(TcpListener, Predecessor),
     /// A predecessor runs and has not handed over its listener. The stream closes when the predecessor exits;
-    /// it is present only if the request for the handover timed out.
+    /// `None` unless the request for the handover timed out.
     Unresponsive(Option<UnixStream>),
 }
 
