--- a/src/components.rs
+++ b/src/components.rs
@@ -106,7 +106,7 @@
         buffers: BufferPool,
     ) -> Result<(), ListenError> {
         let admin = self.admin.clone();
-        spawn_local(async move { admin.follow_file().await });
+        spawn_local(async move { admin.watch_out_of_service_list().await });
         if let Some(listener) = listener {
             let address = listener.local_addr().map_err(ListenError::Unusable)?;
             log::info!("admin API listening at {address}");
@@ -166,7 +166,7 @@
             Startup::Handover(predecessor) => self.take_over(predecessor).await,
             Startup::Parallel(stream) => {
                 let shared = self.shared.clone();
-                spawn_local(async move { shared.serve_until_gone(stream).await });
+                spawn_local(async move { shared.serve_until_predecessor_exits(stream).await });
                 self.spawn_readiness_task();
             }
             Startup::Fresh => self.spawn_readiness_task(),
--- a/src/listeners.rs
+++ b/src/listeners.rs
@@ -126,7 +126,7 @@
 
     async fn find_predecessor(&self, hello: &Hello) -> PredecessorStatus {
         match (self.handover_socket(), self.legacy_handover_socket()) {
-            (Some(path), Some(legacy_path)) => frame::inherit(&path, &legacy_path, hello).await,
+            (Some(path), Some(legacy_path)) => frame::take_over_listener(&path, &legacy_path, hello).await,
             _ => PredecessorStatus::NotRunning,
         }
     }
