--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration: errors at the start, reloads, and signals during the start.
+//! The configuration: errors at startup, reloads, and signals during startup.
 
 mod support;
 
@@ -15,12 +15,12 @@
     r#"{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1"}"#,
     "missing field `settings`"
 )]
-#[case::bad_address(&EXAMPLE_CONFIG.replace("127.0.0.1:5433", "here"), "socket address")]
-#[case::bad_seed(&EXAMPLE_CONFIG.replace("8c1f30d27a5be964", "seed"), "seed")]
-#[case::bad_figure(&EXAMPLE_CONFIG.replace("0.27", "7"), "initial capacity share")]
-#[case::no_sockets(&EXAMPLE_CONFIG.replace("1024", "8"), "limits.sockets")]
+#[case::invalid_address(&EXAMPLE_CONFIG.replace("127.0.0.1:5433", "here"), "socket address")]
+#[case::invalid_seed(&EXAMPLE_CONFIG.replace("8c1f30d27a5be964", "seed"), "seed")]
+#[case::share_above_one(&EXAMPLE_CONFIG.replace("0.27", "7"), "initial capacity share")]
+#[case::too_few_sockets(&EXAMPLE_CONFIG.replace("1024", "8"), "limits.sockets")]
 fn an_invalid_configuration_is_reported_on_one_line(#[case] config: &str, #[case] expected: &str) {
-    let output = serve_command(config).0.output().expect("the program runs");
+    let output = serve_command(config).0.output().expect("the program can be started");
     let message = String::from_utf8_lossy(&output.stderr);
     assert!(
         !output.status.success() && message.lines().count() == 1 && message.contains(expected),
@@ -28,37 +28,42 @@
     );
 }
 
-/// SIGHUP follows a new discovery address and keeps all else. An invalid file changes nothing.
+/// A reload on SIGHUP switches to the new discovery address and keeps client connections. A reload of an
+/// invalid file changes nothing.
 #[test]
-fn a_reload_changes_discovery_and_keeps_connections() {
+fn a_reload_changes_the_discovery_address_and_keeps_connections() {
     let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
     let endpoints = [server.endpoint("a", "read-write", "Ready")];
     let proxy = start_proxy(&endpoints);
     let mut client = Client::connect(&proxy);
     assert_eq!(message_kinds(&client.request(&write_statement(3000))), "TDCZ");
-    let old = std::fs::read_to_string(&proxy.config).expect("it was written");
-    std::fs::write(&proxy.config, "{").expect("a writable folder");
+    let old = std::fs::read_to_string(&proxy.config).expect("the configuration file can be read");
+    std::fs::write(&proxy.config, "{").expect("the configuration file can be written");
     proxy.signal("HUP");
     assert!(proxy.wait_for_log("configuration").contains("WARN"));
     assert_eq!(message_kinds(&client.request(&write_statement(3000))), "TDCZ");
-    let next = ScriptedDiscovery::start(full_list(5, &endpoints));
-    let new = old.replace(&proxy.discovery.address.to_string(), &next.address.to_string());
-    std::fs::write(&proxy.config, new).expect("a writable folder");
+    let new_discovery = ScriptedDiscovery::start(full_list(5, &endpoints));
+    let new = old.replace(&proxy.discovery.address.to_string(), &new_discovery.address.to_string());
+    std::fs::write(&proxy.config, new).expect("the configuration file can be written");
     proxy.signal("HUP");
-    let request_line = next.request_lines.recv_timeout(TEST_TIMEOUT).expect("a request");
+    let request_line = new_discovery
+        .request_lines
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the proxy sends a request to the new discovery service");
     assert_eq!(request_line, "GET /v1/endpoints?watch=1&from=1 HTTP/1.1");
     assert_eq!(message_kinds(&client.request(&write_statement(3000))), "TDCZ");
 }
 
-/// A class that a reload drops is rejected, and a new one is served under its own rules.
+/// A reload of a partly invalid file must not apply the valid part. After a valid reload, requests of an
+/// added class are served, and those of a removed class are rejected after a grace period.
 #[test]
-fn a_reload_takes_the_complete_file_or_nothing() {
+fn a_reload_applies_the_complete_file_or_nothing() {
     let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut client = Client::connect(&proxy);
-    let old = std::fs::read_to_string(&proxy.config).expect("it was written");
+    let old = std::fs::read_to_string(&proxy.config).expect("the configuration file can be read");
     let mut reload = |text: String, log_text: &str| {
-        std::fs::write(&proxy.config, text).expect("a writable folder");
+        std::fs::write(&proxy.config, text).expect("the configuration file can be written");
         proxy.signal("HUP");
         proxy.wait_for_log(log_text);
         client.request(&write_statement(3000).replace("usage-write", "usage"))
@@ -80,22 +85,23 @@
         assert_eq!(error_field(&response, b'C').as_deref(), Some("42601"), "{valid}");
     }
     assert_eq!(message_kinds(&reload(new, "configuration reloaded")), "TDCZ");
-    wait_until("the old name is rejected", || {
+    wait_until("the removed class is rejected", || {
         error_field(&client.request(&write_statement(3000)), b'C').as_deref() == Some("42601")
     });
 }
 
-/// Requests on their way may still name a class that was dropped, unless its name belongs to another class now.
+/// Requests that were sent before a reload may still name a class that it removed. They are served under the
+/// rules of that class, unless its name now belongs to another class.
 #[test]
-fn a_class_dropped_two_reloads_ago_is_served_by_its_own_rules() {
+fn a_class_removed_two_reloads_ago_is_served_by_its_own_rules() {
     let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut client = Client::connect(&proxy);
-    let first = std::fs::read_to_string(&proxy.config).expect("it was written");
+    let first = std::fs::read_to_string(&proxy.config).expect("the configuration file can be read");
     let second = first.replace("usage-write", "w2");
     let third = second.replace("own-changes", "r3").replace(r#""w2""#, r#""own-changes""#);
     for text in [&second, &third] {
-        std::fs::write(&proxy.config, text).expect("a writable folder");
+        std::fs::write(&proxy.config, text).expect("the configuration file can be written");
         proxy.signal("HUP");
         proxy.wait_for_log("configuration reloaded");
     }
@@ -110,11 +116,11 @@
     assert_eq!(
         error_field(&response, b'C').as_deref(),
         Some("42601"),
-        "its name belongs to a class that writes"
+        "expected a rejected read: the name now belongs to a class of writes"
     );
 }
 
-/// A signal during the read of the configuration takes effect once the process can handle it.
+/// A signal that arrives while the process reads its configuration takes effect once the process has started.
 #[rstest]
 #[case::reload("HUP")]
 #[case::graceful_shutdown("TERM")]
@@ -122,22 +128,25 @@
     let config =
         EXAMPLE_CONFIG.replace("127.0.0.1:5433", "127.0.0.1:0").replace("127.0.0.1:9800", "127.0.0.1:0");
     let (mut command, path) = serve_command(&config);
-    let real = format!("{path}.real");
-    std::fs::rename(&path, &real).expect("a writable folder");
-    let mkfifo = std::process::Command::new("mkfifo").arg(&path).status().expect("it runs");
+    let regular_file = format!("{path}.real");
+    std::fs::rename(&path, &regular_file).expect("the configuration file can be renamed");
+    let mkfifo = std::process::Command::new("mkfifo").arg(&path).status().expect("mkfifo can be started");
     assert!(mkfifo.success());
     let mut child = ChildGuard::spawn(&mut command);
-    // Opens once the process reads it.
-    let mut fifo = std::fs::OpenOptions::new().write(true).open(&path).expect("a pipe");
+    // The open blocks until the process opens the FIFO for reading.
+    let mut fifo = std::fs::OpenOptions::new().write(true).open(&path).expect("the FIFO can be opened");
     send_signal(&child, name);
-    std::fs::rename(&real, &path).expect("a writable folder");
+    std::fs::rename(&regular_file, &path).expect("the FIFO can be replaced by the file");
     let _ = fifo.write_all(config.as_bytes());
     drop(fifo);
-    let mut log = std::io::BufReader::new(child.stderr.take().expect("piped"));
+    let mut log = std::io::BufReader::new(child.stderr.take().expect("stderr is piped"));
     let lines = std::io::BufRead::lines(&mut log).map_while(Result::ok);
     let expected = if name == "HUP" { "configuration reloaded" } else { "graceful shutdown started" };
-    assert!(lines.into_iter().any(|line| line.contains(expected)), "it handles the signal");
+    assert!(
+        lines.into_iter().any(|line| line.contains(expected)),
+        "expected the process to handle the signal"
+    );
     if name == "TERM" {
-        assert!(child.wait().expect("it exits").success());
+        assert!(child.wait().expect("the process exits").success());
     }
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the watch, changes of endpoints, and broken or silent services.
+//! Discovery: watches, changes of the endpoint list, and discovery services that fail or stop responding.
 
 mod support;
 
@@ -22,8 +22,8 @@
         (message_kinds(&client.request(&write_statement(3000))), old.statement_count()),
         ("TDCZ".into(), 1)
     );
-    proxy.discovery.changes.send(primary_change(2, &old, &new)).expect("it watches");
-    // Once a write has reached the new primary, none may reach the old one.
+    proxy.discovery.changes.send(primary_change(2, &old, &new)).expect("the discovery service is running");
+    // After the first write to the new primary, no write may be sent to the old one.
     while new.statement_count() == 0 {
         client.request(&write_statement(3000));
     }
@@ -37,16 +37,17 @@
     let proxy = start_proxy(&[]);
     let next_request_line = || proxy.discovery.request_lines.recv_timeout(TEST_TIMEOUT).expect("a request");
     assert_eq!(next_request_line(), "GET /v1/endpoints?watch=1&from=1 HTTP/1.1");
-    proxy.discovery.changes.send(list_change(7, &[])).expect("it watches");
-    proxy.discovery.changes.send(String::new()).expect("it watches");
+    proxy.discovery.changes.send(list_change(7, &[])).expect("the discovery service is running");
+    proxy.discovery.changes.send(String::new()).expect("the discovery service is running");
     assert_eq!(next_request_line(), "GET /v1/endpoints?watch=1&from=7 HTTP/1.1");
 }
 
-/// A proxy with a list of two servers, of which the first one is the primary, and a discovery service.
+/// Proxy with a discovery service and a cached endpoint list of two servers, the first of which is the
+/// primary.
 struct Fixture {
     old: ScriptedServer,
     new: ScriptedServer,
-    known: [String; 2],
+    cached_endpoints: [String; 2],
     discovery: ManualDiscovery,
     proxy: Proxy,
 }
@@ -55,14 +56,15 @@
     fn start() -> Self {
         let old = ScriptedServer::start(ServerRole::Primary, reply_with_row);
         let new = ScriptedServer::start(ServerRole::Primary, reply_with_row);
-        let known = [old.endpoint("a", "read-write", "Ready"), new.endpoint("b", "read-only", "Ready")];
+        let cached_endpoints =
+            [old.endpoint("a", "read-write", "Ready"), new.endpoint("b", "read-only", "Ready")];
         let discovery = ManualDiscovery::start();
-        let proxy = start_proxy_with_discovery(EXAMPLE_CONFIG, &known, discovery.address());
-        Self { old, new, known, discovery, proxy }
+        let proxy = start_proxy_with_discovery(EXAMPLE_CONFIG, &cached_endpoints, discovery.address());
+        Self { old, new, cached_endpoints, discovery, proxy }
     }
 }
 
-/// The change of the list once the second server has become the primary.
+/// Returns the change of the endpoint list after a switchover from the first server to the second.
 fn primary_change(revision: u32, old: &ScriptedServer, new: &ScriptedServer) -> String {
     let endpoints =
         [old.endpoint("a", "read-write", "Terminating"), new.endpoint("b", "read-write", "Ready")];
@@ -70,16 +72,16 @@
 }
 
 #[rstest]
-#[case::as_a_line(|text: &str| vec![format!("{text}\n")])]
+#[case::one_line(|text: &str| vec![format!("{text}\n")])]
 #[case::indented(|text: &str| vec![text.replace(',', ",\n    ").replace('{', "{\n  ").replace('}', "\n}")])]
-#[case::one_character_a_chunk(|text: &str| text.chars().map(String::from).chain(["\n".to_owned()]).collect())]
-#[case::two_in_one_chunk(|text: &str| vec![format!("\n{{\"rev\":2,\"all\":false}}{text}{{\"rev\":9,")])]
-#[case::longer_than_buffers(|text: &str| vec![" ".repeat(40_000) + text])]
-fn a_change_takes_effect_once_it_is_complete_in_any_layout(#[case] pieces: fn(&str) -> Vec<String>) {
+#[case::one_character_per_chunk(|text: &str| text.chars().map(String::from).chain(["\n".to_owned()]).collect())]
+#[case::several_values_in_one_chunk(|text: &str| vec![format!("\n{{\"rev\":2,\"all\":false}}{text}{{\"rev\":9,")])]
+#[case::longer_than_a_buffer(|text: &str| vec![" ".repeat(40_000) + text])]
+fn a_change_takes_effect_in_any_layout_and_chunking(#[case] chunks_of: fn(&str) -> Vec<String>) {
     let Fixture { old, new, discovery, proxy, .. } = Fixture::start();
     let (_, mut stream) = discovery.accept_watch();
-    for piece in pieces(&primary_change(3, &old, &new)) {
-        send_chunk(&mut stream, &piece);
+    for chunk in chunks_of(&primary_change(3, &old, &new)) {
+        send_chunk(&mut stream, &chunk);
     }
     let mut client = Client::connect(&proxy);
     wait_until("the change takes effect", || {
@@ -87,59 +89,75 @@
     });
 }
 
-/// A watch times out 6 s after its last complete message, whatever else its connection does.
+/// Changes count as missed 6 s after the last complete message. Within that time, the proxy must reopen a
+/// watch that is silent or delivers only whitespace, even if the first new connection fails.
 #[rstest]
 #[case::silent_from_the_start("", false)]
-#[case::silent_behind_a_line("\n", false)]
+#[case::silent_after_a_line("\n", false)]
 #[case::silent_in_the_middle_of_a_list(r#"{"rev":3,"all":true,"targets":["#, false)]
-#[case::trickling("\n", true)]
-fn a_watch_without_a_complete_message_is_reopened_in_time(#[case] first_chunk: &str, #[case] trickles: bool) {
+#[case::slow_whitespace("\n", true)]
+fn a_watch_without_a_complete_message_is_reopened_in_time(
+    #[case] first_chunk: &str,
+    #[case] sends_slowly: bool,
+) {
     let discovery = ManualDiscovery::start();
     let _proxy = start_proxy_with_discovery(EXAMPLE_CONFIG, &[], discovery.address());
     let (_, mut stream) = discovery.accept_watch();
     if !first_chunk.is_empty() {
         send_chunk(&mut stream, first_chunk);
     }
-    let silent_since = Instant::now();
-    let mut trickle = stream.try_clone().expect("a socket");
+    let last_message_at = Instant::now();
+    let mut slow_stream = stream.try_clone().expect("the socket can be cloned");
     std::thread::spawn(move || {
-        while trickles && trickle.write_all(b"1\r\n \r\n").is_ok() {
+        while sends_slowly && slow_stream.write_all(b"1\r\n \r\n").is_ok() {
             std::thread::sleep(Duration::from_millis(300));
         }
     });
-    // The first new connection fails. The next one comes within the timeout too.
+    // The first new connection fails. The second one must arrive within the 6 s too.
     drop(discovery.accept_request());
     drop(discovery.accept_request());
-    assert!(silent_since.elapsed() < Duration::from_secs(6), "{:?}", silent_since.elapsed());
+    assert!(
+        last_message_at.elapsed() < Duration::from_secs(6),
+        "reopened after {:?}",
+        last_message_at.elapsed()
+    );
 }
 
-/// A body without a length is incomplete where the connection ends early. One of the wrong status is ignored too.
+/// A list without a content length is incomplete if the connection ends before its closing brace. A list in a
+/// response with an error status is ignored too.
 #[rstest]
-#[case::cut(200, false)]
+#[case::truncated(200, false)]
 #[case::reset(200, true)]
 #[case::wrong_status(500, false)]
-fn an_incomplete_list_is_ignored(#[case] status: u16, #[case] resets: bool) {
+fn an_incomplete_or_failed_response_is_ignored(#[case] status: u16, #[case] resets: bool) {
     let Fixture { old, new, discovery, proxy, .. } = Fixture::start();
     let (_, mut stream) = discovery.accept_request();
     let complete = full_list(5, &[new.endpoint("b", "read-write", "Ready")]);
     let body = if status == 200 { &complete[..complete.len() - 1] } else { &complete[..] };
-    stream.write_all(format!("HTTP/1.1 {status} X\r\n\r\n{body}").as_bytes()).expect("it reads");
+    stream
+        .write_all(format!("HTTP/1.1 {status} X\r\n\r\n{body}").as_bytes())
+        .expect("the proxy keeps the connection open");
     if resets {
-        socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("a socket");
+        socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("SO_LINGER can be set");
     }
     drop(stream);
     let (path, _stream) = discovery.accept_watch();
-    assert_eq!(path, "/v1/endpoints?watch=1&from=1", "it asks for changes to the cached list");
+    assert_eq!(path, "/v1/endpoints?watch=1&from=1", "expected a request for changes to the cached list");
     assert_eq!(message_kinds(&Client::connect(&proxy).request(&write_statement(3000))), "TDCZ");
-    assert_eq!((old.statement_count(), new.statement_count()), (1, 0), "the cached list stays in effect");
+    assert_eq!(
+        (old.statement_count(), new.statement_count()),
+        (1, 0),
+        "expected the cached list to stay in effect"
+    );
 }
 
-/// A discovery service that was restarted counts revisions from the beginning. Its changes do not fit the cached list.
+/// A restarted discovery service starts again at the first revision. Its changes cannot be applied to the
+/// cached list of a later revision.
 #[test]
 fn a_change_to_an_older_revision_triggers_a_request_for_the_complete_list() {
-    let Fixture { old, new, discovery, proxy, known } = Fixture::start();
+    let Fixture { old, new, discovery, proxy, cached_endpoints } = Fixture::start();
     let (_, mut stream) = discovery.accept_watch();
-    send_chunk(&mut stream, &format!("{}\n", full_list(8, &known)));
+    send_chunk(&mut stream, &format!("{}\n", full_list(8, &cached_endpoints)));
     send_chunk(&mut stream, &format!("{}\n", primary_change(3, &old, &new)));
     let (path, mut stream) = discovery.accept_watch();
     assert_eq!(path, "/v1/endpoints?watch=1&from=0");
@@ -149,27 +167,29 @@
         ("TDCZ".into(), 1)
     );
     send_chunk(&mut stream, &format!("{}\n", full_list(3, &[new.endpoint("b", "read-write", "Ready")])));
-    wait_until("its complete list takes effect", || {
+    wait_until("the complete list takes effect", || {
         message_kinds(&client.request(&write_statement(3000))) == "TDCZ" && new.statement_count() > 0
     });
 }
 
-/// Clients that connect and send nothing use all their sockets. Discovery and data servers have sockets of their own.
+/// Clients that connect and send nothing can use up the sockets for clients. Discovery and data servers have
+/// sockets of their own.
 #[test]
 fn idle_clients_leave_sockets_for_discovery_and_data_servers() {
-    let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
+    let old = ScriptedServer::start(ServerRole::Primary, reply_with_row);
     let discovery = ManualDiscovery::start();
-    let known = [server.endpoint("a", "read-write", "Ready")];
+    let endpoints = [old.endpoint("a", "read-write", "Ready")];
     let config = config_with_limits(ProcessLimits { memory_mb: 192, sockets: 64 });
-    let proxy = start_proxy_with_discovery(&config, &known, discovery.address());
+    let proxy = start_proxy_with_discovery(&config, &endpoints, discovery.address());
     drop(discovery.accept_request());
     let mut client = Client::connect(&proxy);
-    let idle: Vec<_> = (0..100).map(|_| TcpStream::connect(proxy.address).expect("it listens")).collect();
+    let idle: Vec<_> =
+        (0..100).map(|_| TcpStream::connect(proxy.address).expect("the proxy accepts connections")).collect();
     let (_, mut stream) = discovery.accept_watch();
-    let next = ScriptedServer::start(ServerRole::Primary, reply_with_row);
-    send_chunk(&mut stream, &format!("{}\n", primary_change(2, &server, &next)));
+    let new = ScriptedServer::start(ServerRole::Primary, reply_with_row);
+    send_chunk(&mut stream, &format!("{}\n", primary_change(2, &old, &new)));
     wait_until("the change takes effect", || {
-        message_kinds(&client.request(&write_statement(3000))) == "TDCZ" && next.statement_count() > 0
+        message_kinds(&client.request(&write_statement(3000))) == "TDCZ" && new.statement_count() > 0
     });
     drop(idle);
 }
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -1,5 +1,5 @@
-//! What the driver guarantees to the routing engine and to clients, whatever the client and server sides
-//! report.
+//! Guarantees of the driver to the routing engine and to clients, whatever events the client side and the
+//! server side report.
 
 #[path = "../core/tests/common/mod.rs"]
 mod common;
@@ -18,10 +18,10 @@
 type TestDriver = Driver<&'static str, &'static str>;
 type TestCommands = UnboundedReceiver<ServerCommand<&'static str>>;
 
-/// A driver whose engine knows server 1, the primary, and its replicas 2 and 3.
-fn start(clock: Clock) -> (TestDriver, TestCommands) {
+/// Starts a driver with a cached endpoint list: server 1 is the primary, servers 2 and 3 are replicas.
+fn start_driver(clock: Clock) -> (TestDriver, TestCommands) {
     let DriverParts { driver, server_commands, .. } =
-        DriverParts::new(settings(), 7, clock).expect("valid settings");
+        DriverParts::new(settings(), 7, clock).expect("the settings are valid");
     driver.endpoints_updated(
         EndpointUpdate::Cached(vec![endpoint(1, true), endpoint(2, false), endpoint(3, false)]),
         [],
@@ -33,7 +33,7 @@
     NewRequest { class, group: GroupId(1), time_left: ms(2000), ..NewRequest::default() }
 }
 
-/// The next attempt that the driver commands.
+/// Returns the next attempt that the driver commands; `None` if there is none. Skips other commands.
 fn next_attempt(commands: &mut TestCommands) -> Option<AttemptCommand<&'static str>> {
     while let Ok(command) = commands.try_recv() {
         if let ServerCommand::Attempt(attempt) = command {
@@ -59,10 +59,10 @@
 
 #[test]
 fn the_first_response_is_final_and_later_results_are_dropped() {
-    let (driver, mut commands) = start(Clock::start());
+    let (driver, mut commands) = start_driver(Clock::start());
     let (_, mut response) = driver.submit(new_request(KEYED_WRITE), "query");
     driver.step();
-    let attempt = next_attempt(&mut commands).expect("an attempt");
+    let attempt = next_attempt(&mut commands).expect("the driver commands an attempt");
     assert_eq!((*attempt.query, attempt.server, attempt.id.number), ("query", ServerId(1), AttemptNumber(0)));
     for _ in 0..2 {
         driver.attempt_ended(attempt.id, attempt_result(Outcome::Success, true, driver.clock().now()));
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_result_for_an_unknown_attempt_is_dropped() {
-    let (driver, mut commands) = start(Clock::start());
+    let (driver, mut commands) = start_driver(Clock::start());
     let key = AttemptId { request: RequestId(99), number: AttemptNumber(0) };
     driver.attempt_ended(key, attempt_result(Outcome::Success, true, driver.clock().now()));
     driver.step();
@@ -83,25 +83,26 @@
 }
 
 #[test]
-fn a_disconnected_client_gets_no_response_and_its_attempt_is_cancelled() {
-    let (driver, mut commands) = start(Clock::start());
+fn a_client_disconnect_cancels_the_attempt_and_drops_the_response() {
+    let (driver, mut commands) = start_driver(Clock::start());
     let (id, mut response) = driver.submit(new_request(KEYED_WRITE), "query");
     driver.step();
-    let attempt = next_attempt(&mut commands).expect("an attempt");
+    let attempt = next_attempt(&mut commands).expect("the driver commands an attempt");
     driver.client_gone(id);
     driver.step();
     assert!(matches!(commands.try_recv(), Ok(ServerCommand::Cancel(key)) if key == attempt.id));
     assert!(response.try_recv().is_err());
 }
 
-/// State must not grow with each server that was ever listed.
+/// The server side must drop the state of removed servers. Otherwise its state grows with each server that is
+/// listed.
 #[rstest::rstest]
 #[case::removed(EndpointUpdate::Changes(vec![Endpoint { state: EndpointState::Removed, ..endpoint(3, false) }]), &[3])]
 #[case::draining(EndpointUpdate::Changes(vec![Endpoint { state: EndpointState::Draining, ..endpoint(3, false) }]), &[])]
 #[case::not_in_the_complete_list(EndpointUpdate::Full(vec![endpoint(2, false), endpoint(4, true)]), &[1, 3])]
 #[case::never_listed(EndpointUpdate::Changes(vec![Endpoint { state: EndpointState::Removed, ..endpoint(9, false) }]), &[])]
 fn the_state_of_a_removed_server_is_dropped(#[case] update: EndpointUpdate, #[case] removed: &[u32]) {
-    let (driver, mut commands) = start(Clock::start());
+    let (driver, mut commands) = start_driver(Clock::start());
     driver.endpoints_updated(update, []);
     let mut forgotten = Vec::new();
     while let Ok(command) = commands.try_recv() {
@@ -115,23 +116,24 @@
 
 #[test]
 fn attempts_are_numbered_in_the_order_of_sending() {
-    let (driver, mut commands) = start(Clock::start());
+    let (driver, mut commands) = start_driver(Clock::start());
     let (_, _response) = driver.submit(new_request(KEYED_WRITE), "query");
-    // The listed primary declines the write; the engine then tries the members in turn.
+    // The listed primary answers that it is not the primary. The engine then tries the other members in turn.
     for expected in 0..2 {
         driver.step();
-        let attempt = next_attempt(&mut commands).expect("an attempt");
+        let attempt = next_attempt(&mut commands).expect("the driver commands an attempt");
         assert_eq!(attempt.id.number, AttemptNumber(expected));
         driver.attempt_ended(attempt.id, attempt_result(Outcome::Misdirected, false, driver.clock().now()));
     }
 }
 
-/// A staleness bound holds when the query is written: an attempt on a replica must not be sent once its last
-/// known position is too old, however long connecting took. A primary is up to date and has no such limit.
+/// The staleness bound must hold at the time at which the query is sent. An attempt at a replica therefore
+/// has a time after which the last known position of the replica is too old, even if the attempt still waits
+/// for a connection. A primary is up to date, so an attempt at a primary has no such limit.
 #[test]
-fn an_attempt_on_a_replica_has_a_freshness_deadline() {
+fn an_attempt_at_a_replica_has_a_freshness_deadline() {
     let clock = Clock::start();
-    let (driver, mut commands) = start(clock);
+    let (driver, mut commands) = start_driver(clock);
     let (mut at_replica, mut at_primary) = (0, 0);
     for round in 0..200 {
         let (_, _response) =
@@ -147,24 +149,27 @@
             driver.attempt_ended(attempt.id, attempt_result(Outcome::Success, primary, clock.now()));
         }
     }
-    assert!(at_replica > 0, "{at_replica} reads at replicas, {at_primary} at the primary");
+    assert!(at_replica > 0, "expected reads at replicas: {at_replica} there, {at_primary} at the primary");
 }
 
-/// Servers may close idle connections long before the time in the settings. Resets that young connections
-/// have as often are not caused by age.
+/// Data servers may close idle connections earlier than the settings say; such a connection breaks at its
+/// next query. Connections are not reused beyond the idle time from which on they break often. If connections
+/// break as often after a short idle time, idle time is not the cause and stays unlimited.
 #[rstest::rstest]
-#[case::break_when_old(0.0, 0.5, true)]
-#[case::break_rarely(0.03, 0.05, false)]
-#[case::break_as_often_as_young_ones(0.4, 0.4, false)]
-fn idle_connections_are_reused_up_to_the_age_at_which_they_break(
-    #[case] young: f64,
-    #[case] old: f64,
+#[case::long_idle_connections_break(0.0, 0.5, true)]
+#[case::long_idle_connections_break_rarely(0.03, 0.05, false)]
+#[case::short_idle_connections_break_as_often(0.4, 0.4, false)]
+fn idle_connections_are_reused_up_to_the_idle_time_at_which_they_break(
+    #[case] short_idle_share: f64,
+    #[case] long_idle_share: f64,
     #[case] is_limited: bool,
 ) {
     let mut statistics = ReuseStatistics::default();
-    let (mut breaks, mut now) = ([0.0, 0.0], 0.0);
+    let (mut due_breaks, mut now) = ([0.0, 0.0], 0.0);
     for _ in 0..100 {
-        for (due, (share, idle_ms)) in breaks.iter_mut().zip([(young, 10), (old, 300)]) {
+        for (due, (share, idle_ms)) in
+            due_breaks.iter_mut().zip([(short_idle_share, 10), (long_idle_share, 300)])
+        {
             *due += share;
             statistics.record(now, ms(idle_ms), *due >= 1.0);
             *due %= 1.0;
@@ -172,17 +177,23 @@
         now += 0.01;
     }
     assert_eq!(statistics.max_idle_time(now), is_limited.then_some(ms(256)));
-    assert_eq!(statistics.max_idle_time(now + 100.0), None, "old connections are tried again after a while");
+    assert_eq!(
+        statistics.max_idle_time(now + 100.0),
+        None,
+        "expected long idle connections to be tried again after 100 s"
+    );
 }
 
-/// Otherwise a short lack of sockets would use up all attempts of a request within a few steps.
+/// If an attempt failed for lack of a socket, a short shortage would use up all attempts of a request within
+/// a few steps.
 #[test]
 fn an_attempt_waits_for_a_socket() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime =
+        tokio::runtime::Builder::new_current_thread().enable_all().build().expect("the runtime can be built");
     let server = ScriptedServer::start(ServerRole::Primary, |_| Reply::Row(b"v".to_vec()));
     let clock = Clock::start();
     let DriverParts { driver, server_commands, .. } =
-        DriverParts::new(settings(), 7, clock).expect("valid settings");
+        DriverParts::new(settings(), 7, clock).expect("the settings are valid");
     let options = ServerOptions {
         max_sockets: 1,
         connect_timeout: ms(5000),
@@ -219,92 +230,103 @@
 }
 
 #[test]
-fn positions_keep_their_order_when_converted_to_the_clock() {
+fn unix_times_keep_their_order_when_converted_to_the_clock() {
     let clock = Clock::start();
-    let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
-    let ms = unix.as_millis() as f64;
-    assert!(clock.from_unix_ms(ms) < clock.from_unix_ms(ms + 1.0));
-    assert!(clock.from_unix_ms(ms - 1000.0) < clock.now());
+    let unix_time = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("the system clock is past 1970");
+    let unix_ms = unix_time.as_millis() as f64;
+    assert!(clock.from_unix_ms(unix_ms) < clock.from_unix_ms(unix_ms + 1.0));
+    assert!(clock.from_unix_ms(unix_ms - 1000.0) < clock.now());
     assert_eq!(clock.from_unix_ms(0.0), std::time::Duration::ZERO);
     assert_eq!(clock.from_unix_ms(f64::INFINITY), std::time::Duration::ZERO);
 }
 
-/// Requests in flight keep their rules: a changed class gets an id that none of them uses.
+/// Requests in flight keep the rules of their class. A changed class therefore gets an id that no request in
+/// flight uses.
 #[test]
 fn new_settings_apply_to_requests_submitted_after_them() {
-    let (driver, mut commands) = start(Clock::start());
+    let (driver, mut commands) = start_driver(Clock::start());
     driver.submit(new_request(KEYED_WRITE), "open");
     driver.step();
-    let open = next_attempt(&mut commands).expect("an attempt");
+    let open_attempt = next_attempt(&mut commands).expect("the driver commands an attempt");
     let changed = Class { deadline: ms(900), ..settings().classes[KEYED_WRITE.0].clone() };
-    let once = Settings {
+    let single_attempt = Settings {
         classes: vec![settings().classes[BOUNDED_READ.0].clone(), changed],
         limits: Limits { max_attempts: 1, ..settings().limits },
         ..settings()
     };
-    let ids = driver.reconfigure(once.clone(), &[Some(BOUNDED_READ), None], &[]);
-    assert_eq!(ids, [BOUNDED_READ, SESSION_READ], "the slot of a class that is dropped and not in use");
-    let (_, mut second) = driver.submit(new_request(ids[1]), "new");
+    let ids = driver.reconfigure(single_attempt.clone(), &[Some(BOUNDED_READ), None], &[]);
+    assert_eq!(
+        ids,
+        [BOUNDED_READ, SESSION_READ],
+        "expected the id of a removed class without requests for the changed class"
+    );
+    let (_, mut new_response) = driver.submit(new_request(ids[1]), "new");
     driver.step();
-    let new = next_attempt(&mut commands).expect("an attempt");
-    for attempt in [open, new] {
+    let new_attempt = next_attempt(&mut commands).expect("the driver commands an attempt");
+    for attempt in [open_attempt, new_attempt] {
         driver.attempt_ended(attempt.id, attempt_result(Outcome::ConnectFailed, true, driver.clock().now()));
     }
-    let again = std::iter::repeat_with(|| {
-        std::thread::yield_now(); // the server is tried again once the clock has advanced
+    let retries = std::iter::repeat_with(|| {
+        std::thread::yield_now(); // the engine retries at the server once the clock has advanced
         driver.step();
         next_attempt(&mut commands)
     });
-    let again = again.take(1 << 22).flatten().next().expect("the old limit holds");
-    assert_eq!((*again.query, again.id.number), ("open", AttemptNumber(1)));
-    assert!(matches!(second.try_recv(), Ok(Response::Rejected(_))), "the new one allows no second attempt");
+    let retry = retries.take(1 << 22).flatten().next().expect("the old attempt limit applies");
+    assert_eq!((*retry.query, retry.id.number), ("open", AttemptNumber(1)));
+    assert!(
+        matches!(new_response.try_recv(), Ok(Response::Rejected(_))),
+        "expected no retry of the new request"
+    );
     assert_eq!(
-        driver.reconfigure(once, &[Some(BOUNDED_READ), None], &[SESSION_READ]),
+        driver.reconfigure(single_attempt, &[Some(BOUNDED_READ), None], &[SESSION_READ]),
         [BOUNDED_READ, UNIQUE_WRITE],
-        "both others are in use"
+        "expected an id that is not in use"
     );
     assert_eq!(driver.max_deadline(), ms(2000));
 }
 
-/// A client gets its response before the engine is stepped. A successor that took over at that moment without
-/// the commit would serve the session a stale read.
+/// A client gets its response before the next step of the engine. A snapshot for a successor that is taken in
+/// between must contain the commit; otherwise the successor could serve the session a stale read.
 #[test]
 fn a_write_acknowledged_since_the_last_step_is_in_the_snapshot() {
     let settings = Settings { session_tokens: SessionTokens::Tracked, ..settings() };
     let parts: DriverParts<&str, &str> =
-        DriverParts::new(settings, 7, Clock::start()).expect("valid settings");
+        DriverParts::new(settings, 7, Clock::start()).expect("the settings are valid");
     let (driver, mut commands) = (parts.driver, parts.server_commands);
     driver.endpoints_updated(EndpointUpdate::Cached(vec![endpoint(1, true), endpoint(2, false)]), []);
     let write = NewRequest { session: Some("s".into()), ..new_request(KEYED_WRITE) };
     let (_, mut response) = driver.submit(write, "query");
     driver.step();
-    let attempt = next_attempt(&mut commands).expect("an attempt");
+    let attempt = next_attempt(&mut commands).expect("the driver commands an attempt");
     let commit = driver.clock().now();
     driver.attempt_ended(attempt.id, attempt_result(Outcome::Success, true, commit));
     assert_eq!(response.try_recv(), Ok(Response::Served("value")));
-    let marks = driver.snapshot().session_tokens;
-    assert_eq!(marks, [("s".to_owned(), commit.as_secs_f64())]);
+    let session_tokens = driver.snapshot().session_tokens;
+    assert_eq!(session_tokens, [("s".to_owned(), commit.as_secs_f64())]);
 }
 
-/// After a pause, a successor may serve unnoticed: for a grace period, any session may have written just now.
-/// A process that was merely idle has been stepped and was not paused.
+/// During a process pause, a successor may have taken over and served writes. For a grace period after the
+/// pause, the driver therefore assumes that any session has just written. The shorter times between two steps
+/// of an idle process do not count as a pause.
 #[tokio::test(start_paused = true)]
 async fn session_tokens_are_not_trusted_after_a_process_pause() {
     let settings = Settings { session_tokens: SessionTokens::Tracked, ..settings() };
     let parts: DriverParts<&str, &str> =
-        DriverParts::new(settings, 7, Clock::start()).expect("valid settings");
+        DriverParts::new(settings, 7, Clock::start()).expect("the settings are valid");
     let driver = parts.driver;
     driver.endpoints_updated(EndpointUpdate::Cached(vec![endpoint(1, true), endpoint(2, false)]), []);
     let initial_floor = driver.snapshot().session_floor;
-    for idle in [ms(250), ms(600)] {
-        tokio::time::advance(idle).await;
+    for idle_time in [ms(250), ms(600)] {
+        tokio::time::advance(idle_time).await;
         assert_eq!(driver.snapshot().session_floor, initial_floor);
     }
     tokio::time::advance(ms(1200)).await;
     let resumed_at = driver.clock().now();
     assert!(
         driver.snapshot().session_floor > Some(resumed_at.as_secs_f64()),
-        "any session may have written during the pause"
+        "expected the floor to cover writes of any session during the pause"
     );
     tokio::time::advance(ms(700)).await;
     assert!(driver.snapshot().session_floor < Some(driver.clock().now().as_secs_f64()));
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -1,4 +1,5 @@
-//! Failovers under load against the built program: each kind of fault, with every write accounted for.
+//! Failovers under load against the built program. Each kind of fault is injected, and the response to every
+//! write is checked against what the data servers executed.
 
 use std::path::Path;
 use std::time::Duration;
@@ -6,9 +7,9 @@
 use pipittack_testkit::failover_trial::{run, FaultKind, Plan};
 use rstest::rstest;
 
-/// A trial with two replica sets that injects one kind of fault. The verdict follows from the records of clients and
-/// servers and does not depend on the speed of the machine.
-fn plan(name: &str, kind: Option<FaultKind>, rounds: usize) -> Plan {
+/// Returns the plan of a trial with two replica sets and one kind of fault. Whether the trial passes depends
+/// only on the records of clients and servers and not on the speed of the machine.
+fn plan(name: &str, fault: Option<FaultKind>, rounds: usize) -> Plan {
     Plan {
         program: env!("CARGO_BIN_EXE_pipittack").into(),
         folder: Path::new(env!("CARGO_TARGET_TMPDIR"))
@@ -18,7 +19,7 @@
         seed: 11,
         scale: 0.3,
         response_slack: Duration::from_secs(10),
-        only: kind,
+        only: fault,
         verbose: false,
     }
 }
@@ -36,8 +37,8 @@
 #[case::short_pause(FaultKind::ShortPause, 6)]
 #[case::discovery_silent(FaultKind::DiscoverySilent, 4)]
 #[case::proxy_upgrade(FaultKind::ProxyUpgrade, 1)]
-fn every_write_gets_one_correct_response(#[case] kind: FaultKind, #[case] rounds: usize) {
-    let report = run(plan(&format!("{kind:?}"), Some(kind), rounds)).expect("the trial runs");
+fn every_write_gets_one_correct_response(#[case] fault: FaultKind, #[case] rounds: usize) {
+    let report = run(plan(&format!("{fault:?}"), Some(fault), rounds)).expect("the trial can be run");
     assert!(report.is_clean(), "{report:?}");
     assert_eq!(report.rounds, rounds as u64);
     assert!(
@@ -48,8 +49,8 @@
 
 /// The primaries of all sets are paused at the same time.
 #[test]
-fn simultaneous_failover_of_all_sets() {
-    let report =
-        run(Plan { sets: 4, ..plan("together", Some(FaultKind::PrimaryPaused), 4) }).expect("the trial runs");
+fn every_write_gets_one_correct_response_when_all_sets_fail_over_at_once() {
+    let report = run(Plan { sets: 4, ..plan("together", Some(FaultKind::PrimaryPaused), 4) })
+        .expect("the trial can be run");
     assert!(report.is_clean() && report.served > 0, "{report:?}");
 }
--- a/tests/malformed_responses.rs
+++ b/tests/malformed_responses.rs
@@ -9,7 +9,8 @@
 use rstest::rstest;
 use support::*;
 
-/// A part of the value has gone to the client already, so that no error can replace it. The connection ends instead.
+/// A part of the value has gone to the client already, so that no error can replace it. The connection ends
+/// instead.
 #[rstest]
 #[case::cut_off(vec![7; 100_000])]
 #[case::error_in_place_of_the_end([vec![7; 200_000], message(b'E', b"C53300\0\0"), message(b'Z', b"I")].concat())]
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -136,7 +136,8 @@
     assert!(proxy.child.wait().expect("it exits").success());
 }
 
-/// The stage of a request when a graceful shutdown starts. It gets one response, and its connection a clean end.
+/// The stage of a request when a graceful shutdown starts. It gets one response, and its connection a clean
+/// end.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Stage {
     HalfRead,
@@ -167,7 +168,7 @@
         Stage::BeforeEndpointList => vec![],
         _ => vec![server.endpoint("a", "read-write", "Ready")],
     };
-    let mut proxy = start_proxy_with_config(&config_with_connect_timeout(), &endpoints, None);
+    let mut proxy = start_proxy_with_config(&config_with_extended_connect_timeout(), &endpoints, None);
     let request = query(&write_statement(2000));
     let sent_length = if stage == Stage::HalfRead { request.len() / 2 } else { request.len() };
     let mut client = if stage == Stage::InListenQueue {
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -1,5 +1,5 @@
-//! Race conditions, each forced: a close, a signal or a response that comes between two steps of the program. A
-//! process that is stopped meanwhile finds all of them at once.
+//! Race conditions, each forced: a close, a signal or a response that comes between two steps of the program.
+//! A process that is stopped meanwhile finds all of them at once.
 
 mod support;
 
@@ -11,7 +11,8 @@
 use pipittack_testkit::wire::{message, query, startup_response};
 use support::*;
 
-/// A client's write that waits for a connection to the data server, which has not answered the startup packet.
+/// A client's write that waits for a connection to the data server, which has not answered the startup
+/// packet.
 struct PendingConnect {
     proxy: Proxy,
     client: Client,
@@ -23,7 +24,7 @@
     fn start() -> Self {
         let server = DelayedServer::start();
         let endpoints = [server.endpoint("a", "read-write")];
-        let proxy = start_proxy_with_config(&config_with_connect_timeout(), &endpoints, None);
+        let proxy = start_proxy_with_config(&config_with_extended_connect_timeout(), &endpoints, None);
         let mut client = Client::connect(&proxy);
         client.send(&query(&write_statement(3000)));
         let server_stream = server.accept();
@@ -95,7 +96,8 @@
     assert!(!has_request || text.contains("id=e2,"), "{text}");
 }
 
-/// The retry with the same id arrives before the end of the first connection was read. Both wait for the process.
+/// The retry with the same id arrives before the end of the first connection was read. Both wait for the
+/// process.
 #[test]
 fn a_client_that_comes_again_under_its_id_is_served() {
     let server = start_server_with_marked_reply("'pending'", || Reply::Nothing);
--- a/tests/restart.rs
+++ b/tests/restart.rs
@@ -1,5 +1,5 @@
-//! Two hundred planned restarts under constant load: each request gets its final response, also one that crossed the
-//! close of its connection and is sent again on a new one.
+//! Two hundred planned restarts under constant load: each request gets its final response, also one that
+//! crossed the close of its connection and is sent again on a new one.
 
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -30,8 +30,8 @@
     answered: AtomicU64,
     /// Sent again, because the connection was closed before a byte of a response came.
     crossed_close: AtomicU64,
-    /// Not connected, because the client came after the listener had closed. It gets an error, and the load balancer
-    /// would send it elsewhere.
+    /// Not connected, because the client came after the listener had closed. It gets an error, and the load
+    /// balancer would send it elsewhere.
     connection_refused: AtomicU64,
     /// Accepted and never answered.
     lost: AtomicU64,
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -1,5 +1,5 @@
-//! Fifty upgrades and fifty restarts under sessions that write and read constantly. Each read is checked against the
-//! acknowledged writes of its session, by the servers' own replication positions.
+//! Fifty upgrades and fifty restarts under sessions that write and read constantly. Each read is checked
+//! against the acknowledged writes of its session, by the servers' own replication positions.
 
 use std::path::Path;
 
--- a/tests/support/client.rs
+++ b/tests/support/client.rs
@@ -1,4 +1,4 @@
-//! A client that speaks to the proxy byte by byte.
+//! PostgreSQL client that sends raw bytes to the proxy.
 
 use std::io::Write;
 
@@ -8,19 +8,19 @@
 use super::proxy::Proxy;
 use super::TEST_TIMEOUT;
 
-/// A connection to the proxy.
+/// Client connection to the proxy.
 pub struct Client {
     pub stream: ClosingStream,
 }
 
-/// The messages of a response, each with its kind and its body.
+/// Messages of a response: kind byte and body of each.
 pub type Response = Vec<(u8, Vec<u8>)>;
 
 impl Client {
-    /// Opens a connection and sends nothing.
+    /// Opens a connection without sending a startup packet.
     pub fn open(proxy: &Proxy) -> Self {
-        let stream = ClosingStream::connect(proxy.address).expect("it listens");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
+        let stream = ClosingStream::connect(proxy.address).expect("the proxy accepts connections");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("the read timeout can be set");
         Self { stream }
     }
 
@@ -32,10 +32,10 @@
     }
 
     pub fn send(&mut self, bytes: &[u8]) {
-        self.stream.write_all(bytes).expect("the proxy reads");
+        self.stream.write_all(bytes).expect("the proxy has not closed the connection");
     }
 
-    /// Messages up to ReadyForQuery or the end of the connection.
+    /// Reads messages up to ReadyForQuery or the end of the connection.
     pub fn read_response(&mut self) -> Response {
         let mut messages = Vec::new();
         while let Some(message) = read_message(&mut *self.stream) {
@@ -47,7 +47,7 @@
         messages
     }
 
-    /// Sends a query and reads its response.
+    /// Sends a simple query and reads its response.
     pub fn request(&mut self, text: &str) -> Response {
         self.send(&query(text));
         self.read_response()
@@ -62,19 +62,20 @@
     (client, response)
 }
 
-/// The kinds of a response's messages, without ParameterStatus.
+/// Returns the kinds of the messages in a response, without ParameterStatus.
 pub fn message_kinds(response: &Response) -> String {
     response.iter().filter(|m| m.0 != b'S').map(|m| char::from(m.0)).collect()
 }
 
-/// A field of the ErrorResponse in a response.
-pub fn error_field(response: &Response, kind: u8) -> Option<String> {
+/// Returns the value of a field of the first ErrorResponse in a response; `None` if the response has no
+/// ErrorResponse or the ErrorResponse has no such field.
+pub fn error_field(response: &Response, field_type: u8) -> Option<String> {
     let (_, body) = response.iter().find(|m| m.0 == b'E')?;
-    let mut fields = body.split(|b| *b == 0).filter(|f| f.first() == Some(&kind));
+    let mut fields = body.split(|b| *b == 0).filter(|f| f.first() == Some(&field_type));
     fields.next().map(|f| String::from_utf8_lossy(&f[1..]).into_owned())
 }
 
-/// Asserts the kinds of a response's messages and the SQLSTATE of its ErrorResponse.
+/// Asserts the kinds of the messages in a response and the SQLSTATE of its ErrorResponse.
 #[track_caller]
 pub fn assert_error_response(response: &Response, kinds: &str, sql_state: &str) {
     let actual_state = error_field(response, b'C');
--- a/tests/support/delayed_server.rs
+++ b/tests/support/delayed_server.rs
@@ -1,4 +1,4 @@
-//! A data server whose connections come up only when the test says so.
+//! Data server whose connections the test accepts and answers itself.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
@@ -7,7 +7,8 @@
 
 use super::TEST_TIMEOUT;
 
-/// A listener that the test accepts from by hand.
+/// Listener of a data server. A connection to it stays in its startup until the test answers the startup
+/// packet.
 pub struct DelayedServer {
     listener: TcpListener,
     address: SocketAddr,
@@ -15,21 +16,21 @@
 
 impl DelayedServer {
     pub fn start() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
+        let address = listener.local_addr().expect("the listener is bound");
         Self { listener, address }
     }
 
-    /// Its entry in the endpoint list, as JSON.
+    /// Returns the server's entry in the endpoint list as JSON.
     pub fn endpoint(&self, uid: &str, mode: &str) -> String {
         EndpointEntry { uid, address: self.address, group: 1, state: "Ready", mode }.to_json()
     }
 
-    /// The next connection, whose startup packet has come and is not answered.
+    /// Accepts the next connection and reads its startup packet without answering it.
     pub fn accept(&self) -> TcpStream {
-        let (mut stream, _) = self.listener.accept().expect("a connection");
-        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
-        read_startup(&mut stream).expect("a startup packet");
+        let (mut stream, _) = self.listener.accept().expect("the proxy connects");
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("the read timeout can be set");
+        read_startup(&mut stream).expect("the proxy sends a startup packet");
         stream
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,6 @@
-//! Fixtures of the integration tests: the program between stand-ins, and a client that speaks to it byte by byte.
-#![allow(dead_code, unused_imports)] // each test file uses a part
+//! Helpers of the integration tests: the proxy as a child process, data servers and discovery services that a
+//! test controls, and a client that sends raw bytes.
+#![allow(dead_code, unused_imports)] // no test crate uses all of this module
 
 mod client;
 mod delayed_server;
@@ -19,33 +20,33 @@
 pub use delayed_server::DelayedServer;
 pub use manual_discovery::{send_chunk, ManualDiscovery};
 pub use proxy::{
-    admin_post, admin_request, config_with_connect_timeout, config_with_limits, is_ready, send_signal,
-    serve_command, start_proxy, start_proxy_with_config, start_proxy_with_discovery, start_proxy_with_limits,
-    ChildGuard, ProcessLimits, Proxy, EXAMPLE_CONFIG,
+    admin_post, admin_request, config_with_extended_connect_timeout, config_with_limits, is_ready,
+    send_signal, serve_command, start_proxy, start_proxy_with_config, start_proxy_with_discovery,
+    start_proxy_with_limits, ChildGuard, ProcessLimits, Proxy, EXAMPLE_CONFIG,
 };
 pub use servers::{reply_with_row, start_gated_server, start_server_with_marked_reply};
 pub use statements::{read_statement, read_statement_with_id, write_statement};
 
-/// Time within which everything that a test waits for must happen.
+/// Time limit for each event that a test waits for.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Creates a folder for one test.
+/// Creates a folder for one test; its name contains the id of the test process.
 pub fn create_folder(name: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a writable folder");
+    std::fs::create_dir_all(&folder).expect("the folder can be created");
     folder
 }
 
-/// Waits until a condition holds.
-pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let since = Instant::now();
+/// Waits until `condition` holds. Panics with `expectation` after [`TEST_TIMEOUT`].
+pub fn wait_until(expectation: &str, mut condition: impl FnMut() -> bool) {
+    let started = Instant::now();
     while !condition() {
-        assert!(since.elapsed() < TEST_TIMEOUT, "{what}");
+        assert!(started.elapsed() < TEST_TIMEOUT, "expected: {expectation}");
         std::thread::yield_now();
     }
 }
 
-/// Reads once, again where a signal interrupts the call.
+/// Reads once. Repeats the call if a signal interrupts it.
 pub fn read_once(stream: &mut TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
     loop {
         match stream.read(bytes) {
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -1,4 +1,4 @@
-//! The program under test as a child process, and its admin API.
+//! The proxy under test as a child process, and calls of its admin API.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -12,25 +12,25 @@
 
 use super::TEST_TIMEOUT;
 
-/// The example configuration.
+/// Text of the example configuration.
 pub const EXAMPLE_CONFIG: &str = include_str!("../../examples/config.json");
 
-/// A child process that is killed when the test is done with it.
+/// Child process that is killed when the guard is dropped.
 pub struct ChildGuard(Child);
 
-/// The program under test, its addresses and its discovery service.
+/// Running proxy with its addresses and its discovery service.
 pub struct Proxy {
     pub child: ChildGuard,
-    /// Path of its configuration.
+    /// Path of the configuration file.
     pub config: String,
     pub address: SocketAddr,
     pub admin_address: SocketAddr,
-    /// Lines of its log.
+    /// Log lines that the proxy writes after its start.
     pub log: mpsc::Receiver<String>,
     pub discovery: ScriptedDiscovery,
 }
 
-/// Limits of the configuration.
+/// Values of `limits` in the configuration.
 #[derive(Clone, Copy)]
 pub struct ProcessLimits {
     pub memory_mb: u32,
@@ -38,9 +38,9 @@
 }
 
 impl ChildGuard {
-    /// Starts a process.
+    /// Starts a child process.
     pub fn spawn(command: &mut Command) -> Self {
-        Self(command.spawn().expect("the program starts"))
+        Self(command.spawn().expect("the program can be started"))
     }
 }
 
@@ -66,11 +66,11 @@
 }
 
 impl Proxy {
-    /// Waits for a line of the log that contains a text.
+    /// Waits for a log line that contains `text`, and returns the line.
     pub fn wait_for_log(&self, text: &str) -> String {
-        std::iter::repeat_with(|| self.log.recv_timeout(TEST_TIMEOUT).expect("a line of the log"))
+        std::iter::repeat_with(|| self.log.recv_timeout(TEST_TIMEOUT).expect("another log line"))
             .find(|line| line.contains(text))
-            .expect("it goes on until one does")
+            .expect("the iterator does not end")
     }
 
     pub fn signal(&self, name: &str) {
@@ -78,51 +78,53 @@
     }
 }
 
-/// Sends a process a signal.
+/// Sends a signal to a process. `name` is the signal without its prefix `SIG`.
 pub fn send_signal(child: &Child, name: &str) {
     let kill = format!("kill -{name} {}", child.id());
-    assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell runs").success());
+    assert!(Command::new("sh").args(["-c", &kill]).status().expect("the shell can be started").success());
 }
 
-/// A command that serves a configuration, and the path of the configuration.
+/// Writes a configuration file. Returns the command that serves this configuration, and the path of the file.
 pub fn serve_command(config: &str) -> (Command, String) {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let path = format!("{}/proxy-{}-{number}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
-    std::fs::write(&path, config).expect("a writable folder");
+    std::fs::write(&path, config).expect("the configuration file can be written");
     let mut command = Command::new(env!("CARGO_BIN_EXE_pipittack"));
     command.arg("serve").env("GW_CONFIG", &path).env_remove("TMPDIR").stderr(Stdio::piped());
     (command, path)
 }
 
-/// The example configuration with these limits.
+/// Returns the example configuration with other limits.
 pub fn config_with_limits(limits: ProcessLimits) -> String {
     EXAMPLE_CONFIG.replace("192", &limits.memory_mb.to_string()).replace("1024", &limits.sockets.to_string())
 }
 
-/// The example configuration, with more time for a connection to come up.
-pub fn config_with_connect_timeout() -> String {
+/// Returns the example configuration with a connect timeout that leaves a test time to answer a startup
+/// packet.
+pub fn config_with_extended_connect_timeout() -> String {
     EXAMPLE_CONFIG.replace(r#""ConnectTimeoutMs": 250"#, r#""ConnectTimeoutMs": 9000"#)
 }
 
-/// Starts the program with these endpoints, and waits until it serves and has the list.
+/// Starts a proxy with the example configuration and these endpoints, and waits until it listens. The
+/// endpoint list is also in the configuration (`known`), so the proxy does not wait for discovery.
 pub fn start_proxy(endpoints: &[String]) -> Proxy {
     start_proxy_with_limits(ProcessLimits { memory_mb: 192, sockets: 1024 }, endpoints)
 }
 
-/// The same with these limits.
+/// Starts a proxy like [`start_proxy`], with other limits.
 pub fn start_proxy_with_limits(limits: ProcessLimits, endpoints: &[String]) -> Proxy {
     start_proxy_with_config(&config_with_limits(limits), endpoints, None)
 }
 
-/// Starts the program with a configuration, in a folder that outlives it or in none.
+/// Starts a proxy with a configuration. `folder` is its state directory; `None` starts the proxy without one.
 pub fn start_proxy_with_config(config: &str, endpoints: &[String], folder: Option<&Path>) -> Proxy {
     let discovery = ScriptedDiscovery::start(full_list(1, endpoints));
     let address = discovery.address;
     spawn_proxy(config, endpoints, folder, discovery, address)
 }
 
-/// Starts the program with a configuration and a discovery service of the test's own.
+/// Starts a proxy that uses the discovery service at `address` in place of a scripted one.
 pub fn start_proxy_with_discovery(config: &str, endpoints: &[String], address: SocketAddr) -> Proxy {
     spawn_proxy(config, endpoints, None, ScriptedDiscovery::start(full_list(1, endpoints)), address)
 }
@@ -143,11 +145,14 @@
     let (mut command, config) = serve_command(&config);
     folder.map(|folder| command.env("TMPDIR", folder));
     let mut child = ChildGuard::spawn(&mut command);
-    let mut log_lines = BufReader::new(child.stderr.take().expect("piped")).lines();
+    let mut log_lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
     let mut address_after = |text: &str| loop {
-        let line = log_lines.next().expect("a line with an address").expect("UTF-8");
+        let line = log_lines
+            .next()
+            .expect("the proxy logs its addresses before it exits")
+            .expect("the log is UTF-8");
         if let Some((_, address)) = line.split_once(text) {
-            break address.parse().expect("an address");
+            break address.parse().expect("the log line ends with an address");
         }
     };
     let admin_address = address_after("admin API listening at ");
@@ -157,21 +162,24 @@
     Proxy { child, config, address, admin_address, log, discovery }
 }
 
-/// Sends bytes to the admin API and gives the status that comes back; none where the connection just ends.
+/// Sends bytes to the admin API and returns the status code of the response; `None` if the connection ends
+/// without a response.
 pub fn admin_request(proxy: &Proxy, bytes: &[u8]) -> Option<u16> {
-    let mut stream = TcpStream::connect(proxy.admin_address).expect("it listens");
-    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("a socket");
-    stream.write_all(bytes).expect("it reads");
+    let mut stream = TcpStream::connect(proxy.admin_address).expect("the admin API accepts connections");
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).expect("the read timeout can be set");
+    stream.write_all(bytes).expect("the admin API has not closed the connection");
     let mut response = String::new();
-    stream.read_to_string(&mut response).expect("an end");
+    stream.read_to_string(&mut response).expect("the admin API closes the connection without a reset");
     response.strip_prefix("HTTP/1.1 ")?.get(..3)?.parse().ok()
 }
 
+/// Posts to `path` below `/control/` and returns the status code of the response.
 pub fn admin_post(proxy: &Proxy, path: &str) -> Option<u16> {
     let request = format!("POST /control/{path} HTTP/1.1\r\nHost: proxy\r\nContent-Length: 0\r\n\r\n");
     admin_request(proxy, request.as_bytes())
 }
 
+/// Returns whether the readiness check of the admin API succeeds.
 pub fn is_ready(proxy: &Proxy) -> bool {
     admin_request(proxy, b"GET /control/ready HTTP/1.1\r\n\r\n") == Some(200)
 }
--- a/tests/support/servers.rs
+++ b/tests/support/servers.rs
@@ -1,4 +1,4 @@
-//! Scripted data servers that several tests use.
+//! Scripted data servers that several tests share.
 
 use std::sync::{mpsc, Mutex};
 
@@ -6,12 +6,12 @@
 
 use super::TEST_TIMEOUT;
 
-/// The reply to any statement: a row.
+/// Replies to any statement with a row.
 pub fn reply_with_row(_: &str) -> Reply {
     Reply::Row(b"v".to_vec())
 }
 
-/// A primary that replies with a row, and otherwise where a statement contains a marker.
+/// Starts a primary that answers with a row. A statement that contains `marker` gets `reply` instead.
 pub fn start_server_with_marked_reply(
     marker: &'static str,
     reply: impl Fn() -> Reply + Send + Sync + 'static,
@@ -25,13 +25,14 @@
     })
 }
 
-/// A primary that replies with a row, and where a statement contains a marker only once the test sends a message.
+/// Starts a primary that answers with a row. Each statement that contains `marker` is answered only after the
+/// test has sent one message on the returned channel.
 pub fn start_gated_server(marker: &'static str) -> (ScriptedServer, mpsc::Sender<()>) {
-    let (opener, gate) = mpsc::channel::<()>();
+    let (gate_sender, gate) = mpsc::channel::<()>();
     let gate = Mutex::new(gate);
     let server = start_server_with_marked_reply(marker, move || {
-        let _ = gate.lock().expect("no panic").recv_timeout(TEST_TIMEOUT);
+        let _ = gate.lock().expect("no thread of the server panics").recv_timeout(TEST_TIMEOUT);
         Reply::Row(b"v".to_vec())
     });
-    (server, opener)
+    (server, gate_sender)
 }
