--- a/tests/network.rs
+++ b/tests/network.rs
@@ -1,4 +1,4 @@
-//! Requests through the program on real sockets: forwarding, retries, rejections and the protocol of clients.
+//! Requests through the proxy on real sockets: forwarding, retries, rejections and the client protocol.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use support::*;
 
 #[test]
-fn values_are_unchanged_and_only_the_wait_of_a_statement_is_rewritten() {
+fn values_are_unchanged_and_only_the_timeout_of_a_statement_is_rewritten() {
     let value: Vec<u8> = (0..65_536u32).map(|i| (i % 251) as u8).collect();
     let stored = value.clone();
     let server = ScriptedServer::start(ServerRole::Primary, move |_| Reply::Row(stored.clone()));
@@ -20,17 +20,22 @@
     for text in [read_statement(1000), large] {
         let response = Client::connect(&proxy).request(&text);
         assert_eq!(message_kinds(&response), "TDCZ");
-        assert!(response.iter().any(|m| m.0 == b'D' && m.1.ends_with(&value)), "the value is complete");
-        let statement = server.statements().pop().expect("it was forwarded");
-        let (head, tail) = text.split_once("d=1000").expect("written so");
-        let wait = statement.strip_prefix(head).and_then(|t| t.strip_suffix(tail)).expect("else unchanged");
-        let wait: u32 = wait.strip_prefix("d=").and_then(|n| n.parse().ok()).expect("a number");
-        assert!((1..=1000).contains(&wait), "{wait}");
+        assert!(response.iter().any(|m| m.0 == b'D' && m.1.ends_with(&value)), "expected the complete value");
+        let statement = server.statements().pop().expect("the statement was forwarded");
+        let (head, tail) = text.split_once("d=1000").expect("the statement has a timeout");
+        let timeout =
+            statement.strip_prefix(head).and_then(|t| t.strip_suffix(tail)).expect("the rest is unchanged");
+        let timeout_ms: u32 =
+            timeout.strip_prefix("d=").and_then(|n| n.parse().ok()).expect("the timeout is a number");
+        assert!(
+            (1..=1000).contains(&timeout_ms),
+            "forwarded timeout is {timeout_ms} ms, expected 1 to 1000 ms"
+        );
     }
 }
 
 #[test]
-fn pipelined_queries_behind_the_startup_packet_are_answered_in_order() {
+fn queries_pipelined_after_the_startup_packet_are_answered_in_order() {
     let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut client = Client::open(&proxy);
@@ -40,7 +45,8 @@
     assert_eq!(message_kinds(&client.read_response()), "TDCZ");
 }
 
-/// A close behind the result differs from a close in the middle of it.
+/// A result is complete if the connection closes after CommandComplete, and incomplete if the connection
+/// closes earlier.
 #[test]
 fn a_result_is_complete_when_its_server_closes_without_ready_for_query() {
     let server = ScriptedServer::start(ServerRole::Primary, |_| Reply::RowThenClose(b"v".to_vec()));
@@ -52,7 +58,7 @@
 }
 
 #[test]
-fn the_largest_wait_does_not_overflow() {
+fn the_largest_timeout_does_not_overflow() {
     let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     assert_eq!(message_kinds(&Client::connect(&proxy).request(&read_statement(u64::MAX))), "TDCZ");
@@ -72,7 +78,7 @@
     let replica = ScriptedServer::start(ServerRole::Replica, |_| Reply::Error("25006"));
     let primary = ScriptedServer::start(ServerRole::Primary, reply_with_row);
     let proxy = start_proxy(&[
-        replica.endpoint("a", "read-write", "Ready"), // the list is outdated
+        replica.endpoint("a", "read-write", "Ready"), // outdated: the server is a replica
         primary.endpoint("b", "read-only", "Ready"),
     ]);
     assert_eq!(message_kinds(&Client::connect(&proxy).request(&write_statement(3000))), "TDCZ");
@@ -84,20 +90,26 @@
 #[rstest]
 #[case::current(0, true)]
 #[case::behind(600, false)]
-#[case::ahead_of_all_clocks(-600, false)]
-fn session_reads_go_only_to_replicas_with_a_recent_position(#[case] lag_secs: i64, #[case] is_read: bool) {
-    let script =
+#[case::in_the_future(-600, false)]
+fn session_reads_go_only_to_replicas_with_a_recent_position(
+    #[case] lag_secs: i64,
+    #[case] reads_from_replica: bool,
+) {
+    let replica_script =
         |text: &str| if text.starts_with("INSERT") { Reply::Error("25006") } else { reply_with_row(text) };
-    let replica = ScriptedServer::start_with_lag(lag_secs, ServerRole::Replica, script);
+    let replica = ScriptedServer::start_with_lag(lag_secs, ServerRole::Replica, replica_script);
     let primary = ScriptedServer::start(ServerRole::Primary, reply_with_row);
-    // The list is outdated. The replica rejects the write and reports its position.
+    // The endpoint list is outdated and names the replica as the primary. The replica rejects the write and
+    // reports its position.
     let proxy = start_proxy(&[
         replica.endpoint("a", "read-write", "Ready"),
         primary.endpoint("b", "read-only", "Ready"),
     ]);
     let mut client = Client::connect(&proxy);
     assert_eq!(message_kinds(&client.request(&write_statement(3000))), "TDCZ");
-    let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("the system clock is past 1970");
     let session_token = format!(",after={} */", now.as_millis() - 60_000);
     for _ in 0..20 {
         assert_eq!(
@@ -106,22 +118,24 @@
         );
     }
     let statements = replica.statements();
-    assert_eq!(statements.iter().any(|text| text.starts_with("SELECT")), is_read);
+    assert_eq!(statements.iter().any(|text| text.starts_with("SELECT")), reads_from_replica);
 }
 
 #[test]
 fn a_rejection_is_immediate_and_carries_a_retry_hint() {
     let proxy = start_proxy(&[]);
     let sent_at = Instant::now();
-    // Too little time is left: the router rejects the request when it arrives.
+    // The routing engine rejects a request with a timeout of 1 ms on arrival, because too little time is
+    // left.
     let response = Client::connect(&proxy).request(&read_statement(1));
     assert_error_response(&response, "EZ", "53300");
-    let hint: u32 = error_field(&response, b'D').and_then(|d| d.parse().ok()).expect("a hint");
-    assert!((1..=1000).contains(&hint) && sent_at.elapsed() < TEST_TIMEOUT);
+    let retry_after: u32 =
+        error_field(&response, b'D').and_then(|d| d.parse().ok()).expect("the DETAIL field has a retry hint");
+    assert!((1..=1000).contains(&retry_after) && sent_at.elapsed() < TEST_TIMEOUT);
 }
 
 #[test]
-fn a_client_disconnect_cancels_its_attempt() {
+fn a_client_disconnect_cancels_the_attempt() {
     let server = ScriptedServer::start(ServerRole::Primary, |_| Reply::Nothing);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut client = Client::connect(&proxy);
@@ -134,13 +148,13 @@
 }
 
 #[test]
-fn a_connection_closed_by_its_server_is_not_reused() {
+fn a_connection_closed_by_the_server_is_not_reused() {
     let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut client = Client::connect(&proxy);
     client.request(&write_statement(3000));
     server.close_all();
-    server.closed_connections.recv_timeout(TEST_TIMEOUT).expect("closed");
+    server.closed_connections.recv_timeout(TEST_TIMEOUT).expect("the connection is closed");
     assert_eq!(
         (message_kinds(&client.request(&write_statement(3000))), server.statement_count()),
         ("TDCZ".into(), 2)
@@ -148,18 +162,18 @@
 }
 
 #[rstest]
-#[case::no_statement(query("SELECT 1"), "EZ", "42601")]
+#[case::unsupported_statement(query("SELECT 1"), "EZ", "42601")]
 #[case::unknown_class(query(&read_statement(9).replace("own-changes", "none")), "EZ", "42601")]
 #[case::unknown_cluster(query(&read_statement(9).replace("cluster=1", "cluster=7")), "EZ", "42601")]
-#[case::select_in_a_class_that_writes(query(&read_statement(9).replace("own-changes", "usage-write")), "EZ", "42601")]
-#[case::insert_in_a_class_that_reads(query(&write_statement(9).replace("usage-write", "own-changes")), "EZ", "42601")]
+#[case::read_in_a_write_class(query(&read_statement(9).replace("own-changes", "usage-write")), "EZ", "42601")]
+#[case::write_in_a_read_class(query(&write_statement(9).replace("usage-write", "own-changes")), "EZ", "42601")]
 #[case::extended_protocol(b"P\0\0\0\x08\0\0\0\0S\0\0\0\x04".to_vec(), "EZ", "0A000")]
 #[case::function_call(b"F\0\0\0\x04".to_vec(), "EZ", "0A000")]
 #[case::unknown_message(b"!\0\0\0\x04".to_vec(), "E", "08P01")]
-#[case::impossible_length(b"Q\0\0\0\x01".to_vec(), "E", "08P01")]
-#[case::too_long(b"Q\x7f\xff\xff\xff".to_vec(), "E", "08P01")]
-#[case::text_without_an_end(b"Q\0\0\0\x05x".to_vec(), "E", "08P01")]
-fn invalid_input_is_answered_with_its_error_and_not_forwarded(
+#[case::length_below_the_minimum(b"Q\0\0\0\x01".to_vec(), "E", "08P01")]
+#[case::length_above_the_maximum(b"Q\x7f\xff\xff\xff".to_vec(), "E", "08P01")]
+#[case::unterminated_text(b"Q\0\0\0\x05x".to_vec(), "E", "08P01")]
+fn invalid_input_gets_an_error_and_is_not_forwarded(
     #[case] bytes: Vec<u8>,
     #[case] expected_kinds: &str,
     #[case] expected_code: &str,
@@ -174,23 +188,23 @@
     assert_eq!(
         message_kinds(&Client::connect(&proxy).request(&read_statement(1000))),
         "TDCZ",
-        "other clients are still served"
+        "expected other clients to be served"
     );
 }
 
-/// Data servers identify a request by its id.
+/// Data servers identify requests by id, so two requests in flight must not have the same one.
 #[test]
-fn the_id_of_a_request_in_flight_is_rejected() {
+fn a_request_with_the_id_of_a_request_in_flight_is_rejected() {
     let server = start_server_with_marked_reply("id=9", || Reply::Nothing);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut first = Client::connect(&proxy);
     let mut second = Client::connect(&proxy);
-    let pending = write_statement(3000).replace("id=2", "id=9");
-    first.send(&query(&pending));
+    let duplicate = write_statement(3000).replace("id=2", "id=9");
+    first.send(&query(&duplicate));
     while server.statement_count() == 0 {
         std::thread::yield_now();
     }
-    let response = second.request(&pending);
+    let response = second.request(&duplicate);
     assert_error_response(&response, "EZ", "08P01");
     assert_eq!(
         (message_kinds(&second.request(&write_statement(3000))), server.statement_count()),
@@ -199,16 +213,16 @@
 }
 
 #[test]
-fn encryption_is_declined_and_a_cancel_request_is_closed() {
+fn an_encryption_request_is_declined_and_a_cancel_request_is_closed() {
     let proxy = start_proxy(&[]);
     let mut client = Client::open(&proxy);
     client.send(&[0, 0, 0, 8, 4, 210, 22, 47]);
-    let mut declined = [0];
-    client.stream.read_exact(&mut declined).expect("a response");
-    assert_eq!(&declined, b"N");
+    let mut response = [0];
+    client.stream.read_exact(&mut response).expect("the proxy answers");
+    assert_eq!(&response, b"N");
     client.send(&startup());
     assert_eq!(message_kinds(&client.read_response()), "RZ");
     let mut client = Client::open(&proxy);
     client.send(&[0, 0, 0, 16, 4, 210, 22, 46, 0, 0, 0, 1, 0, 0, 0, 2]);
-    assert_eq!(read_once(&mut client.stream, &mut declined).expect("a clean end"), 0);
+    assert_eq!(read_once(&mut client.stream, &mut response).expect("a close without a reset"), 0);
 }
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Operations: the admin API, graceful shutdown and hot restart.
+//! Operation of the proxy: the admin API, graceful shutdown and hot restart.
 
 mod support;
 
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use support::*;
 
-/// Neither discovery, a reload nor a restart puts the server back online.
+/// Changes in discovery, reloads and restarts must not put an offline server back online.
 #[test]
 fn a_server_taken_offline_stays_offline_until_it_is_put_online() {
     let first = ScriptedServer::start(ServerRole::Primary, reply_with_row);
@@ -32,36 +32,43 @@
     });
     let count_before = first.statement_count();
     for (revision, state) in [(2, "Gone"), (3, "Ready")] {
-        proxy.discovery.changes.send(list_change(revision, &endpoints(state))).expect("it watches");
+        proxy
+            .discovery
+            .changes
+            .send(list_change(revision, &endpoints(state)))
+            .expect("the discovery service is running");
         (0..10).for_each(|_| drop(client.request(&write_statement(3000))));
     }
     proxy.signal("HUP");
     proxy.wait_for_log("configuration reloaded");
     (0..10).for_each(|_| drop(client.request(&write_statement(3000))));
     drop((client, proxy));
-    // The killed process has stored the operator's order, which the next one reads.
+    // The killed process has stored the offline state, and the next process reads it.
     let proxy = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints("Ready"), Some(&folder));
     let mut client = Client::connect(&proxy);
     (0..10).for_each(|_| drop(client.request(&write_statement(3000))));
-    assert_eq!(first.statement_count(), count_before, "no new request reached it");
+    assert_eq!(first.statement_count(), count_before, "expected no request to the offline server");
     second.close_all();
     assert_eq!(admin_post(&proxy, "data-servers/b/offline"), Some(200));
     assert_eq!(admin_post(&proxy, "data-servers/a/online"), Some(200));
-    wait_until("it is used again", || {
+    wait_until("the server is used again", || {
         message_kinds(&client.request(&write_statement(3000))) == "TDCZ"
             && first.statement_count() > count_before
     });
 }
 
-/// Connections that send nothing or a part of a request must not block the admin API.
+/// Admin connections that send nothing or only part of a request must not block the admin API.
 #[test]
-fn stalled_admin_connections_delay_no_request() {
+fn stalled_admin_connections_do_not_delay_other_requests() {
     let proxy = start_proxy(&[]);
-    wait_until("it is ready", || is_ready(&proxy));
+    wait_until("the proxy is ready", || is_ready(&proxy));
     let stalled: Vec<_> = (0..40)
         .map(|i| {
-            let mut stream = TcpStream::connect(proxy.admin_address).expect("it listens");
-            stream.write_all(&b"POST /control/out-of-serv"[..i % 26]).expect("it reads");
+            let mut stream =
+                TcpStream::connect(proxy.admin_address).expect("the admin API accepts connections");
+            stream
+                .write_all(&b"POST /control/out-of-serv"[..i % 26])
+                .expect("the admin API has not closed the connection");
             stream
         })
         .collect();
@@ -71,9 +78,10 @@
     drop(stalled);
 }
 
-/// Out of service, the empty query gets an error, requests are served, and idle connections are closed.
+/// While the instance is out of service, empty queries (the health checks of the load balancer) get an error,
+/// requests are served, and idle connections are closed.
 #[test]
-fn an_instance_out_of_service_drains_clients_and_admits_them_again_later() {
+fn an_instance_out_of_service_closes_idle_clients_and_accepts_new_ones_once_back_in_service() {
     let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut client = Client::connect(&proxy);
@@ -81,9 +89,13 @@
     assert_eq!(admin_post(&proxy, "out-of-service"), Some(200));
     let response = client.request("");
     assert_error_response(&response, "EZ", "57P03");
-    assert_eq!(message_kinds(&client.request(&write_statement(3000))), "TDCZ", "requests are still served");
+    assert_eq!(
+        message_kinds(&client.request(&write_statement(3000))),
+        "TDCZ",
+        "expected requests to be served"
+    );
     assert!(!is_ready(&proxy));
-    assert_eq!(read_once(&mut client.stream, &mut [0]).expect("a clean end"), 0);
+    assert_eq!(read_once(&mut client.stream, &mut [0]).expect("a close without a reset"), 0);
     let (_, response) = connect_with_response(&proxy);
     assert_error_response(&response, "E", "57P03");
     assert_eq!(admin_post(&proxy, "in-service"), Some(200));
@@ -101,14 +113,18 @@
         std::thread::yield_now();
     }
     proxy.signal("TERM");
-    assert_eq!(read_once(&mut idle.stream, &mut [0]).expect("a clean end"), 0, "closed between requests");
-    gate.send(()).expect("the server waits");
+    assert_eq!(
+        read_once(&mut idle.stream, &mut [0]).expect("a close without a reset"),
+        0,
+        "expected the idle connection to be closed"
+    );
+    gate.send(()).expect("the server waits for the message");
     assert_eq!(message_kinds(&busy.read_response()), "TDCZ");
-    assert_eq!(read_once(&mut busy.stream, &mut [0]).expect("a clean end"), 0);
-    assert!(proxy.child.wait().expect("it exits").success());
+    assert_eq!(read_once(&mut busy.stream, &mut [0]).expect("a close without a reset"), 0);
+    assert!(proxy.child.wait().expect("the process exits").success());
 }
 
-/// Pipelined requests are answered in turn, whatever other signals come meanwhile.
+/// Pipelined requests are answered in order, even if more signals arrive during the shutdown.
 #[test]
 fn graceful_shutdown_answers_pipelined_requests() {
     let (server, gate) = start_gated_server("'gated'");
@@ -123,17 +139,17 @@
         ]
         .concat(),
     );
-    wait_until("the request is sent", || server.statement_count() == 1);
+    wait_until("the request is sent to the server", || server.statement_count() == 1);
     proxy.signal("TERM");
     proxy.wait_for_log("graceful shutdown started");
     proxy.signal("HUP");
     proxy.signal("TERM");
-    gate.send(()).expect("the server waits");
+    gate.send(()).expect("the server waits for the message");
     for _ in 0..3 {
         assert_eq!(message_kinds(&client.read_response()), "TDCZ");
     }
-    assert_eq!(read_once(&mut client.stream, &mut [0]).expect("a clean end"), 0);
-    assert!(proxy.child.wait().expect("it exits").success());
+    assert_eq!(read_once(&mut client.stream, &mut [0]).expect("a close without a reset"), 0);
+    assert!(proxy.child.wait().expect("the process exits").success());
 }
 
 /// The stage of a request when a graceful shutdown starts. It gets one response, and its connection a clean
@@ -181,52 +197,58 @@
         client.send(&request[..sent_length]);
         client
     };
-    let connecting = (stage == Stage::Connecting).then(|| delayed_server.accept());
+    let pending_connection = (stage == Stage::Connecting).then(|| delayed_server.accept());
     if is_in_flight {
-        wait_until("the request is sent", || server.statement_count() == 1);
+        wait_until("the request is sent to the server", || server.statement_count() == 1);
     }
     proxy.signal("TERM");
     proxy.signal("CONT");
     proxy.wait_for_log("graceful shutdown started");
     client.send(&request[sent_length..]);
-    if let Some(mut stream) = connecting {
-        stream.write_all(&startup_response()).expect("it reads");
+    if let Some(mut stream) = pending_connection {
+        stream.write_all(&startup_response()).expect("the proxy keeps the connection open");
         assert_eq!(read_message(&mut stream).map(|m| m.0), Some(b'Q'));
-        stream.write_all(&[row(b"v"), message(b'Z', b"I")].concat()).expect("it reads");
+        stream
+            .write_all(&[row(b"v"), message(b'Z', b"I")].concat())
+            .expect("the proxy keeps the connection open");
     }
     let startup_messages = if stage == Stage::InListenQueue { client.read_response() } else { Vec::new() };
     assert_eq!(message_kinds(&[startup_messages, client.read_response()].concat()), expected_kinds);
-    assert_eq!(read_once(&mut client.stream, &mut [0]).expect("a clean end"), 0);
-    assert!(proxy.child.wait().expect("it exits").success());
+    assert_eq!(read_once(&mut client.stream, &mut [0]).expect("a close without a reset"), 0);
+    assert!(proxy.child.wait().expect("the process exits").success());
 }
 
-/// No client connection ends, not even between requests.
+/// A hot restart must not close any client connection, not even an idle one.
 #[test]
 fn a_hot_restart_hands_over_the_listener_and_the_clients() {
     let server = start_server_with_marked_reply("id=9", || Reply::Nothing);
     let endpoints = [server.endpoint("a", "read-write", "Ready")];
     let folder = create_folder("upgrade");
-    let mut old = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&folder));
-    let mut idle = Client::connect(&old);
-    let mut silent = Client::open(&old);
-    let mut busy = Client::connect(&old);
+    let mut predecessor = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&folder));
+    let mut idle = Client::connect(&predecessor);
+    let mut silent = Client::open(&predecessor);
+    let mut busy = Client::connect(&predecessor);
     assert_eq!(message_kinds(&idle.request(&write_statement(3000))), "TDCZ");
     busy.send(&query(&write_statement(3000).replace("id=2", "id=9")));
-    wait_until("the request is sent", || server.statement_count() == 2);
-    let new = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&folder));
-    assert_eq!(new.address, old.address);
-    wait_until("it is ready", || is_ready(&new));
+    wait_until("the request is sent to the server", || server.statement_count() == 2);
+    let successor = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&folder));
+    assert_eq!(successor.address, predecessor.address);
+    wait_until("the proxy is ready", || is_ready(&successor));
     assert_eq!(message_kinds(&idle.request(&write_statement(3000))), "TDCZ");
-    old.signal("TERM");
+    predecessor.signal("TERM");
     silent.send(&startup());
     assert_eq!(message_kinds(&silent.read_response()), "RZ");
-    assert_eq!(message_kinds(&busy.read_response()), "EZ", "the old process completes its own requests");
-    assert!(old.child.wait().expect("it exits").success());
-    for client in [&mut idle, &mut silent, &mut busy, &mut Client::connect(&new)] {
+    assert_eq!(
+        message_kinds(&busy.read_response()),
+        "EZ",
+        "expected the predecessor to answer its request in flight"
+    );
+    assert!(predecessor.child.wait().expect("the process exits").success());
+    for client in [&mut idle, &mut silent, &mut busy, &mut Client::connect(&successor)] {
         assert_eq!(message_kinds(&client.request(&write_statement(3000))), "TDCZ");
     }
-    // A process that was killed does not block the next one.
-    drop(new);
+    // A killed process must not prevent the next one from starting.
+    drop(successor);
     let next = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&folder));
     assert_eq!(message_kinds(&Client::connect(&next).request(&write_statement(3000))), "TDCZ");
 }
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Tables of cases for the parsers of the network code.
+//! Parsers of the network code, and the buffers that they read from.
 
 use std::time::Duration;
 
@@ -8,7 +8,9 @@
 use pipittack::net::postgres::{self, Query, Startup};
 use rstest::rstest;
 
-fn routed(text: &str) -> Option<postgres::Statement> {
+/// Parses a query. Returns the statement if it is to be routed, `None` for any other query and for invalid
+/// text.
+fn parse_routed(text: &str) -> Option<postgres::Statement> {
     match postgres::parse_query(text.as_bytes()) {
         Some(Query::Routed(statement)) => Some(statement),
         _ => None,
@@ -19,15 +21,21 @@
 #[case::read(
     "SELECT body FROM objects WHERE oid = 'k1' /* id=9b,c=basket,d=480,cluster=2,after=1767225600123 */"
 )]
-#[case::spacing(
+#[case::other_case_and_spacing(
     "  select body\nfrom objects where oid='k1'/*id=9b,c=basket, d=480,cluster=2,after=1767225600123*/ ; "
 )]
-fn a_read_tells_its_class_group_wait_and_position(#[case] text: &str) {
-    let s = routed(text).expect("a statement");
-    assert_eq!((s.is_write, &*s.key, &*s.class, s.group, s.is_retry), (false, "k1", "basket", 2, false));
-    assert_eq!(s.id, "9b");
-    assert_eq!((s.timeout, s.after_unix_ms), (Duration::from_millis(480), Some(1_767_225_600_123.0)));
-    assert_eq!(&text[s.timeout_range], "480");
+fn the_comment_fields_of_a_read_are_parsed(#[case] text: &str) {
+    let statement = parse_routed(text).expect("the statement is routed");
+    assert_eq!(
+        (statement.is_write, &*statement.key, &*statement.class, statement.group, statement.is_retry),
+        (false, "k1", "basket", 2, false)
+    );
+    assert_eq!(statement.id, "9b");
+    assert_eq!(
+        (statement.timeout, statement.after_unix_ms),
+        (Duration::from_millis(480), Some(1_767_225_600_123.0))
+    );
+    assert_eq!(&text[statement.timeout_range], "480");
 }
 
 #[rstest]
@@ -36,65 +44,71 @@
     r"INSERT INTO objects (oid, body) VALUES ('a''b', '\x') RETURNING body /* id=1,c=o,d=48,cluster=2,r=1 */",
     "a''b"
 )]
-#[case::comment_in_a_key(
+#[case::comment_in_the_key(
     r"INSERT INTO objects(oid,body)VALUES('/*d=1*/','\x')RETURNING body/*id=1,c=o,d=48,cluster=2,r=1*/",
     "/*d=1*/"
 )]
-fn a_write_tells_its_key_and_that_it_repeats(#[case] text: &str, #[case] key: &str) {
-    let s = routed(text).expect("a statement");
-    assert_eq!((s.is_write, &*s.key, &*s.class, s.group, s.is_retry), (true, key, "o", 2, true));
-    assert_eq!(&text[s.timeout_range], "48");
+fn the_key_and_the_retry_flag_of_a_write_are_parsed(#[case] text: &str, #[case] key: &str) {
+    let statement = parse_routed(text).expect("the statement is routed");
+    assert_eq!(
+        (statement.is_write, &*statement.key, &*statement.class, statement.group, statement.is_retry),
+        (true, key, "o", 2, true)
+    );
+    assert_eq!(&text[statement.timeout_range], "48");
 }
 
 #[rstest]
 #[case::other_statement("SELECT 1")]
 #[case::two_statements("SELECT body FROM objects WHERE oid = 'k' /* c=a */; SELECT 1")]
 #[case::no_comment("SELECT body FROM objects WHERE oid = 'k'")]
-#[case::open_quote("SELECT body FROM objects WHERE oid = 'k /* c=a */")]
+#[case::unterminated_quote("SELECT body FROM objects WHERE oid = 'k /* c=a */")]
 #[case::transaction("BEGIN")]
-#[case::word_that_starts_alike("SETTLE x")]
-fn what_cannot_be_routed_is_not_a_query(#[case] text: &str) {
+#[case::word_that_starts_with_a_command("SETTLE x")]
+fn unsupported_queries_are_rejected(#[case] text: &str) {
     assert_eq!(postgres::parse_query(text.as_bytes()), None);
 }
 
-/// Guards against passing on what a data server turns away or closes on.
+/// Guards against forwarding a statement that a data server would reject or answer by closing the connection.
 #[rstest]
 #[case::complete("id=1,c=a,d=9,cluster=1", true)]
 #[case::no_id("c=a,d=9,cluster=1", false)]
 #[case::empty_id("id=,c=a,d=9,cluster=1", false)]
-#[case::id_that_is_no_word("id=1;2,c=a,d=9,cluster=1", false)]
+#[case::id_with_a_semicolon("id=1;2,c=a,d=9,cluster=1", false)]
 #[case::no_class("id=1,d=9,cluster=1", false)]
-#[case::no_wait("id=1,c=a,cluster=1", false)]
+#[case::no_timeout("id=1,c=a,cluster=1", false)]
 #[case::no_group("id=1,c=a,d=9", false)]
-#[case::wait_is_no_number("id=1,c=a,d=soon,cluster=1", false)]
-#[case::wait_with_a_sign("id=1,c=a,d=+9,cluster=1", false)]
-#[case::wait_is_too_large("id=1,c=a,d=99999999999999999999999,cluster=1", false)]
+#[case::timeout_is_not_a_number("id=1,c=a,d=soon,cluster=1", false)]
+#[case::timeout_with_a_sign("id=1,c=a,d=+9,cluster=1", false)]
+#[case::timeout_is_too_large("id=1,c=a,d=99999999999999999999999,cluster=1", false)]
 #[case::negative_group("id=1,c=a,d=9,cluster=-1", false)]
-#[case::position_is_no_number("id=1,c=a,d=9,cluster=1,after=inf", false)]
-#[case::a_name_twice("id=1,c=a,d=9,cluster=1,d=8", false)]
-fn a_comment_holds_what_routing_needs(#[case] comment: &str, #[case] good: bool) {
+#[case::position_is_not_finite("id=1,c=a,d=9,cluster=1,after=inf", false)]
+#[case::duplicate_field("id=1,c=a,d=9,cluster=1,d=8", false)]
+fn only_statements_with_a_complete_and_valid_comment_are_routed(
+    #[case] comment: &str,
+    #[case] is_routed: bool,
+) {
     let text = format!("SELECT body FROM objects WHERE oid = 'k' /* {comment} */");
-    assert_eq!(routed(&text).is_some(), good);
+    assert_eq!(parse_routed(&text).is_some(), is_routed);
 }
 
 #[test]
-fn a_query_is_text() {
+fn a_query_with_invalid_utf8_is_rejected() {
     let text = b"SELECT body FROM objects WHERE oid = '\xff' /* id=1,c=a,d=9,cluster=1 */";
     assert_eq!(postgres::parse_query(text), None);
 }
 
 #[rstest]
 #[case::empty(r"\x", true)]
-#[case::longest(&format!(r"\x{}", "0f".repeat(postgres::MAX_VALUE_BYTES)), true)]
-#[case::too_long(&format!(r"\x{}", "0f".repeat(postgres::MAX_VALUE_BYTES + 1)), false)]
-#[case::half_a_byte(r"\x0", false)]
-#[case::no_digits(r"\xzz", false)]
+#[case::longest_value(&format!(r"\x{}", "0f".repeat(postgres::MAX_VALUE_BYTES)), true)]
+#[case::value_too_long(&format!(r"\x{}", "0f".repeat(postgres::MAX_VALUE_BYTES + 1)), false)]
+#[case::odd_number_of_digits(r"\x0", false)]
+#[case::not_hexadecimal(r"\xzz", false)]
 #[case::no_prefix("00", false)]
-fn a_value_is_binary_data_in_hex(#[case] value: &str, #[case] good: bool) {
+fn only_hexadecimal_values_up_to_the_maximum_length_are_routed(#[case] value: &str, #[case] is_routed: bool) {
     let text = format!(
         "INSERT INTO objects (oid, body) VALUES ('k', '{value}') RETURNING body /* id=1,c=a,d=9,cluster=1 */"
     );
-    assert_eq!(routed(&text).is_some(), good);
+    assert_eq!(parse_routed(&text).is_some(), is_routed);
 }
 
 #[rstest]
@@ -102,7 +116,7 @@
 #[case(" ; \n;", Query::Empty)]
 #[case("set application_name = 'x'", Query::Setting("SET"))]
 #[case("DISCARD ALL", Query::Setting("DISCARD"))]
-fn what_needs_no_server_is_told_apart(#[case] text: &str, #[case] query: Query) {
+fn empty_queries_and_session_commands_are_recognized(#[case] text: &str, #[case] query: Query) {
     assert_eq!(postgres::parse_query(text.as_bytes()), Some(query));
 }
 
@@ -114,7 +128,7 @@
 #[case(&[4, 210, 22, 46, 0, 0, 0, 1], Some(Startup::Cancel))]
 #[case(&[0, 2, 0, 0], Some(Startup::Unsupported(131_072)))]
 #[case(&[0, 3], None)]
-fn a_startup_packet_tells_what_it_opens(#[case] body: &[u8], #[case] startup: Option<Startup>) {
+fn startup_packets_are_classified_by_their_code(#[case] body: &[u8], #[case] startup: Option<Startup>) {
     assert_eq!(postgres::parse_startup(body), startup);
 }
 
@@ -122,7 +136,7 @@
 #[case([b'Q', 0, 0, 0, 5], Some((b'Q', 6)))]
 #[case([b'Q', 0, 0, 0, 3], None)]
 #[case([b'Q', 255, 255, 255, 255], Some((b'Q', 4_294_967_296)))]
-fn a_header_gives_the_length_of_the_whole_message(
+fn a_message_header_is_parsed_into_kind_and_total_length(
     #[case] bytes: [u8; 5],
     #[case] header: Option<(u8, usize)>,
 ) {
@@ -137,7 +151,7 @@
 #[case(b"C53300", None)]
 #[case(b"C53300\0\0more", None)]
 #[case(b"", None)]
-fn an_error_tells_its_code(#[case] body: &[u8], #[case] code: Option<[u8; 5]>) {
+fn the_sqlstate_of_an_error_response_is_parsed(#[case] body: &[u8], #[case] code: Option<[u8; 5]>) {
     assert_eq!(postgres::parse_sqlstate(body), code);
 }
 
@@ -147,7 +161,7 @@
 #[case(b"mode", None)]
 #[case(b"mode\0read-only\0more", None)]
 #[case(b"mode\0\xff\0", None)]
-fn a_parameter_is_a_pair_of_strings(#[case] body: &[u8], #[case] pair: Option<(&str, &str)>) {
+fn a_parameter_status_is_parsed_into_name_and_value(#[case] body: &[u8], #[case] pair: Option<(&str, &str)>) {
     assert_eq!(postgres::parse_parameter_status(body), pair);
 }
 
@@ -156,7 +170,7 @@
 #[case("inflight=,x,util = 1", &[("util", 1.0)])]
 #[case("inflight=inf,util=nan", &[])]
 #[case("", &[])]
-fn a_load_report_is_a_row_of_figures(#[case] text: &str, #[case] pairs: &[(&str, f64)]) {
+fn the_finite_numbers_of_a_load_report_are_parsed(#[case] text: &str, #[case] pairs: &[(&str, f64)]) {
     assert_eq!(postgres::parse_load_report(text), pairs);
 }
 
@@ -166,7 +180,7 @@
 #[case(&[0, 1, 0, 0, 0, 9, b'o'], None)]
 #[case(&[0, 1, 0, 0, 0, 1, b'o', b'k'], None)]
 #[case(&[0, 2, 0, 0, 0, 2, b'o', b'k'], None)]
-fn the_only_column_is_read_by_its_length(#[case] body: &[u8], #[case] column: Option<&[u8]>) {
+fn only_a_complete_row_of_one_column_is_parsed(#[case] body: &[u8], #[case] column: Option<&[u8]>) {
     assert_eq!(postgres::parse_single_column(body), column);
 }
 
@@ -177,7 +191,7 @@
 #[case("HTTP/1.1 200 \r\n", Some((200, BodyFraming::UntilClose)))]
 #[case("HTTP/1.1 200 OK\r\nContent-Length: -1\r\n", None)]
 #[case("SSH-2.0-x\r\n", None)]
-fn a_response_head_has_a_status_and_a_body_framing(
+fn a_response_head_is_parsed_into_status_and_body_framing(
     #[case] text: &str,
     #[case] expected: Option<(u16, BodyFraming)>,
 ) {
@@ -195,25 +209,28 @@
 }
 
 #[rstest]
-#[case::nothing(0, 0)]
+#[case::empty_chain(0, 0)]
 #[case::within_a_buffer(100, 40)]
-#[case::at_its_end(BUFFER_BYTES, BUFFER_BYTES)]
-#[case::over_several(3 * BUFFER_BYTES + 7, BUFFER_BYTES + 1)]
+#[case::at_the_end_of_a_buffer(BUFFER_BYTES, BUFFER_BYTES)]
+#[case::across_several_buffers(3 * BUFFER_BYTES + 7, BUFFER_BYTES + 1)]
 #[case::past_the_end(10, 20)]
-fn a_chain_keeps_its_bytes_and_gives_its_buffers_back(#[case] length: usize, #[case] at: usize) {
+fn splitting_a_chain_keeps_its_bytes_and_dropping_it_returns_its_buffers(
+    #[case] length: usize,
+    #[case] split_at: usize,
+) {
     let bytes: Vec<u8> = (0..length).map(|i| (i % 251) as u8).collect();
     let pool = BufferPool::default();
     let mut rest = pool.chain();
     rest.extend(&bytes);
-    let first = rest.split_to(at);
+    let first = rest.split_to(split_at);
     let (mut head, mut tail) = (Vec::new(), Vec::new());
     first.copy(0..first.len(), &mut head);
     rest.copy(0..rest.len(), &mut tail);
-    assert_eq!((head.len(), [head, tail].concat()), (at.min(length), bytes));
-    let held = first.len().div_ceil(BUFFER_BYTES) + rest.len().div_ceil(BUFFER_BYTES);
-    let before = pool.idle_buffers();
+    assert_eq!((head.len(), [head, tail].concat()), (split_at.min(length), bytes));
+    let used_buffers = first.len().div_ceil(BUFFER_BYTES) + rest.len().div_ceil(BUFFER_BYTES);
+    let idle_before = pool.idle_buffers();
     drop((first, rest));
-    assert_eq!(pool.idle_buffers(), before + held);
+    assert_eq!(pool.idle_buffers(), idle_before + used_buffers);
 }
 
 #[rstest]
@@ -226,10 +243,13 @@
 #[case::wrong_method("GET /control/in-service HTTP/1.1\r\n\r\n", Err(405))]
 #[case::no_id("POST /control/data-servers//online HTTP/1.1\r\n\r\n", Err(404))]
 #[case::unknown("GET / HTTP/1.1\r\n\r\n", Err(404))]
-#[case::other_version("GET /control/ready HTTP/2.0\r\n\r\n", Err(505))]
+#[case::unsupported_version("GET /control/ready HTTP/2.0\r\n\r\n", Err(505))]
 #[case::control_characters("\u{1}\u{2}\r\n\r\n", Err(400))]
 #[case::no_version("GET /control/ready\r\n\r\n", Err(400))]
-#[case::bad_field("GET /control/ready HTTP/1.1\r\nno field\r\n\r\n", Err(400))]
-fn admin_calls_are_parsed(#[case] head: &str, #[case] expected: Result<AdminCall, u16>) {
+#[case::invalid_header_field("GET /control/ready HTTP/1.1\r\nno field\r\n\r\n", Err(400))]
+fn admin_calls_are_parsed_or_rejected_with_a_status(
+    #[case] head: &str,
+    #[case] expected: Result<AdminCall, u16>,
+) {
     assert_eq!(parse_call(head.as_bytes()).map_err(HttpStatus::code), expected);
 }
