--- a/tests/client_limits.rs
+++ b/tests/client_limits.rs
@@ -190,7 +190,7 @@
     assert_eq!(
         message_kinds(&Client::connect(&proxy).request(&write_statement(3000))),
         "TDCZ",
-        "expected a short request to be served while others wait for memory"
+        "expected a short request to be served"
     );
     let responses: Vec<_> = clients
         .drain(..)
@@ -203,27 +203,20 @@
             })
         })
         .collect();
-    for response in
-        responses.into_iter().map(|thread| thread.join().expect("the client thread does not panic"))
-    {
+    for response in responses.into_iter().map(|thread| thread.join().expect("no client panics")) {
         assert_eq!(message_kinds(&response), "TDCZ");
         assert!(response.iter().any(|m| m.0 == b'D' && m.1.ends_with(&value)), "expected the complete value");
     }
-    let statement =
-        server.statements().iter().find(|t| t.contains("w0,")).expect("the write was forwarded").clone();
+    let statement = server.statements().iter().find(|t| t.contains("w0,")).expect("a write").clone();
     let (head, tail) = text(0)
         .split_once("d=3000")
         .map(|(head, tail)| (head.to_owned(), tail.to_owned()))
         .expect("the statement has a timeout");
-    assert!(
-        statement.starts_with(&head) && statement.ends_with(&tail),
-        "expected only field d to be rewritten"
-    );
+    assert!(statement.starts_with(&head) && statement.ends_with(&tail), "expected only d to differ");
     halves.into_iter().for_each(|half| drop(half.join()));
     let status =
-        std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).expect("the proxy is running");
-    let peak_kb =
-        status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("the status has a VmHWM line");
+        std::fs::read_to_string(format!("/proc/{}/status", proxy.child.id())).expect("a status file");
+    let peak_kb = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).expect("a VmHWM line");
     let peak_kb: u32 = peak_kb.trim().trim_end_matches(" kB").parse().expect("VmHWM is a number");
     assert!(peak_kb < 32_000, "peak memory is {peak_kb} kB, expected less than 32000 kB");
 }
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -90,8 +90,8 @@
     });
 }
 
-/// Requests that were sent before a reload may still name a class that it removed. They are served under the
-/// rules of that class, unless its name now belongs to another class.
+/// A request that was sent before a reload may name a class that the reload removed. The request is served
+/// under the rules of that class, unless the name now belongs to another class.
 #[test]
 fn a_class_removed_two_reloads_ago_is_served_by_its_own_rules() {
     let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -152,8 +152,8 @@
     assert!(proxy.child.wait().expect("the process exits").success());
 }
 
-/// The stage of a request when a graceful shutdown starts. It gets one response, and its connection a clean
-/// end.
+/// Stage of a request at the start of a graceful shutdown. In every stage, the request gets one response, and
+/// the connection is closed without a reset.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Stage {
     HalfRead,
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -1,4 +1,4 @@
-//! Parsers of the network code, and the buffers that they read from.
+//! Parsers of the network code, and splitting of buffer chains.
 
 use std::time::Duration;
 
