--- a/testkit/src/fleet/fleet_model.rs
+++ b/testkit/src/fleet/fleet_model.rs
@@ -66,11 +66,11 @@
     /// The figures of the trial.
     pub report: Report,
     /// The zone of each proxy.
-    pub zones: Vec<usize>,
+    pub proxy_zones: Vec<usize>,
     /// The version of the endpoint list that each proxy has cached.
     pub cached_versions: Vec<Option<usize>>,
     burst: Burst,
-    handshakes: Vec<HandshakeWork>,
+    handshake_work: Vec<HandshakeWork>,
 }
 
 impl FleetModel {
@@ -89,10 +89,10 @@
             workload,
             checker: RuleChecker::new(plan.settings.clone()),
             report: Report::new(plan.settings.classes.len()),
-            zones: (0..plan.proxies).map(|proxy| proxy % plan.zones).collect(),
+            proxy_zones: (0..plan.proxies).map(|proxy| proxy % plan.zones).collect(),
             cached_versions,
             burst: Burst { factor: 1.0, until: 0.0 },
-            handshakes: Vec::new(),
+            handshake_work: Vec::new(),
             plan,
         };
         fleet.register_new_servers();
@@ -102,9 +102,9 @@
     /// Registers servers that were added since the last call.
     pub fn register_new_servers(&mut self) {
         let zones = self.site.zones();
-        for (server, zone) in zones.into_iter().enumerate().skip(self.handshakes.len()) {
+        for (server, zone) in zones.into_iter().enumerate().skip(self.handshake_work.len()) {
             self.checker.set_server_zone(server, zone);
-            self.handshakes.push(HandshakeWork::default());
+            self.handshake_work.push(HandshakeWork::default());
         }
     }
 
@@ -113,7 +113,7 @@
         Settings {
             instance_index: proxy as u32,
             instance_count: self.plan.proxies as u32,
-            zone: ZoneId(self.zones[proxy]),
+            zone: ZoneId(self.proxy_zones[proxy]),
             ..self.plan.settings.clone()
         }
     }
@@ -139,7 +139,7 @@
 
     /// One-way delay in s between a proxy and a server.
     pub fn one_way_delay(&self, proxy: usize, server: usize, now: f64) -> f64 {
-        let same_zone = self.zones[proxy] == self.site.servers[server].zone;
+        let same_zone = self.proxy_zones[proxy] == self.site.servers[server].zone;
         let delay = if same_zone { self.plan.intra_zone_delay_s } else { self.plan.cross_zone_delay_s };
         delay + self.link_state(proxy, LinkEnd::Server(server), now).delay_s
     }
@@ -148,13 +148,13 @@
     pub fn open_connection(&mut self, server: usize, now: f64) -> bool {
         self.report.handshakes += 1;
         let model = &mut self.site.servers[server].model;
-        let handshakes = &mut self.handshakes[server];
+        let handshake_work = &mut self.handshake_work[server];
         let second = now as u64;
-        if handshakes.second != second {
-            *handshakes = HandshakeWork { second, work_s: 0.0 };
+        if handshake_work.second != second {
+            *handshake_work = HandshakeWork { second, work_s: 0.0 };
         }
-        handshakes.work_s += self.plan.server.handshake_work_s;
-        let share = handshakes.work_s / model.capacity(now);
+        handshake_work.work_s += self.plan.server.handshake_work_s;
+        let share = handshake_work.work_s / model.capacity(now);
         self.report.handshake_share = self.report.handshake_share.max(share);
         model.connect(now)
     }
@@ -173,30 +173,30 @@
     /// Draws a new request of a proxy's clients.
     pub fn create_request(&mut self, proxy: usize, now: f64) -> ClientRequest {
         let settings = &self.plan.settings;
-        let client = self.workload.draw_request(proxy, now, settings);
-        let class = &settings.classes[client.class.0];
-        self.report.request_offered(&client, class, client.created_at - START_S);
-        client
+        let request = self.workload.draw_request(proxy, now, settings);
+        let class = &settings.classes[request.class.0];
+        self.report.request_offered(&request, class, request.created_at - START_S);
+        request
     }
 
     /// The commit in the session token of a request, if its client sends one.
-    pub fn token_commit(&self, client: &ClientRequest) -> Option<f64> {
+    pub fn token_commit(&self, request: &ClientRequest) -> Option<f64> {
         let settings = &self.plan.settings;
         let clients_send_tokens = settings.session_tokens == SessionTokens::FromClient;
-        let causal = settings.classes[client.class.0].consistency == Consistency::Causal;
-        client.session_commit.filter(|_| clients_send_tokens && causal)
+        let causal = settings.classes[request.class.0].consistency == Consistency::Causal;
+        request.session_commit.filter(|_| clients_send_tokens && causal)
     }
 
     /// When a client tries a request again, if it does.
-    pub fn retry_at(&self, client: &ClientRequest, failure: TryFailure, now: f64) -> Option<f64> {
-        let class = &self.plan.settings.classes[client.class.0];
-        self.workload.retry_at(client, class, failure, now)
+    pub fn retry_at(&self, request: &ClientRequest, failure: TryFailure, now: f64) -> Option<f64> {
+        let class = &self.plan.settings.classes[request.class.0];
+        self.workload.retry_at(request, class, failure, now)
     }
 
     /// Records that a request was served.
-    pub fn request_served(&mut self, client: &ClientRequest, now: f64) {
-        let class = &self.plan.settings.classes[client.class.0];
-        self.report.request_served(client, class, now, client.created_at - START_S);
+    pub fn request_served(&mut self, request: &ClientRequest, now: f64) {
+        let class = &self.plan.settings.classes[request.class.0];
+        self.report.request_served(request, class, now, request.created_at - START_S);
     }
 
     /// Records the start of a process, and returns its index in the report.
--- a/testkit/src/fleet/process_trial/admin.rs
+++ b/testkit/src/fleet/process_trial/admin.rs
@@ -70,7 +70,7 @@
 /// Calls the admin API, and returns the status code.
 async fn call(address: SocketAddr, method_and_path: &str) -> io::Result<u16> {
     let request = format!("{method_and_path} HTTP/1.1\r\nHost: proxy\r\nContent-Length: 0\r\n\r\n");
-    let done = spawn_blocking(move || {
+    let blocking_call = spawn_blocking(move || {
         let mut stream = TcpStream::connect_timeout(&address, CALL_TIMEOUT)?;
         stream.set_read_timeout(Some(CALL_TIMEOUT))?;
         stream.write_all(request.as_bytes())?;
@@ -79,5 +79,5 @@
         let status = response.strip_prefix("HTTP/1.1 ").and_then(|rest| rest.get(..3)?.parse().ok());
         status.ok_or_else(|| io::Error::from(io::ErrorKind::InvalidData))
     });
-    done.await?
+    blocking_call.await?
 }
--- a/testkit/src/fleet/process_trial/clients.rs
+++ b/testkit/src/fleet/process_trial/clients.rs
@@ -37,8 +37,8 @@
 pub async fn admit_when_ready(shared: SharedTrial, proxy: usize) {
     while !shared.with(|trial| trial.balancer_targets[proxy].admitted) {
         let address = shared.with(|trial| trial.processes.listen_address(proxy));
-        let checked = tokio::time::timeout(HEALTH_CHECK_TIMEOUT, health_check(address)).await;
-        if matches!(checked, Ok(Ok(()))) {
+        let check_result = tokio::time::timeout(HEALTH_CHECK_TIMEOUT, health_check(address)).await;
+        if matches!(check_result, Ok(Ok(()))) {
             shared.with(|trial| {
                 trial.balancer_targets[proxy].admitted = true;
                 trial.balancer_targets[proxy].unreachable_since = None;
@@ -53,13 +53,13 @@
 pub async fn run_clients(shared: &SharedTrial, proxy: usize) {
     let clock = shared.clock();
     loop {
-        let (interval, ended) = shared.with(|trial| {
+        let (interval, load_ended) = shared.with(|trial| {
             let now = clock.now();
             let factor = trial.fleet.burst_factor(now);
-            let ended = now > START_S + trial.fleet.plan.duration_s;
-            (trial.fleet.workload.next_interval(proxy, factor), ended)
+            let load_ended = now > START_S + trial.fleet.plan.duration_s;
+            (trial.fleet.workload.next_interval(proxy, factor), load_ended)
         });
-        if ended {
+        if load_ended {
             return;
         }
         clock.sleep_until(clock.now() + interval).await;
@@ -97,7 +97,7 @@
     let now = clock.now();
     shared.with(|trial| {
         check_answer(trial, request, &statement, sent_at, &result);
-        let ended = match result {
+        let outcome = match result {
             Ok(ClientResponse::Served(body)) => {
                 request_served(trial, request, &statement, &body, now);
                 Ok(())
@@ -113,23 +113,23 @@
             Err(error) => {
                 trial.fleet.report.unreachable += 1;
                 if error == ExchangeError::Unreachable {
-                    proxy_unreachable(shared, trial, request.proxy, now);
+                    record_unreachable_proxy(shared, trial, request.proxy, now);
                 }
                 Err(TryFailure::Failed)
             }
         };
-        if ended != Err(TryFailure::Failed) {
+        if outcome != Err(TryFailure::Failed) {
             trial.balancer_targets[request.proxy].unreachable_since = None;
         }
-        ended
+        outcome
     })
 }
 
 /// The statement for a new try of a request.
 fn new_statement(trial: &mut TrialState, request: &ClientRequest) -> Statement {
     trial.fleet.report.tries += 1;
-    trial.requests += 1;
-    let id = trial.requests;
+    trial.last_request_id += 1;
+    let id = trial.last_request_id;
     let token_commit = trial.fleet.token_commit(request);
     let after = token_commit
         .map_or(String::new(), |commit| format!(",after={:.0}", trial.clock.to_unix_ms(commit).ceil()));
@@ -187,13 +187,13 @@
         fleet.checker.report_violation(now, Rule::AnswerInTime, description);
     }
     fleet.request_served(request, now);
-    if let Some(start) = trial.start_report(request.proxy) {
+    if let Some(start) = trial.process_start_entry(request.proxy) {
         start.first_served.get_or_insert(now - START_S - start.at);
     }
 }
 
 /// Removes a proxy from the load balancer once it has been unreachable for a while.
-fn proxy_unreachable(shared: &SharedTrial, trial: &mut TrialState, proxy: usize, now: f64) {
+fn record_unreachable_proxy(shared: &SharedTrial, trial: &mut TrialState, proxy: usize, now: f64) {
     let target = &mut trial.balancer_targets[proxy];
     let since = *target.unreachable_since.get_or_insert(now);
     if now - since > UNREACHABLE_TIMEOUT_S {
--- a/testkit/src/fleet/process_trial/discovery_service.rs
+++ b/testkit/src/fleet/process_trial/discovery_service.rs
@@ -26,7 +26,7 @@
 /// Interval of the checks for changes.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// The address of endpoints that have none: nothing listens there.
-const NO_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
+const PLACEHOLDER_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
 
 /// Listens for a proxy, and returns the address.
 pub fn listen(shared: &SharedTrial, proxy: usize) -> io::Result<SocketAddr> {
@@ -40,18 +40,18 @@
             let shared = shared.clone();
             spawn_local(async move {
                 // The proxy may close its connection at any time.
-                let _ = serve(&shared, proxy, stream).await;
+                let _ = serve_connection(&shared, proxy, stream).await;
             });
         }
     });
     Ok(address)
 }
 
-async fn serve(shared: &SharedTrial, proxy: usize, stream: TcpStream) -> io::Result<()> {
+async fn serve_connection(shared: &SharedTrial, proxy: usize, stream: TcpStream) -> io::Result<()> {
     let mut stream = MessageStream::new(stream)?;
-    let request = stream.line().await?;
-    while !stream.line().await?.is_empty() {}
-    if !link_passes(shared, proxy).await {
+    let request = stream.read_line().await?;
+    while !stream.read_line().await?.is_empty() {}
+    if !wait_for_link(shared, proxy).await {
         stream.reset();
         return Ok(());
     }
@@ -60,32 +60,32 @@
         PollOutcome::Answered { at } => clock.sleep_until(at).await,
         PollOutcome::Failed { at } => {
             clock.sleep_until(at).await;
-            return stream.write(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
+            return stream.write_all(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
         }
     }
-    let reachable = link_passes(shared, proxy).await;
-    if !reachable || shared.with(|trial| trial.fleet.site.discovery.is_down(clock.now())) {
+    let connection_usable = wait_for_link(shared, proxy).await;
+    if !connection_usable || shared.with(|trial| trial.fleet.site.discovery.is_down(clock.now())) {
         stream.reset();
         return Ok(());
     }
     shared.with(|trial| {
-        if let Some(start) = trial.start_report(proxy) {
+        if let Some(start) = trial.process_start_entry(proxy) {
             start.notified.get_or_insert(clock.now() - START_S - start.at);
         }
     });
-    match first_revision(&request) {
-        Some(first) => watch(shared, proxy, &mut stream, first.checked_sub(1)).await,
+    match watch_revision(&request) {
+        Some(revision) => watch(shared, proxy, &mut stream, revision.checked_sub(1)).await,
         None => {
             let version = shared.with(|trial| trial.fleet.site.discovery.version(clock.now()));
             let body = list_update(shared, proxy, None, version).to_string();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-            stream.write(&[head.as_bytes(), body.as_bytes()].concat()).await
+            stream.write_all(&[head.as_bytes(), body.as_bytes()].concat()).await
         }
     }
 }
 
 /// The revision from which a request watches; none if it polls.
-fn first_revision(request: &str) -> Option<usize> {
+fn watch_revision(request: &str) -> Option<usize> {
     if !request.contains("watch=1") {
         return None;
     }
@@ -94,7 +94,7 @@
 }
 
 /// Waits while the link drops data; whether data passes.
-async fn link_passes(shared: &SharedTrial, proxy: usize) -> bool {
+async fn wait_for_link(shared: &SharedTrial, proxy: usize) -> bool {
     loop {
         let link = shared.link_state(proxy, LinkEnd::Discovery);
         if link.cut {
@@ -123,10 +123,10 @@
             let server = endpoint.server.0 as usize;
             trial.fleet.checker.endpoint_listed(proxy, server, endpoint.state, now);
         }
-        trial.learn_starts(proxy, &endpoints);
+        trial.record_start_times(proxy, &endpoints);
         trial.fleet.cached_versions[proxy] = Some(version);
         match known {
-            Some(_) => changes(trial, proxy, &endpoints, version),
+            Some(_) => incremental_list(trial, proxy, &endpoints, version),
             None => full_list(trial, proxy, &endpoints, version),
         }
     })
@@ -137,7 +137,7 @@
     json!({ "rev": version + 1, "all": true, "targets": endpoint_entries(trial, proxy, endpoints) })
 }
 
-fn changes(trial: &TrialState, proxy: usize, endpoints: &[Endpoint], version: usize) -> Value {
+fn incremental_list(trial: &TrialState, proxy: usize, endpoints: &[Endpoint], version: usize) -> Value {
     json!({ "rev": version + 1, "all": false, "targets": endpoint_entries(trial, proxy, endpoints) })
 }
 
@@ -147,7 +147,8 @@
         let server = endpoint.server.0 as usize;
         let address = trial.server_addresses.get(&(proxy, server)).copied();
         let started_unix_ms = endpoint.started_at.map(|at| trial.clock.to_unix_ms(at.as_secs_f64()));
-        let mut entry = endpoint_entry(endpoint, address.unwrap_or(NO_ADDRESS.into()), started_unix_ms);
+        let mut entry =
+            endpoint_entry(endpoint, address.unwrap_or(PLACEHOLDER_ADDRESS.into()), started_unix_ms);
         if lists_roles {
             entry["mode"] = json!(if endpoint.listed_primary { "read-write" } else { "read-only" });
         }
@@ -164,12 +165,12 @@
     mut sent_version: Option<usize>,
 ) -> io::Result<()> {
     let clock = shared.clock();
-    stream.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+    stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
     let notification_delay_s = shared.with(|trial| {
         let spread_s = trial.fleet.site.discovery.settings().notification_spread_s;
         spread_s * trial.fleet.rng.random::<f64>()
     });
-    let mut first = true;
+    let mut is_initial = true;
     let mut last_write_at = 0.0;
     loop {
         let now = clock.now();
@@ -177,29 +178,29 @@
         if link.cut || shared.with(|trial| trial.fleet.site.discovery.is_down(now)) {
             return Ok(());
         }
-        let notified_up_to = if first { now } else { now - notification_delay_s };
-        let version = shared.with(|trial| trial.fleet.site.discovery.version(notified_up_to));
-        let is_news = sent_version.is_none_or(|sent| version > sent || (first && version < sent));
+        let publication_cutoff = if is_initial { now } else { now - notification_delay_s };
+        let version = shared.with(|trial| trial.fleet.site.discovery.version(publication_cutoff));
+        let has_update = sent_version.is_none_or(|sent| version > sent || (is_initial && version < sent));
         if !link.is_open() {
             // What would be sent is dropped, and no side is notified.
             sent_version = sent_version.max(Some(version));
-        } else if is_news {
+        } else if has_update {
             let line = list_update(shared, proxy, sent_version, version).to_string();
             write_chunk(stream, &line).await?;
             sent_version = Some(version);
             last_write_at = now;
-        } else if first || now - last_write_at >= KEEP_ALIVE_INTERVAL_S {
+        } else if is_initial || now - last_write_at >= KEEP_ALIVE_INTERVAL_S {
             write_chunk(stream, "").await?;
             last_write_at = now;
         }
-        first = false;
+        is_initial = false;
         tokio::select! {
             () = tokio::time::sleep(CHECK_INTERVAL) => {}
-            () = stream.closed() => return Ok(()),
+            () = stream.wait_until_closed() => return Ok(()),
         }
     }
 }
 
 async fn write_chunk(stream: &MessageStream, line: &str) -> io::Result<()> {
-    stream.write(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await
+    stream.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes()).await
 }
--- a/testkit/src/fleet/process_trial/exchange.rs
+++ b/testkit/src/fleet/process_trial/exchange.rs
@@ -11,7 +11,7 @@
 use super::super::fleet_model::START_S;
 use super::super::rule_checker::AcceptedRequest;
 use super::super::workload::ClientRequest;
-use super::message_stream::{message_field, MessageStream};
+use super::message_stream::{error_field, MessageStream};
 use super::state::SharedTrial;
 use crate::wire::{query, startup};
 
@@ -55,16 +55,16 @@
 
 async fn connect(address: SocketAddr) -> io::Result<MessageStream> {
     let stream = MessageStream::new(TcpStream::connect(address).await?)?;
-    stream.write(&startup()).await?;
+    stream.write_all(&startup()).await?;
     Ok(stream)
 }
 
 /// Whether a proxy answers an empty query.
 pub async fn health_check(address: SocketAddr) -> io::Result<()> {
     let mut stream = connect(address).await?;
-    stream.write(&query("")).await?;
+    stream.write_all(&query("")).await?;
     loop {
-        match stream.message().await? {
+        match stream.read_message().await? {
             (b'I', _) => return Ok(()),
             (b'E', _) => return Err(io::ErrorKind::ConnectionRefused.into()),
             _ => {}
@@ -78,8 +78,8 @@
     request: &ClientRequest,
     statement: &Statement,
 ) -> Result<ClientResponse, ExchangeError> {
-    let idle = shared.with(|trial| trial.balancer_targets[request.proxy].idle.pop());
-    if let Some(stream) = idle {
+    let idle_stream = shared.with(|trial| trial.balancer_targets[request.proxy].idle.pop());
+    if let Some(stream) = idle_stream {
         match exchange_on(shared, stream, request, statement).await {
             Err(ExchangeError::ClosedBeforeResponse) => {}
             result => return result,
@@ -89,7 +89,7 @@
     let stream = connect(address).await.map_err(|_| ExchangeError::Unreachable)?;
     shared.with(|trial| {
         let now = trial.clock.now();
-        if let Some(start) = trial.start_report(request.proxy) {
+        if let Some(start) = trial.process_start_entry(request.proxy) {
             start.first_request.get_or_insert(now - START_S - start.at);
         }
     });
@@ -106,7 +106,7 @@
     statement: &Statement,
 ) -> Result<ClientResponse, ExchangeError> {
     let clock = shared.clock();
-    stream.write(&query(&statement.text)).await.map_err(|_| ExchangeError::ClosedBeforeResponse)?;
+    stream.write_all(&query(&statement.text)).await.map_err(|_| ExchangeError::ClosedBeforeResponse)?;
     shared.with(|trial| {
         trial.fleet.checker.request_accepted(AcceptedRequest {
             id: statement.id,
@@ -121,7 +121,7 @@
     let mut response = None;
     loop {
         let read = tokio::select! {
-            read = stream.message() => read,
+            read = stream.read_message() => read,
             () = clock.sleep_until(request.deadline + RESPONSE_GRACE_PERIOD_S) => {
                 return Err(ExchangeError::TimedOut);
             }
@@ -152,7 +152,7 @@
 /// Records that a write was acknowledged: later reads of its session must see it.
 fn write_acknowledged(shared: &SharedTrial, request: &ClientRequest, id: u64) {
     shared.with(|trial| {
-        let Some(commit) = trial.commits.remove(&id) else { return };
+        let Some(commit) = trial.unacknowledged_commits.remove(&id) else { return };
         let now = trial.clock.now();
         trial.fleet.checker.write_acknowledged(request.proxy, request.session, commit);
         trial.fleet.workload.write_acknowledged(request, commit, now);
@@ -161,9 +161,9 @@
 
 /// The meaning of an `ErrorResponse`.
 fn error_response(body: &[u8]) -> ClientResponse {
-    let code = message_field(body, b'C').unwrap_or_default();
+    let code = error_field(body, b'C').unwrap_or_default();
     if REJECTION_CODES.contains(&code.as_str()) {
-        let detail = message_field(body, b'D');
+        let detail = error_field(body, b'D');
         let retry_after = detail.and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
         return ClientResponse::Rejected { retry_after };
     }
--- a/testkit/src/fleet/process_trial/faults.rs
+++ b/testkit/src/fleet/process_trial/faults.rs
@@ -14,7 +14,7 @@
 }
 
 fn select_proxies(shared: &SharedTrial, proxies: Selection) -> Vec<usize> {
-    shared.with(|trial| proxies.resolve(&trial.fleet.zones, &mut trial.fleet.rng))
+    shared.with(|trial| proxies.resolve(&trial.fleet.proxy_zones, &mut trial.fleet.rng))
 }
 
 /// Starts a fault, and returns when it has ended or ends by itself.
@@ -173,7 +173,7 @@
     shared.with(|trial| {
         if fault == LinkFault::Reset {
             let reset = LinkReset { proxies: proxies.clone(), ends: ends.clone(), at: now };
-            trial.resets.push(reset);
+            trial.link_resets.push(reset);
         }
         trial.fleet.links.inject(proxies, ends, fault, now + duration_s);
         trial.notify_connections();
--- a/testkit/src/fleet/process_trial/lifecycle.rs
+++ b/testkit/src/fleet/process_trial/lifecycle.rs
@@ -25,7 +25,7 @@
 pub async fn start(shared: &SharedTrial, proxy: usize) {
     let (config, start_index) = shared.with(|trial| {
         let start_index = trial.fleet.record_start(trial.clock.now());
-        (configuration(trial, proxy), start_index)
+        (process_config(trial, proxy), start_index)
     });
     let prepared = shared.with(|trial| trial.processes.prepare_start(proxy, config));
     let started = match prepared {
@@ -33,7 +33,7 @@
         Err(error) => Err(error),
     };
     shared.with(|trial| match started {
-        Ok(process) => trial.processes.add(proxy, process),
+        Ok(process) => trial.processes.add_process(proxy, process),
         Err(error) => {
             let violation = format!("the trial itself: proxy {proxy} can't be started: {error}");
             trial.fleet.report.violations.push(violation);
@@ -45,11 +45,11 @@
 }
 
 /// The configuration of a new process.
-fn configuration(trial: &mut TrialState, proxy: usize) -> String {
+fn process_config(trial: &mut TrialState, proxy: usize) -> String {
     let settings = trial.fleet.proxy_settings(proxy);
     let cached_list = trial.fleet.cached_versions[proxy].map(|version| {
         let endpoints = trial.fleet.site.discovery.full_list(version);
-        trial.learn_starts(proxy, &endpoints);
+        trial.record_start_times(proxy, &endpoints);
         discovery_service::full_list(trial, proxy, &endpoints, version)
     });
     let seed = trial.fleet.rng.random::<u64>();
@@ -100,8 +100,8 @@
     let clock = shared.clock();
     let started_at = clock.now();
     let predecessor = shared.with(|trial| {
-        let is_alone = trial.processes.count(proxy) == 1;
-        trial.processes.start_index(proxy).filter(|_| is_alone)
+        let has_one_process = trial.processes.process_count(proxy) == 1;
+        trial.processes.start_index(proxy).filter(|_| has_one_process)
     });
     let Some(predecessor) = predecessor else { return };
     start(&shared, proxy).await;
--- a/testkit/src/fleet/process_trial/message_stream.rs
+++ b/testkit/src/fleet/process_trial/message_stream.rs
@@ -59,15 +59,19 @@
     }
 
     /// Takes the next message. `length` computes its length from the first `header_bytes` bytes.
-    async fn take(&mut self, header_bytes: usize, length: impl Fn(&[u8]) -> usize) -> io::Result<Vec<u8>> {
+    async fn read_packet(
+        &mut self,
+        header_bytes: usize,
+        packet_length: impl Fn(&[u8]) -> usize,
+    ) -> io::Result<Vec<u8>> {
         loop {
             if self.buffer.len() >= header_bytes {
-                let total = length(&self.buffer);
-                if total > MAX_MESSAGE_BYTES {
+                let packet_bytes = packet_length(&self.buffer);
+                if packet_bytes > MAX_MESSAGE_BYTES {
                     return Err(io::ErrorKind::InvalidData.into());
                 }
-                if self.buffer.len() >= total {
-                    let rest = self.buffer.split_off(total);
+                if self.buffer.len() >= packet_bytes {
+                    let rest = self.buffer.split_off(packet_bytes);
                     return Ok(std::mem::replace(&mut self.buffer, rest));
                 }
             }
@@ -76,21 +80,23 @@
     }
 
     /// Reads the startup packet.
-    pub async fn startup(&mut self) -> io::Result<()> {
-        let length = |b: &[u8]| u32::from_be_bytes([b[0], b[1], b[2], b[3]]) as usize;
-        self.take(4, length).await.map(|_| ())
+    pub async fn read_startup(&mut self) -> io::Result<()> {
+        let packet_length =
+            |header: &[u8]| u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
+        self.read_packet(4, packet_length).await.map(|_| ())
     }
 
     /// Reads the next message, and returns its type and body.
-    pub async fn message(&mut self) -> io::Result<(u8, Vec<u8>)> {
-        let length = |b: &[u8]| u32::from_be_bytes([b[1], b[2], b[3], b[4]]) as usize + 1;
-        let mut message = self.take(5, length).await?;
+    pub async fn read_message(&mut self) -> io::Result<(u8, Vec<u8>)> {
+        let packet_length =
+            |header: &[u8]| u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize + 1;
+        let mut message = self.read_packet(5, packet_length).await?;
         let body = message.split_off(5);
         Ok((message[0], body))
     }
 
     /// Reads a line of text, and returns it without its end.
-    pub async fn line(&mut self) -> io::Result<String> {
+    pub async fn read_line(&mut self) -> io::Result<String> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
                 let rest = self.buffer.split_off(end + 1);
@@ -105,12 +111,12 @@
     }
 
     /// Waits until the connection is closed, and buffers what is received before.
-    pub async fn closed(&mut self) {
+    pub async fn wait_until_closed(&mut self) {
         while self.buffer.len() <= MAX_MESSAGE_BYTES && self.fill_buffer().await.is_ok() {}
     }
 
     /// Writes all bytes.
-    pub async fn write(&self, mut bytes: &[u8]) -> io::Result<()> {
+    pub async fn write_all(&self, mut bytes: &[u8]) -> io::Result<()> {
         while !bytes.is_empty() {
             self.stream.writable().await?;
             match self.stream.try_write(bytes) {
@@ -129,7 +135,7 @@
 }
 
 /// The field of an `ErrorResponse` with this type.
-pub fn message_field(body: &[u8], field_type: u8) -> Option<String> {
+pub fn error_field(body: &[u8], field_type: u8) -> Option<String> {
     let field = body.split(|byte| *byte == 0).find(|field| field.first() == Some(&field_type))?;
     Some(String::from_utf8_lossy(&field[1..]).into_owned())
 }
--- a/testkit/src/fleet/process_trial/process_table.rs
+++ b/testkit/src/fleet/process_trial/process_table.rs
@@ -16,7 +16,7 @@
 use super::TrialPaths;
 
 /// Ports for listeners, below those that the system assigns to outgoing connections.
-const PORTS: Range<u32> = 10_000..32_000;
+const LISTEN_PORTS: Range<u32> = 10_000..32_000;
 
 /// A child process that is killed and reaped when it is dropped.
 pub struct OwnedChild(Child);
@@ -29,7 +29,7 @@
 }
 
 impl OwnedChild {
-    fn send(&self, signal: Signal) {
+    fn send_signal(&self, signal: Signal) {
         if let Some(pid) = Pid::from_raw(self.0.id() as i32) {
             let _ = kill_process(pid, signal);
         }
@@ -99,7 +99,7 @@
     /// In the order of their starts; the last one serves.
     processes: Vec<Process>,
     /// Number of starts.
-    starts: u32,
+    start_count: u32,
     last_killed_at: Option<f64>,
     /// Until when its processes were last paused.
     paused_until: Option<f64>,
@@ -107,14 +107,14 @@
 
 impl Proxy {
     /// Kills all processes but the newest ones.
-    fn kill_all_but(&mut self, newest: usize) {
-        let killed = self.processes.len().saturating_sub(newest);
-        self.processes.drain(..killed);
+    fn kill_all_but_newest(&mut self, kept_count: usize) {
+        let killed_count = self.processes.len().saturating_sub(kept_count);
+        self.processes.drain(..killed_count);
     }
 
-    fn send(&self, signal: Signal) {
+    fn send_signal(&self, signal: Signal) {
         for process in &self.processes {
-            process.child.send(signal);
+            process.child.send_signal(signal);
         }
     }
 }
@@ -130,7 +130,8 @@
     /// A table without processes; creates a folder for each proxy.
     pub fn new(paths: TrialPaths, proxies: usize) -> io::Result<Self> {
         // Trials that run at the same time begin at different ports.
-        let next_port = PORTS.start + std::process::id() * 997 % (PORTS.end - PORTS.start);
+        let next_port =
+            LISTEN_PORTS.start + std::process::id() * 997 % (LISTEN_PORTS.end - LISTEN_PORTS.start);
         let mut table = Self { paths, proxies: Vec::new(), next_port };
         for proxy in 0..proxies {
             let folder = table.paths.folder.join(format!("p{proxy}"));
@@ -140,7 +141,7 @@
                 folder,
                 listen_address,
                 processes: Vec::new(),
-                starts: 0,
+                start_count: 0,
                 last_killed_at: None,
                 paused_until: None,
             });
@@ -150,8 +151,9 @@
 
     /// An address at which no process listens.
     fn free_address(&mut self) -> io::Result<SocketAddr> {
-        for _ in PORTS {
-            self.next_port = PORTS.start + (self.next_port + 1 - PORTS.start) % (PORTS.end - PORTS.start);
+        for _ in LISTEN_PORTS {
+            self.next_port = LISTEN_PORTS.start
+                + (self.next_port + 1 - LISTEN_PORTS.start) % (LISTEN_PORTS.end - LISTEN_PORTS.start);
             let address = SocketAddr::from(([127, 0, 0, 1], self.next_port as u16));
             if TcpListener::bind(address).is_ok() {
                 return Ok(address);
@@ -182,7 +184,7 @@
     }
 
     /// Number of processes of a proxy.
-    pub fn count(&self, proxy: usize) -> usize {
+    pub fn process_count(&self, proxy: usize) -> usize {
         self.proxies[proxy].processes.len()
     }
 
@@ -205,44 +207,44 @@
     pub fn prepare_start(&mut self, proxy: usize, config: String) -> io::Result<PreparedStart> {
         let admin_address = self.free_address()?;
         let proxy = &mut self.proxies[proxy];
-        let log_file = proxy.folder.join(format!("log-{}.txt", proxy.starts));
-        proxy.starts += 1;
+        let log_file = proxy.folder.join(format!("log-{}.txt", proxy.start_count));
+        proxy.start_count += 1;
         let (program, folder) = (self.paths.program.clone(), proxy.folder.clone());
         Ok(PreparedStart { program, folder, config, log_file, admin_address })
     }
 
     /// Adds a process that has started.
-    pub fn add(&mut self, proxy: usize, process: Process) {
+    pub fn add_process(&mut self, proxy: usize, process: Process) {
         self.proxies[proxy].processes.push(process);
     }
 
     /// Pauses a proxy's processes.
     pub fn pause(&mut self, proxy: usize) {
-        self.proxies[proxy].send(Signal::STOP);
+        self.proxies[proxy].send_signal(Signal::STOP);
         self.proxies[proxy].paused_until = Some(f64::INFINITY);
     }
 
     /// Resumes a proxy's processes.
     pub fn resume(&mut self, proxy: usize, now: f64) {
-        self.proxies[proxy].send(Signal::CONT);
+        self.proxies[proxy].send_signal(Signal::CONT);
         self.proxies[proxy].paused_until = Some(now);
     }
 
     /// Has a proxy's processes reload their configuration.
     pub fn reload(&self, proxy: usize) {
-        self.proxies[proxy].send(Signal::HUP);
+        self.proxies[proxy].send_signal(Signal::HUP);
     }
 
     /// Has a proxy's processes shut down gracefully.
     pub fn shut_down(&self, proxy: usize) {
-        self.proxies[proxy].send(Signal::TERM);
+        self.proxies[proxy].send_signal(Signal::TERM);
     }
 
     /// Has one process of a proxy shut down gracefully, unless it was killed meanwhile.
     pub fn shut_down_process(&self, proxy: usize, start_index: usize) {
         let mut processes = self.proxies[proxy].processes.iter();
         if let Some(process) = processes.find(|process| process.start_index == start_index) {
-            process.child.send(Signal::TERM);
+            process.child.send_signal(Signal::TERM);
         }
     }
 
@@ -256,24 +258,24 @@
     /// Kills a proxy's processes.
     pub fn kill(&mut self, proxy: usize, now: f64) {
         self.proxies[proxy].last_killed_at = Some(now);
-        self.proxies[proxy].kill_all_but(0);
+        self.proxies[proxy].kill_all_but_newest(0);
     }
 
     /// Kills the predecessors of the process that serves a proxy.
     pub fn kill_predecessors(&mut self, proxy: usize) {
-        self.proxies[proxy].kill_all_but(1);
+        self.proxies[proxy].kill_all_but_newest(1);
     }
 
     /// Kills all processes, and describes those that had exited by themselves.
     pub fn kill_all(&mut self) -> Vec<String> {
         let mut unexpected_exits = Vec::new();
-        for (number, proxy) in self.proxies.iter_mut().enumerate() {
+        for (proxy_index, proxy) in self.proxies.iter_mut().enumerate() {
             for process in &mut proxy.processes {
                 if let Ok(Some(status)) = process.child.0.try_wait() {
-                    unexpected_exits.push(describe_exit(number, status));
+                    unexpected_exits.push(describe_exit(proxy_index, status));
                 }
             }
-            proxy.kill_all_but(0);
+            proxy.kill_all_but_newest(0);
         }
         unexpected_exits
     }
--- a/testkit/src/fleet/process_trial/proxy_config.rs
+++ b/testkit/src/fleet/process_trial/proxy_config.rs
@@ -9,7 +9,7 @@
 };
 use serde_json::{json, Value};
 
-fn ms(time: Duration) -> f64 {
+fn milliseconds(time: Duration) -> f64 {
     time.as_secs_f64() * 1e3
 }
 
@@ -23,7 +23,7 @@
     format!("z{zone}")
 }
 
-fn class(index: usize, class: &Class) -> Value {
+fn class_settings(index: usize, class: &Class) -> Value {
     let (effect, scope, window) = match class.idempotency {
         Idempotency::Idempotent => ("repeatable", "", Duration::ZERO),
         Idempotency::NonIdempotent => ("once", "", Duration::ZERO),
@@ -34,12 +34,12 @@
     json!({
         "Name": class_name(ClassId(index)),
         "Credit": class.priority_weight,
-        "OnTimeMs": ms(class.latency_objective),
-        "DeadlineMs": ms(class.deadline),
+        "OnTimeMs": milliseconds(class.latency_objective),
+        "DeadlineMs": milliseconds(class.deadline),
         "LateValue": class.late_weight,
         "Effect": effect,
         "DedupScope": scope,
-        "WindowMs": ms(window),
+        "WindowMs": milliseconds(window),
     })
 }
 
@@ -50,9 +50,9 @@
         "GroupSize": settings.instance_count,
         "Zone": zone_name(settings.zone.0),
         "Zones": (0..zones).map(zone_name).collect::<Vec<_>>(),
-        "TickMs": ms(settings.min_step_interval),
-        "Classes": settings.classes.iter().enumerate().map(|(i, c)| class(i, c)).collect::<Vec<_>>(),
-        "Domain": domain(settings),
+        "TickMs": milliseconds(settings.min_step_interval),
+        "Classes": settings.classes.iter().enumerate().map(|(index, class)| class_settings(index, class)).collect::<Vec<_>>(),
+        "Domain": consistency_settings(settings),
         "Report": load_reports(settings.load_reports),
         "Discovery": "subscribe",
         "Limits": limits(&settings.limits, idle_timeout_s),
@@ -61,21 +61,21 @@
     })
 }
 
-fn domain(settings: &Settings) -> Value {
-    let consistency = |class: &Class| match class.consistency {
+fn consistency_settings(settings: &Settings) -> Value {
+    let consistency_name = |class: &Class| match class.consistency {
         Consistency::Write => "mutate",
         Consistency::Linearizable => "strong",
         Consistency::Causal => "causal",
         Consistency::BoundedStaleness(_) => "lag_bound",
         Consistency::Eventual => "eventual",
     };
-    let max_age = |class: &Class| match class.consistency {
-        Consistency::BoundedStaleness(age) => ms(age),
+    let max_staleness_ms = |class: &Class| match class.consistency {
+        Consistency::BoundedStaleness(max_staleness) => milliseconds(max_staleness),
         _ => 0.0,
     };
     json!({
-        "NeedsByClass": settings.classes.iter().map(consistency).collect::<Vec<_>>(),
-        "MaxAgeMs": settings.classes.iter().map(max_age).collect::<Vec<_>>(),
+        "NeedsByClass": settings.classes.iter().map(consistency_name).collect::<Vec<_>>(),
+        "MaxAgeMs": settings.classes.iter().map(max_staleness_ms).collect::<Vec<_>>(),
         "Positions": settings.responses_carry_position,
         "ServerChecks": match settings.stale_read_policy {
             StaleReadPolicy::AnswerStale => "silent",
@@ -112,8 +112,8 @@
         "Probes": limits.allow_health_checks,
         "SecondCopies": limits.allow_hedging,
         "RetryAfter": limits.send_retry_after,
-        "MaxRetryAfterMs": ms(limits.max_retry_after),
-        "ConnectTimeoutMs": ms(limits.connect_timeout),
+        "MaxRetryAfterMs": milliseconds(limits.max_retry_after),
+        "ConnectTimeoutMs": milliseconds(limits.connect_timeout),
         "ConnIdleMs": idle_timeout_s * 1e3,
         "StreamsPerConn": limits.max_streams_per_connection,
     })
@@ -121,13 +121,13 @@
 
 fn rules(rules: &ServiceRules) -> Value {
     json!({
-        "AnswerSlackMs": ms(rules.answer_grace_period),
-        "AskEveryMs": ms(rules.poll_interval),
+        "AnswerSlackMs": milliseconds(rules.answer_grace_period),
+        "AskEveryMs": milliseconds(rules.poll_interval),
         "ColdShare": rules.initial_capacity_share,
-        "WarmUpMs": ms(rules.warm_up),
+        "WarmUpMs": milliseconds(rules.warm_up),
         "OverloadFactor": rules.overload_factor,
-        "OverloadForMs": ms(rules.overload_duration),
-        "StopSendingWithinMs": ms(rules.drain_grace_period),
+        "OverloadForMs": milliseconds(rules.overload_duration),
+        "StopSendingWithinMs": milliseconds(rules.drain_grace_period),
         "OnlyDrainingBinds": rules.removed_may_serve,
     })
 }
--- a/testkit/src/fleet/process_trial/server_connections.rs
+++ b/testkit/src/fleet/process_trial/server_connections.rs
@@ -54,7 +54,7 @@
     /// The incarnation of the server that accepted it.
     incarnation: u32,
     opened_at: f64,
-    changes: watch::Receiver<u64>,
+    state_changes: watch::Receiver<u64>,
     /// Data was dropped: the connection is reset once the link and the server are back.
     data_lost: bool,
 }
@@ -83,7 +83,7 @@
 
 impl TrialState {
     fn was_reset_since(&self, proxy: usize, server: usize, since: f64) -> bool {
-        self.resets.iter().any(|reset| {
+        self.link_resets.iter().any(|reset| {
             let affected = reset.proxies.contains(&proxy) && reset.ends.contains(&LinkEnd::Server(server));
             affected && reset.at >= since
         })
@@ -99,7 +99,7 @@
             server,
             incarnation,
             opened_at: shared.now(),
-            changes: shared.with(|trial| trial.changes.subscribe()),
+            state_changes: shared.with(|trial| trial.state_changes.subscribe()),
             data_lost: false,
         }
     }
@@ -120,13 +120,13 @@
     async fn wait_for_reset(&mut self) -> ConnectionEnd {
         loop {
             let state = self.state();
-            let is_back = state.link.is_open() && state.server != ServerState::Unresponsive;
-            if state.reset || (self.data_lost && is_back) {
+            let has_recovered = state.link.is_open() && state.server != ServerState::Unresponsive;
+            if state.reset || (self.data_lost && has_recovered) {
                 return ConnectionEnd::Reset;
             }
             // The end of a link fault sends no notification of its own.
             tokio::select! {
-                _ = self.changes.changed() => {}
+                _ = self.state_changes.changed() => {}
                 () = tokio::time::sleep(CHECK_INTERVAL), if self.data_lost => {}
             }
         }
@@ -148,7 +148,7 @@
         let end = match self.accept(&mut stream).await {
             Ok(true) => {
                 let end = self.serve(&mut stream).await;
-                self.release();
+                self.record_closed();
                 end
             }
             Ok(false) => ConnectionEnd::Closed,
@@ -160,7 +160,7 @@
     }
 
     /// Counts the connection as closed at its server.
-    fn release(&self) {
+    fn record_closed(&self) {
         self.shared.with(|trial| {
             let model = &mut trial.fleet.site.servers[self.server].model;
             if model.incarnation == self.incarnation {
@@ -173,7 +173,7 @@
     async fn accept(&mut self, stream: &mut MessageStream) -> Result<bool, ConnectionEnd> {
         tokio::select! {
             end = self.wait_for_reset() => return Err(end),
-            read = stream.startup() => read?,
+            read = stream.read_startup() => read?,
         }
         let state = self.state();
         if state.link.requests_dropped || state.server == ServerState::Unresponsive {
@@ -188,10 +188,10 @@
             return Err(self.drop_data().await);
         }
         if !accepted {
-            stream.write(&error_message(TOO_MANY_CONNECTIONS)).await?;
+            stream.write_all(&error_message(TOO_MANY_CONNECTIONS)).await?;
             return Ok(false);
         }
-        stream.write(&[message(b'R', &[0; 4]), message(b'Z', b"I")].concat()).await?;
+        stream.write_all(&[message(b'R', &[0; 4]), message(b'Z', b"I")].concat()).await?;
         Ok(true)
     }
 
@@ -200,7 +200,7 @@
         loop {
             let read = tokio::select! {
                 end = self.wait_for_reset() => return end,
-                read = stream.message() => read,
+                read = stream.read_message() => read,
             };
             let Ok((b'Q', body)) = read else { return ConnectionEnd::Closed };
             let text = String::from_utf8_lossy(body.strip_suffix(&[0]).unwrap_or(&body)).into_owned();
@@ -211,34 +211,34 @@
             let execution = execute(self.shared.clone(), self.proxy, self.server, text.clone());
             let response = tokio::select! {
                 end = self.wait_for_reset() => return end,
-                () = stream.closed() => return self.attempt_abandoned(&text),
+                () = stream.wait_until_closed() => return self.record_abandoned_attempt(&text),
                 response = execution => response,
             };
-            let Some(response) = response else { return self.never_respond(stream, &text).await };
+            let Some(response) = response else { return self.wait_without_response(stream, &text).await };
             self.sleep_one_way(1.0).await;
             let state = self.state();
             if state.reset || state.link.responses_dropped || state.server != ServerState::Up {
                 return self.drop_data().await;
             }
-            self.response_sent(&response);
-            if stream.write(&response.to_bytes()).await.is_err() {
+            self.record_response(&response);
+            if stream.write_all(&response.to_bytes()).await.is_err() {
                 return ConnectionEnd::Closed;
             }
         }
     }
 
     /// Receives data without a response until the connection ends.
-    async fn never_respond(&mut self, stream: &mut MessageStream, text: &str) -> ConnectionEnd {
+    async fn wait_without_response(&mut self, stream: &mut MessageStream, text: &str) -> ConnectionEnd {
         let end = tokio::select! {
             end = self.wait_for_reset() => end,
-            () = stream.closed() => ConnectionEnd::Closed,
+            () = stream.wait_until_closed() => ConnectionEnd::Closed,
         };
-        self.attempt_abandoned(text);
+        self.record_abandoned_attempt(text);
         end
     }
 
     /// Records that the proxy closed the connection during an attempt, whose execution continues.
-    fn attempt_abandoned(&self, text: &str) -> ConnectionEnd {
+    fn record_abandoned_attempt(&self, text: &str) -> ConnectionEnd {
         if let Some(id) = request_id(text) {
             self.shared.with(|trial| {
                 trial.fleet.checker.attempt_abandoned(id, self.server, trial.clock.now());
@@ -248,7 +248,7 @@
     }
 
     /// Records what the proxy learns from a response.
-    fn response_sent(&self, response: &ServerResponse) {
+    fn record_response(&self, response: &ServerResponse) {
         let Some(attempt) = response.attempt else { return };
         self.shared.with(|trial| {
             let now = trial.clock.now();
--- a/testkit/src/fleet/process_trial/server_execution.rs
+++ b/testkit/src/fleet/process_trial/server_execution.rs
@@ -14,9 +14,9 @@
 /// Time in s in which a proxy is expected to process a response.
 const RESPONSE_PROCESSING_S: f64 = 0.1;
 /// The statement of a health check.
-const HEALTH_CHECK: &str = "SELECT 1";
+const HEALTH_CHECK_STATEMENT: &str = "SELECT 1";
 /// The statement of a health check with a load report.
-const LOAD_REPORT: &str = "SHOW stats";
+const LOAD_REPORT_STATEMENT: &str = "SHOW stats";
 
 /// SQLSTATE of an unknown statement.
 const PROTOCOL_VIOLATION: &str = "08P01";
@@ -92,16 +92,16 @@
     server: usize,
     text: String,
 ) -> Option<ServerResponse> {
-    if text == HEALTH_CHECK || text == LOAD_REPORT {
+    if text == HEALTH_CHECK_STATEMENT || text == LOAD_REPORT_STATEMENT {
         return health_check(&shared, server, &text).await;
     }
     let sent_at = shared.now();
-    let known = shared.with(|trial| {
+    let sent_request = shared.with(|trial| {
         let request = request_id(&text)?;
-        let client = trial.client_requests.get(&request)?;
-        Some((request, client.class, client.work_s))
+        let client_request = trial.client_requests.get(&request)?;
+        Some((request, client_request.class, client_request.work_s))
     });
-    let Some((request, class, work_s)) = known else {
+    let Some((request, class, work_s)) = sent_request else {
         shared.with(|trial| {
             let description = format!("server {server} received a statement that no client sent: {text}");
             trial.fleet.checker.report_violation(sent_at, Rule::AnswerInTime, description);
@@ -115,10 +115,10 @@
     match admission {
         RequestAdmission::NoResponse => None,
         RequestAdmission::NotPrimary => {
-            Some(attempt.reject(Outcome::Misdirected, error_message(READ_ONLY_TRANSACTION)))
+            Some(attempt.rejection_response(Outcome::Misdirected, error_message(READ_ONLY_TRANSACTION)))
         }
         RequestAdmission::Rejected => {
-            Some(attempt.reject(Outcome::Rejected, error_message(TOO_MANY_CONNECTIONS)))
+            Some(attempt.rejection_response(Outcome::Rejected, error_message(TOO_MANY_CONNECTIONS)))
         }
         RequestAdmission::Crashed { informed_share } => {
             attempt.crash_server(informed_share);
@@ -126,9 +126,9 @@
         }
         RequestAdmission::Executing { starts_at, ends_at } => {
             // The execution continues even if its proxy closes the connection.
-            let execution = spawn_local(attempt.clone().run(starts_at, ends_at));
+            let execution = spawn_local(attempt.clone().execute(starts_at, ends_at));
             let completion = execution.await.ok().flatten()?;
-            Some(attempt.complete(completion))
+            Some(attempt.execution_response(completion))
         }
     }
 }
@@ -162,12 +162,12 @@
     }
 
     /// A response with the present status of the server.
-    fn reject(&self, outcome: Outcome, body: Vec<u8>) -> ServerResponse {
+    fn rejection_response(&self, outcome: Outcome, body: Vec<u8>) -> ServerResponse {
         let status = self.shared.with(|trial| trial.fleet.site.status(self.server, trial.clock.now()));
-        self.respond(outcome, body, status)
+        self.new_response(outcome, body, status)
     }
 
-    fn respond(&self, outcome: Outcome, body: Vec<u8>, status: ServerStatus) -> ServerResponse {
+    fn new_response(&self, outcome: Outcome, body: Vec<u8>, status: ServerStatus) -> ServerResponse {
         self.shared.with(|trial| {
             trial.fleet.report.attempt_ended(outcome);
             let position_unix_ms = status.position.map(|at| trial.clock.to_unix_ms(at.as_secs_f64()));
@@ -177,14 +177,14 @@
     }
 
     /// The response to an attempt that was executed.
-    fn complete(&self, completion: Completion) -> ServerResponse {
+    fn execution_response(&self, completion: Completion) -> ServerResponse {
         let Completion { outcome, status } = completion;
         let body = if outcome == Outcome::Success {
             row(format!("{:x}", self.request).as_bytes())
         } else {
             error_message(INTERNAL_ERROR)
         };
-        self.respond(outcome, body, status)
+        self.new_response(outcome, body, status)
     }
 
     /// Crashes the server, which the attempt has overloaded.
@@ -199,7 +199,7 @@
     }
 
     /// Executes the attempt; none if the server fails before it is done.
-    async fn run(self, starts_at: f64, ends_at: f64) -> Option<Completion> {
+    async fn execute(self, starts_at: f64, ends_at: f64) -> Option<Completion> {
         let clock = self.shared.clock();
         let incarnation = self.shared.with(|trial| trial.fleet.site.servers[self.server].model.incarnation);
         clock.sleep_until(starts_at).await;
@@ -211,7 +211,7 @@
         if !self.is_executing(incarnation) {
             return None;
         }
-        Some(self.finish())
+        Some(self.finish_execution())
     }
 
     /// Whether the server still works on the attempt.
@@ -241,7 +241,7 @@
     }
 
     /// Ends the execution, and commits a write.
-    fn finish(&self) -> Completion {
+    fn finish_execution(&self) -> Completion {
         self.shared.with(|trial| {
             let now = trial.clock.now();
             let fleet = &mut trial.fleet;
@@ -249,7 +249,7 @@
             if fleet.is_write(self.class) && completion.outcome == Outcome::Success {
                 fleet.checker.write_executed(self.request, self.class, now);
                 if let Some(commit) = completion.status.position {
-                    trial.commits.insert(self.request, commit.as_secs_f64());
+                    trial.unacknowledged_commits.insert(self.request, commit.as_secs_f64());
                 }
             }
             completion
@@ -270,7 +270,7 @@
     let body = shared.with(|trial| {
         let age_s = trial.fleet.plan.load_report_age_s * trial.fleet.rng.random::<f64>();
         let report = trial.fleet.site.load_report(server, age_s, clock.now());
-        if text != LOAD_REPORT {
+        if text != LOAD_REPORT_STATEMENT {
             return row(b"1");
         }
         let Some(report) = report else { return error_message(INSUFFICIENT_PRIVILEGE) };
--- a/testkit/src/fleet/process_trial/state.rs
+++ b/testkit/src/fleet/process_trial/state.rs
@@ -36,9 +36,9 @@
     /// Each try by its id.
     pub client_requests: HashMap<u64, ClientRequest>,
     /// Number of tries so far.
-    pub requests: u64,
+    pub last_request_id: u64,
     /// Commits that no client has received yet, by request.
-    pub commits: HashMap<u64, f64>,
+    pub unacknowledged_commits: HashMap<u64, f64>,
     /// Where each proxy reaches each server.
     pub server_addresses: HashMap<(usize, usize), SocketAddr>,
     /// Where each proxy reaches the discovery service.
@@ -51,8 +51,8 @@
     /// The start times of servers that each proxy has received.
     pub known_starts: HashMap<(usize, usize), f64>,
     /// Incremented by changes that may end connections.
-    pub changes: watch::Sender<u64>,
-    pub resets: Vec<LinkReset>,
+    pub state_changes: watch::Sender<u64>,
+    pub link_resets: Vec<LinkReset>,
 }
 
 impl TrialState {
@@ -61,27 +61,27 @@
         Self {
             clock: Clock::start(),
             client_requests: HashMap::new(),
-            requests: 0,
-            commits: HashMap::new(),
+            last_request_id: 0,
+            unacknowledged_commits: HashMap::new(),
             server_addresses: HashMap::new(),
             discovery_addresses: Vec::new(),
             balancer_targets: (0..plan.proxies).map(|_| BalancerTarget::default()).collect(),
             processes,
             not_primary_since: BTreeMap::new(),
             known_starts: HashMap::new(),
-            changes: watch::Sender::new(0),
-            resets: Vec::new(),
+            state_changes: watch::Sender::new(0),
+            link_resets: Vec::new(),
             fleet: FleetModel::new(plan),
         }
     }
 
     /// Has connections check whether they end.
     pub fn notify_connections(&self) {
-        self.changes.send_modify(|changes| *changes += 1);
+        self.state_changes.send_modify(|count| *count += 1);
     }
 
     /// Records the start times in a list that a proxy receives.
-    pub fn learn_starts(&mut self, proxy: usize, endpoints: &[Endpoint]) {
+    pub fn record_start_times(&mut self, proxy: usize, endpoints: &[Endpoint]) {
         for endpoint in endpoints {
             if let Some(started_at) = endpoint.started_at {
                 let server = endpoint.server.0 as usize;
@@ -91,7 +91,7 @@
     }
 
     /// The report's entry for the start of the process that serves a proxy.
-    pub fn start_report(&mut self, proxy: usize) -> Option<&mut ProcessStart> {
+    pub fn process_start_entry(&mut self, proxy: usize) -> Option<&mut ProcessStart> {
         let index = self.processes.start_index(proxy)?;
         self.fleet.report.starts.get_mut(index)
     }
@@ -107,8 +107,8 @@
     }
 
     /// Calls a function with the state.
-    pub fn with<T>(&self, act: impl FnOnce(&mut TrialState) -> T) -> T {
-        act(&mut self.0.borrow_mut())
+    pub fn with<T>(&self, operation: impl FnOnce(&mut TrialState) -> T) -> T {
+        operation(&mut self.0.borrow_mut())
     }
 
     pub fn clock(&self) -> Clock {
@@ -138,7 +138,7 @@
     pub fn handle_effects(&self, effects: Vec<Effect>) {
         for effect in effects {
             if let Effect::ElectionDue { set, at } = effect {
-                spawn_local(self.clone().elect(set, at));
+                spawn_local(self.clone().run_election(set, at));
             }
         }
         self.with(|trial| {
@@ -147,7 +147,7 @@
         });
     }
 
-    async fn elect(self, set: usize, at: f64) {
+    async fn run_election(self, set: usize, at: f64) {
         let clock = self.clock();
         clock.sleep_until(at).await;
         let mut effects = Vec::new();
--- a/testkit/src/fleet/simulation/attempts.rs
+++ b/testkit/src/fleet/simulation/attempts.rs
@@ -36,7 +36,7 @@
 
     /// Takes an idle connection to a server that is still open; false if there is none.
     fn take_idle_connection(&mut self, process: usize, server: usize) -> bool {
-        let Some(idle) = self.processes[process].idle.get_mut(&server) else { return false };
+        let Some(idle) = self.processes[process].idle_connections.get_mut(&server) else { return false };
         let incarnation = self.fleet.site.servers[server].model.incarnation;
         let oldest = self.now - self.fleet.plan.idle_timeout_s;
         let is_stale = |c: &mut IdleConnection| c.incarnation != incarnation || c.idle_since < oldest;
@@ -55,13 +55,13 @@
         timeout: Duration,
     ) {
         let now = self.now;
-        let Some(open) = self.processes[process].open.get_mut(&request) else { return };
-        let id = AttemptId { request, number: AttemptNumber(open.attempts) };
-        open.attempts += 1;
-        let class = open.client.class;
-        let session = open.client.session;
-        let work_s = open.client.work_s;
-        let times_out_at = (now + timeout.as_secs_f64()).min(open.deadline);
+        let Some(open_request) = self.processes[process].open_requests.get_mut(&request) else { return };
+        let id = AttemptId { request, number: AttemptNumber(open_request.attempts) };
+        open_request.attempts += 1;
+        let class = open_request.client_request.class;
+        let session = open_request.client_request.session;
+        let work_s = open_request.client_request.work_s;
+        let times_out_at = (now + timeout.as_secs_f64()).min(open_request.deadline);
         let consistency = self.fleet.plan.settings.classes[class.0].consistency;
         self.fleet.report.attempts += 1;
         self.fleet.checker.attempt_sent(request.0, server, now);
@@ -69,7 +69,7 @@
             self.fleet.report.reads_at_primaries += 1;
         }
         let reuses_connection = self.take_idle_connection(process, server);
-        let known = &self.processes[process].known;
+        let observations = &self.processes[process].observations;
         let attempt = InFlightAttempt {
             server,
             incarnation: self.fleet.site.servers[server].model.incarnation,
@@ -81,13 +81,13 @@
             written: false,
             fresh_until: match consistency {
                 Consistency::BoundedStaleness(max_age) => {
-                    let position = known.positions.get(&server).copied().flatten();
+                    let position = observations.positions.get(&server).copied().flatten();
                     position.map(|position| position + max_age.as_secs_f64())
                 }
                 _ => None,
             },
             may_read_stale: self.fleet.site.servers[server].was_primary
-                && !known.not_primary.contains(&server),
+                && !observations.not_primary.contains(&server),
         };
         self.processes[process].in_flight.insert(id, attempt);
         self.schedule(times_out_at, SimulationEvent::AttemptTimeout { process, id });
@@ -147,7 +147,7 @@
         self.fleet.checker.attempt_ended(id.request.0, id.number.0, outcome, attempt.sent_at);
         self.release_connection(process, &attempt, outcome);
         if let Some(status) = status {
-            self.learn_status(process, attempt.server, status);
+            self.record_server_status(process, attempt.server, status);
         }
         let commit = status.and_then(|status| status.position).map(|position| position.as_secs_f64());
         let served =
@@ -158,11 +158,11 @@
             server: ServerId(attempt.server as u32),
             outcome,
             round_trip: duration(self.now - attempt.sent_at),
-            request_complete: served || !self.processes[process].open.contains_key(&id.request),
+            request_complete: served || !self.processes[process].open_requests.contains_key(&id.request),
             status,
             load_report: None,
         };
-        self.notify(process, Event::AttemptEnded(ended));
+        self.enqueue_event(process, Event::AttemptEnded(ended));
     }
 
     /// Returns the connection of an attempt to the idle ones, or closes it.
@@ -175,25 +175,25 @@
         let incarnation = attempt.incarnation;
         if reusable && self.fleet.site.servers[attempt.server].model.incarnation == incarnation {
             let connection = IdleConnection { incarnation, idle_since: self.now };
-            self.processes[process].idle.entry(attempt.server).or_default().push(connection);
+            self.processes[process].idle_connections.entry(attempt.server).or_default().push(connection);
         } else if !attempt.on_new_connection || attempt.written {
             self.close_connections(attempt.server, [incarnation]);
         }
     }
 
     /// Records what a process learns from the status of a server.
-    fn learn_status(&mut self, process: usize, server: usize, status: ServerStatus) {
-        let known = &mut self.processes[process].known;
+    fn record_server_status(&mut self, process: usize, server: usize, status: ServerStatus) {
+        let observations = &mut self.processes[process].observations;
         let is_replica = status.primary == Some(false);
         if is_replica {
-            known.not_primary.insert(server);
+            observations.not_primary.insert(server);
         } else if status.primary == Some(true) {
-            known.not_primary.remove(&server);
+            observations.not_primary.remove(&server);
         }
         let reported = status.position.map(|position| position.as_secs_f64());
-        let last = known.positions.get(&server).copied().flatten();
+        let last = observations.positions.get(&server).copied().flatten();
         let newest = if last > reported { last } else { reported };
-        known.positions.insert(server, newest.filter(|_| is_replica));
+        observations.positions.insert(server, newest.filter(|_| is_replica));
     }
 
     /// Handles the successful end of an attempt; false if its request had ended before.
@@ -214,14 +214,14 @@
                 self.send_to_peer(process, &PeerMessage::SessionWrite { session, commit });
             }
         }
-        let Some(open) = self.processes[process].open.remove(&request) else { return false };
+        let Some(open_request) = self.processes[process].open_requests.remove(&request) else { return false };
         let fleet = &mut self.fleet;
         fleet.checker.request_answered(request.0, FinalAnswer::Other, now);
         if let Some(commit) = commit {
-            fleet.workload.write_acknowledged(&open.client, commit, now);
+            fleet.workload.write_acknowledged(&open_request.client_request, commit, now);
         }
-        fleet.request_served(&open.client, now);
-        let start = &mut fleet.report.starts[self.processes[process].start];
+        fleet.request_served(&open_request.client_request, now);
+        let start = &mut fleet.report.starts[self.processes[process].start_index];
         start.first_served.get_or_insert(now - START_S - start.at);
         true
     }
--- a/testkit/src/fleet/simulation/discovery.rs
+++ b/testkit/src/fleet/simulation/discovery.rs
@@ -37,10 +37,10 @@
         let reachable = !self.fleet.site.discovery.is_down(self.now)
             && self.link_state(process, LinkEnd::Discovery).is_open();
         if !ok || !reachable {
-            return self.notify(process, Event::Endpoints(EndpointUpdate::Failed));
+            return self.enqueue_event(process, Event::Endpoints(EndpointUpdate::Failed));
         }
         self.processes[process].watching = true;
-        let start = &mut self.fleet.report.starts[self.processes[process].start];
+        let start = &mut self.fleet.report.starts[self.processes[process].start_index];
         start.notified.get_or_insert(self.now - START_S - start.at);
         self.endpoints_changed(process, self.fleet.site.discovery.version(self.now));
     }
@@ -49,7 +49,7 @@
     pub(super) fn watch_lost(&mut self, process: usize) {
         let state = &mut self.processes[process];
         if !std::mem::replace(&mut state.watching, false) {
-            self.notify(process, Event::Endpoints(EndpointUpdate::Failed));
+            self.enqueue_event(process, Event::Endpoints(EndpointUpdate::Failed));
         }
     }
 
@@ -80,20 +80,20 @@
                 self.send_to_peer(process, &PeerMessage::ServerWithdrawn(endpoint.server));
             }
         }
-        self.learn_starts(process, &endpoints);
+        self.record_start_times(process, &endpoints);
         let update = match known {
             Some(_) => EndpointUpdate::Changes(endpoints),
             None => EndpointUpdate::Full(endpoints),
         };
-        self.notify(process, Event::Endpoints(update));
+        self.enqueue_event(process, Event::Endpoints(update));
     }
 
     /// Records the start times in a list that a process has received.
-    pub(super) fn learn_starts(&mut self, process: usize, endpoints: &[Endpoint]) {
-        let known = &mut self.processes[process].known.started_at;
+    pub(super) fn record_start_times(&mut self, process: usize, endpoints: &[Endpoint]) {
+        let start_times = &mut self.processes[process].observations.started_at;
         for endpoint in endpoints {
             if let Some(started_at) = endpoint.started_at {
-                known.insert(endpoint.server.0 as usize, started_at.as_secs_f64());
+                start_times.insert(endpoint.server.0 as usize, started_at.as_secs_f64());
             }
         }
     }
--- a/testkit/src/fleet/simulation/event_queue.rs
+++ b/testkit/src/fleet/simulation/event_queue.rs
@@ -67,7 +67,7 @@
     /// The watch of a process delivers a version of the endpoint list.
     EndpointsChanged { process: usize, version: usize },
     /// A client closes its connection before it has an answer.
-    ClientGone { process: usize, request: RequestId },
+    ClientCloses { process: usize, request: RequestId },
     /// A fault of the plan begins.
     FaultStarts { index: usize },
     /// A fault ends for the servers or sets that it affected.
--- a/testkit/src/fleet/simulation/faults.rs
+++ b/testkit/src/fleet/simulation/faults.rs
@@ -62,7 +62,7 @@
     }
 
     fn select_proxies(&mut self, proxies: Selection) -> Vec<usize> {
-        proxies.resolve(&self.fleet.zones, &mut self.fleet.rng)
+        proxies.resolve(&self.fleet.proxy_zones, &mut self.fleet.rng)
     }
 
     /// Starts a fault of servers, and removes those from `affected` that it can't affect.
@@ -86,7 +86,7 @@
                 for server in &*affected {
                     self.out_of_service.push(*server);
                     let event = Event::TakenOutOfService(ServerId(*server as u32));
-                    self.operator_action(*server, &event, EndpointState::Draining);
+                    self.apply_operator_action(*server, &event, EndpointState::Draining);
                 }
             }
             _ => {}
@@ -105,14 +105,14 @@
                 self.schedule(self.now, SimulationEvent::CrashLoop { proxy, interval_s, until });
             }
             Fault::Pause { duration_s, .. } => {
-                for process in self.proxies[proxy].clone() {
+                for process in self.live_processes[proxy].clone() {
                     self.processes[process].paused_until = self.now + duration_s;
                 }
             }
             Fault::Reload { .. } => {
                 let settings = Box::new(self.fleet.proxy_settings(proxy));
-                for process in self.proxies[proxy].clone() {
-                    self.notify(process, Event::Settings(settings.clone()));
+                for process in self.live_processes[proxy].clone() {
+                    self.enqueue_event(process, Event::Settings(settings.clone()));
                     self.break_watch(process, self.now);
                 }
             }
@@ -129,14 +129,14 @@
         };
         for process in 0..self.processes.len() {
             if self.processes[process].alive && proxies.contains(&self.processes[process].proxy) {
-                self.link_fails(process, &ends, fault);
+                self.apply_link_fault(process, &ends, fault);
             }
         }
         self.fleet.links.inject(proxies, ends, fault, until);
     }
 
     /// Resets the connections of a process to these ends if the fault does so, and breaks its watch.
-    fn link_fails(&mut self, process: usize, ends: &[LinkEnd], fault: LinkFault) {
+    fn apply_link_fault(&mut self, process: usize, ends: &[LinkEnd], fault: LinkFault) {
         let resets = match fault {
             LinkFault::Cut | LinkFault::Reset => true,
             LinkFault::Blackhole | LinkFault::DropResponses => false,
@@ -151,8 +151,10 @@
         }
         let is_affected = |server: usize| ends.contains(&LinkEnd::Server(server));
         let state = &mut self.processes[process];
-        let servers: Vec<_> = state.idle.keys().copied().filter(|server| is_affected(*server)).collect();
-        let idle: Vec<_> = servers.iter().filter_map(|server| state.idle.remove_entry(server)).collect();
+        let servers: Vec<_> =
+            state.idle_connections.keys().copied().filter(|server| is_affected(*server)).collect();
+        let idle: Vec<_> =
+            servers.iter().filter_map(|server| state.idle_connections.remove_entry(server)).collect();
         let in_flight = state.in_flight.iter().filter(|(_, attempt)| is_affected(attempt.server));
         let in_flight: Vec<_> = in_flight.map(|(id, attempt)| (*id, attempt.written)).collect();
         for (server, connections) in idle {
@@ -164,9 +166,9 @@
     }
 
     /// Has operators take a server out of service at every proxy, or return it.
-    fn operator_action(&mut self, server: usize, event: &Event, state: EndpointState) {
+    fn apply_operator_action(&mut self, server: usize, event: &Event, state: EndpointState) {
         for process in 0..self.processes.len() {
-            self.notify(process, event.clone());
+            self.enqueue_event(process, event.clone());
         }
         for proxy in 0..self.fleet.plan.proxies {
             self.fleet.checker.endpoint_listed(proxy, server, state, self.now);
@@ -188,7 +190,7 @@
                     site.restart(index, now, &mut effects);
                     self.out_of_service.retain(|server| *server != index);
                     let event = Event::ReturnedToService(ServerId(index as u32));
-                    self.operator_action(index, &event, EndpointState::Healthy);
+                    self.apply_operator_action(index, &event, EndpointState::Healthy);
                 }
                 _ => {}
             }
--- a/testkit/src/fleet/simulation/lifecycle.rs
+++ b/testkit/src/fleet/simulation/lifecycle.rs
@@ -25,21 +25,21 @@
 
 impl Simulation {
     /// Creates a process of a proxy, with a version of the endpoint list if it has one cached.
-    fn spawn(&mut self, proxy: usize, list_version: Option<usize>) -> usize {
+    fn spawn_process(&mut self, proxy: usize, list_version: Option<usize>) -> usize {
         let seed = self.fleet.rng.random();
         let router = RoutingEngine::new(self.fleet.proxy_settings(proxy), seed)
             .expect("the plan's settings are valid");
-        let start = self.fleet.record_start(self.now);
-        self.processes.push(Process::new(proxy, router, start, list_version));
+        let start_index = self.fleet.record_start(self.now);
+        self.processes.push(Process::new(proxy, router, start_index, list_version));
         let process = self.processes.len() - 1;
-        self.proxies[proxy].push(process);
+        self.live_processes[proxy].push(process);
         for server in self.out_of_service.clone() {
-            self.notify(process, Event::TakenOutOfService(ServerId(server as u32)));
+            self.enqueue_event(process, Event::TakenOutOfService(ServerId(server as u32)));
         }
         if let Some(version) = list_version {
             let endpoints = self.fleet.site.discovery.full_list(version);
-            self.learn_starts(process, &endpoints);
-            self.notify(process, Event::Endpoints(EndpointUpdate::Cached(endpoints)));
+            self.record_start_times(process, &endpoints);
+            self.enqueue_event(process, Event::Endpoints(EndpointUpdate::Cached(endpoints)));
         }
         self.schedule_step(process);
         process
@@ -47,46 +47,47 @@
 
     /// Starts a process of a proxy that accepts requests at once.
     pub(super) fn start_process(&mut self, proxy: usize) {
-        let process = self.spawn(proxy, self.fleet.cached_versions[proxy]);
+        let process = self.spawn_process(proxy, self.fleet.cached_versions[proxy]);
         self.processes[process].accepting = true;
     }
 
     /// Starts a hot restart: a successor starts beside the present process, and takes over a little later.
     pub(super) fn upgrade(&mut self, proxy: usize) {
-        let Some(old) = self.accepting_process(proxy) else { return };
-        let paused = self.processes[old].paused_until > self.now;
-        let alive = self.proxies[proxy].iter().filter(|process| self.processes[**process].alive).count();
+        let Some(predecessor) = self.accepting_process(proxy) else { return };
+        let paused = self.processes[predecessor].paused_until > self.now;
+        let alive =
+            self.live_processes[proxy].iter().filter(|process| self.processes[**process].alive).count();
         if paused || alive > 1 {
             return;
         }
-        self.step(old);
-        let snapshot = self.processes[old].router.snapshot();
-        let new = self.spawn(proxy, self.processes[old].list_version);
-        self.notify(new, Event::SnapshotReceived(Box::new(snapshot)));
-        self.processes[new].known = self.processes[old].known.clone();
+        self.step(predecessor);
+        let snapshot = self.processes[predecessor].router.snapshot();
+        let successor = self.spawn_process(proxy, self.processes[predecessor].list_version);
+        self.enqueue_event(successor, Event::SnapshotReceived(Box::new(snapshot)));
+        self.processes[successor].observations = self.processes[predecessor].observations.clone();
         let at = self.now + self.fleet.rng.random_range(TAKE_OVER_DELAY_S);
-        self.schedule(at, SimulationEvent::TakeOver { process: new });
+        self.schedule(at, SimulationEvent::TakeOver { process: successor });
     }
 
     /// A successor accepts requests from now on, and the old process shuts down.
-    pub(super) fn take_over(&mut self, new: usize) {
-        self.processes[new].accepting = true;
-        let proxy = self.processes[new].proxy;
-        let old_processes: Vec<_> =
-            self.proxies[proxy].iter().copied().filter(|process| *process != new).collect();
-        for old in old_processes {
+    pub(super) fn take_over(&mut self, successor: usize) {
+        self.processes[successor].accepting = true;
+        let proxy = self.processes[successor].proxy;
+        let predecessors: Vec<_> =
+            self.live_processes[proxy].iter().copied().filter(|process| *process != successor).collect();
+        for predecessor in predecessors {
             let kill_at = self.now + SHUTDOWN_TIMEOUT_S;
-            self.schedule(self.now + OVERLAP_S, SimulationEvent::StopAccepting { process: old });
-            self.schedule(self.now + OVERLAP_S, SimulationEvent::AwaitExit { process: old, kill_at });
+            self.schedule(self.now + OVERLAP_S, SimulationEvent::StopAccepting { process: predecessor });
+            self.schedule(self.now + OVERLAP_S, SimulationEvent::AwaitExit { process: predecessor, kill_at });
         }
     }
 
     /// Shuts down the processes of a proxy gracefully, and starts a new one later.
     pub(super) fn restart(&mut self, proxy: usize, downtime_s: f64) {
-        if self.proxies[proxy].is_empty() {
+        if self.live_processes[proxy].is_empty() {
             return;
         }
-        for process in self.proxies[proxy].clone() {
+        for process in self.live_processes[proxy].clone() {
             let stop_at = self.now + ACCEPT_GRACE_PERIOD_S;
             let kill_at = self.now + SHUTDOWN_TIMEOUT_S;
             self.schedule(stop_at, SimulationEvent::StopAccepting { process });
@@ -102,15 +103,15 @@
         if !state.alive {
             return;
         }
-        if state.open.is_empty() || self.now >= kill_at {
-            return self.exit(process);
+        if state.open_requests.is_empty() || self.now >= kill_at {
+            return self.exit_process(process);
         }
         let next_check = self.now + EXIT_CHECK_INTERVAL_S;
         self.schedule(next_check, SimulationEvent::AwaitExit { process, kill_at });
     }
 
     /// Ends a process. Its connections close, and its open requests fail.
-    fn exit(&mut self, process: usize) {
+    fn exit_process(&mut self, process: usize) {
         let state = &mut self.processes[process];
         if !std::mem::replace(&mut state.alive, false) {
             return;
@@ -118,34 +119,34 @@
         state.accepting = false;
         state.events.clear();
         let proxy = state.proxy;
-        let open = std::mem::take(&mut state.open);
+        let open_requests = std::mem::take(&mut state.open_requests);
         let in_flight = std::mem::take(&mut state.in_flight);
-        let idle = std::mem::take(&mut state.idle);
+        let idle_connections = std::mem::take(&mut state.idle_connections);
         let cached_version = &mut self.fleet.cached_versions[proxy];
         *cached_version = match self.fleet.plan.cached_list {
             CachedList::Absent => None,
             _ => state.list_version.or(*cached_version),
         };
-        for (server, connections) in idle {
+        for (server, connections) in idle_connections {
             self.close_connections(server, connections.iter().map(|connection| connection.incarnation));
         }
         for attempt in in_flight.into_values() {
             self.close_connections(attempt.server, [attempt.incarnation]);
         }
-        for (id, open) in open {
+        for (id, open_request) in open_requests {
             self.fleet.checker.request_abandoned(id.0);
-            self.proxy_unreachable(open.client);
+            self.proxy_unreachable(open_request.client_request);
         }
-        self.proxies[proxy].retain(|other| *other != process);
+        self.live_processes[proxy].retain(|other| *other != process);
     }
 
     /// Kills the processes of a proxy, and starts a new one later.
     pub(super) fn kill(&mut self, proxy: usize, downtime_s: f64) {
-        if self.proxies[proxy].is_empty() {
+        if self.live_processes[proxy].is_empty() {
             return;
         }
-        for process in self.proxies[proxy].clone() {
-            self.exit(process);
+        for process in self.live_processes[proxy].clone() {
+            self.exit_process(process);
         }
         self.schedule(self.now + downtime_s, SimulationEvent::StartProcess { proxy });
     }
@@ -161,7 +162,7 @@
 
     /// A process of a proxy that accepts requests; a random one if there are two.
     pub(super) fn accepting_process(&mut self, proxy: usize) -> Option<usize> {
-        let accepting: Vec<_> = self.proxies[proxy]
+        let accepting: Vec<_> = self.live_processes[proxy]
             .iter()
             .copied()
             .filter(|process| self.processes[*process].accepting)
--- a/testkit/src/fleet/simulation/mod.rs
+++ b/testkit/src/fleet/simulation/mod.rs
@@ -38,11 +38,11 @@
     /// All processes, including those that have exited.
     processes: Vec<Process>,
     /// The processes of each proxy that are alive.
-    proxies: Vec<Vec<usize>>,
+    live_processes: Vec<Vec<usize>>,
     /// Servers that operators have taken out of service.
     out_of_service: Vec<usize>,
     /// Number of tries so far; each is a request with an id of its own.
-    requests: u64,
+    last_request_id: u64,
 }
 
 impl Simulation {
@@ -54,9 +54,9 @@
             now: START_S,
             queue: EventQueue::default(),
             processes: Vec::new(),
-            proxies: vec![Vec::new(); proxies],
+            live_processes: vec![Vec::new(); proxies],
             out_of_service: Vec::new(),
-            requests: 0,
+            last_request_id: 0,
         };
         for proxy in 0..proxies {
             let fleet = &mut simulation.fleet;
@@ -87,7 +87,7 @@
                 self.fleet.links.prune(self.now);
                 prune_at = self.now + PRUNE_INTERVAL_S;
             }
-            self.handle(event);
+            self.handle_event(event);
         }
         self.fleet.finish(end)
     }
@@ -96,10 +96,10 @@
         self.queue.schedule(at.max(self.now), event);
     }
 
-    fn handle(&mut self, event: SimulationEvent) {
+    fn handle_event(&mut self, event: SimulationEvent) {
         match event {
             SimulationEvent::NextRequest { proxy } => self.next_request(proxy),
-            SimulationEvent::Retry(client) => self.send_request(client),
+            SimulationEvent::Retry(client_request) => self.send_request(client_request),
             SimulationEvent::Step { process } => self.step_if_due(process),
             SimulationEvent::StatementReceived { process, id } => self.statement_received(process, id),
             SimulationEvent::ExecutionStarts(execution) => self.execution_starts(execution),
@@ -108,14 +108,14 @@
             SimulationEvent::AttemptTimeout { process, id } => self.attempt_times_out(process, id),
             SimulationEvent::HealthChecked { process, server, ok, load_report } => {
                 let server = ServerId(server as u32);
-                self.notify(process, Event::HealthChecked { server, ok, load_report });
+                self.enqueue_event(process, Event::HealthChecked { server, ok, load_report });
             }
             SimulationEvent::PollEnds { process, ok } => self.poll_ends(process, ok),
             SimulationEvent::WatchLost { process } => self.watch_lost(process),
             SimulationEvent::EndpointsChanged { process, version } => {
                 self.endpoints_changed(process, version);
             }
-            SimulationEvent::ClientGone { process, request } => self.client_gone(process, request),
+            SimulationEvent::ClientCloses { process, request } => self.client_closes(process, request),
             SimulationEvent::FaultStarts { index } => self.start_fault(self.fleet.plan.faults[index].fault),
             SimulationEvent::FaultEnds { fault, affected } => self.end_fault(fault, &affected),
             SimulationEvent::Election { set } => {
--- a/testkit/src/fleet/simulation/process.rs
+++ b/testkit/src/fleet/simulation/process.rs
@@ -14,7 +14,7 @@
 
 /// A request that waits for its final answer.
 pub struct OpenRequest {
-    pub client: ClientRequest,
+    pub client_request: ClientRequest,
     pub deadline: f64,
     pub attempts: u32,
 }
@@ -48,7 +48,7 @@
 
 /// What a process knows of servers; a successor inherits it.
 #[derive(Clone, Default)]
-pub struct ServerKnowledge {
+pub struct ServerObservations {
     /// The last known replication position of each server.
     pub positions: HashMap<usize, Option<f64>>,
     /// Servers that reported that they are not primary.
@@ -67,41 +67,41 @@
     /// It is paused up to this time.
     pub paused_until: f64,
     /// Its index among the starts of the report.
-    pub start: usize,
+    pub start_index: usize,
     pub events: Vec<Event>,
     pub timers: BinaryHeap<Reverse<(Duration, u64)>>,
     pub last_step_at: f64,
     pub next_step_at: Option<f64>,
-    pub open: BTreeMap<RequestId, OpenRequest>,
+    pub open_requests: BTreeMap<RequestId, OpenRequest>,
     pub in_flight: BTreeMap<AttemptId, InFlightAttempt>,
     /// Idle connections by server.
-    pub idle: HashMap<usize, Vec<IdleConnection>>,
+    pub idle_connections: HashMap<usize, Vec<IdleConnection>>,
     /// The version of the endpoint list that it has.
     pub list_version: Option<usize>,
     pub watching: bool,
-    pub known: ServerKnowledge,
+    pub observations: ServerObservations,
 }
 
 impl Process {
     /// A process that has just started and accepts no requests yet.
-    pub fn new(proxy: usize, router: RoutingEngine, start: usize, list_version: Option<usize>) -> Self {
+    pub fn new(proxy: usize, router: RoutingEngine, start_index: usize, list_version: Option<usize>) -> Self {
         Self {
             proxy,
             router,
             alive: true,
             accepting: false,
             paused_until: 0.0,
-            start,
+            start_index,
             events: Vec::new(),
             timers: BinaryHeap::new(),
             last_step_at: 0.0,
             next_step_at: None,
-            open: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             in_flight: BTreeMap::new(),
-            idle: HashMap::new(),
+            idle_connections: HashMap::new(),
             list_version,
             watching: false,
-            known: ServerKnowledge::default(),
+            observations: ServerObservations::default(),
         }
     }
 
--- a/testkit/src/fleet/simulation/servers.rs
+++ b/testkit/src/fleet/simulation/servers.rs
@@ -49,7 +49,7 @@
     /// Has a server admit an attempt.
     fn admit(&mut self, execution: Execution) {
         let Execution { process, server, id, .. } = execution;
-        let known_start = self.processes[process].known.started_at.get(&server).copied();
+        let known_start = self.processes[process].observations.started_at.get(&server).copied();
         let request = IncomingRequest {
             class: execution.class,
             work_s: execution.work_s,
--- a/testkit/src/fleet/simulation/stepping.rs
+++ b/testkit/src/fleet/simulation/stepping.rs
@@ -15,7 +15,7 @@
 
 impl Simulation {
     /// Adds an event for a process, unless it has exited.
-    pub(super) fn notify(&mut self, process: usize, event: Event) {
+    pub(super) fn enqueue_event(&mut self, process: usize, event: Event) {
         if self.processes[process].alive {
             self.processes[process].events.push(event);
             self.schedule_step(process);
@@ -25,9 +25,9 @@
     /// Sends a message to the other process of the same proxy.
     pub(super) fn send_to_peer(&mut self, process: usize, message: &PeerMessage) {
         let proxy = self.processes[process].proxy;
-        for other in self.proxies[proxy].clone() {
+        for other in self.live_processes[proxy].clone() {
             if other != process {
-                self.notify(other, Event::PeerMessage(message.clone()));
+                self.enqueue_event(other, Event::PeerMessage(message.clone()));
             }
         }
     }
@@ -40,11 +40,11 @@
     pub(super) fn schedule_step(&mut self, process: usize) {
         let state = &self.processes[process];
         let earliest = self.now.max(state.last_step_at + self.min_step_interval()).max(state.paused_until);
-        self.schedule_step_by(process, earliest);
+        self.schedule_step_at(process, earliest);
     }
 
     /// Schedules a step of a process at a time, unless an earlier one is scheduled.
-    fn schedule_step_by(&mut self, process: usize, at: f64) {
+    fn schedule_step_at(&mut self, process: usize, at: f64) {
         let state = &mut self.processes[process];
         if state.next_step_at.is_none_or(|scheduled| at < scheduled) {
             state.next_step_at = Some(at);
@@ -79,15 +79,15 @@
         let mut actions = Vec::new();
         state.router.step(now, events, &mut actions);
         for action in actions {
-            self.carry_out(process, action);
+            self.perform_action(process, action);
         }
         if let Some(Reverse((timer_at, _))) = self.processes[process].timers.peek() {
             let at = timer_at.as_secs_f64().max(self.now + self.min_step_interval());
-            self.schedule_step_by(process, at);
+            self.schedule_step_at(process, at);
         }
     }
 
-    fn carry_out(&mut self, process: usize, action: Action) {
+    fn perform_action(&mut self, process: usize, action: Action) {
         match action {
             Action::Forward { request, server, timeout } => {
                 self.send_attempt(process, request, server.0 as usize, timeout);
@@ -115,7 +115,7 @@
             Action::Poll => self.poll(process),
             Action::CloseIdleConnections { server } => {
                 let server = server.0 as usize;
-                let idle = self.processes[process].idle.remove(&server).unwrap_or_default();
+                let idle = self.processes[process].idle_connections.remove(&server).unwrap_or_default();
                 self.close_connections(server, idle.iter().map(|connection| connection.incarnation));
             }
             Action::SetTimer { after, id } => {
@@ -128,12 +128,12 @@
 
     /// Ends a request that is not served.
     fn end_request(&mut self, process: usize, id: RequestId, answer: FinalAnswer, failure: TryFailure) {
-        let Some(open) = self.processes[process].open.remove(&id) else { return };
+        let Some(open_request) = self.processes[process].open_requests.remove(&id) else { return };
         self.fleet.checker.request_answered(id.0, answer, self.now);
         match failure {
             TryFailure::Rejected { .. } => self.fleet.report.rejected += 1,
             TryFailure::Failed => self.fleet.report.failed += 1,
         }
-        self.try_failed(open.client, failure);
+        self.try_failed(open_request.client_request, failure);
     }
 }
