--- a/testkit/src/fleet/fleet_model.rs
+++ b/testkit/src/fleet/fleet_model.rs
@@ -1,8 +1,8 @@
-//! The models that the stepped simulation and the trial with processes share.
+//! The models that the simulation and the trial with processes share.
 //!
 //! Owns the plan, the site, the links, the workload, the rule checker and the report of one trial. Times are
-//! seconds of the trial, which begins at [`START_S`]. The order of random draws is part of the behaviour: a
-//! seed always gives the same simulation.
+//! in seconds, and the trial starts at [`START_S`]. The order of the random draws must not change: a seed
+//! always gives the same simulation.
 
 use std::time::Duration;
 
@@ -17,64 +17,65 @@
 use super::site::Site;
 use super::workload::{ClientRequest, TryFailure, Workload};
 
-/// Time at which a trial begins. It leaves room for times before the start, which must not be negative.
+/// Time in seconds at which a trial starts. It is large because times before the start must not be negative.
 pub const START_S: f64 = 1000.0;
 
-/// Time in s from the start of a proxy until its clients send requests.
+/// Time in seconds from the start of a proxy until its clients start to send requests.
 pub const FIRST_REQUEST_DELAY_S: f64 = 0.05;
-/// Time in s from the signal to shut down until a process is killed.
+/// Time in seconds from the shutdown signal until a process that is still running is killed.
 pub const SHUTDOWN_TIMEOUT_S: f64 = 3.7;
-/// Time in s from a kill in a crash loop until the next start.
+/// Time in seconds from a kill in a crash loop until the next start.
 pub const CRASH_LOOP_DOWNTIME_S: f64 = 0.1;
-/// Tolerance in s when the start times of a server are compared.
+/// Tolerance in seconds for comparing the start times of a server.
 const START_TOLERANCE_S: f64 = 1e-6;
 
-/// Converts seconds to a duration; negative values become zero.
+/// Converts seconds to a duration. A negative value becomes zero.
 pub fn duration(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.max(0.0))
 }
 
-/// A temporary change of the request rate.
+/// Temporary multiplication of the request rate by `factor`, until a time in seconds.
 #[derive(Debug, Clone, Copy)]
 struct Burst {
     factor: f64,
     until: f64,
 }
 
-/// Work of new connections at one server within one second.
+/// Work of new connections at one server within one second of the trial's clock.
 #[derive(Debug, Clone, Copy, Default)]
 struct HandshakeWork {
     second: u64,
     work_s: f64,
 }
 
-/// The models and accounts of one trial.
+/// Models, rule checker and report of one trial.
 #[derive(Debug)]
 pub struct FleetModel {
-    /// The plan of the trial.
+    /// Plan of the trial. It does not change while the trial runs.
     pub plan: Plan,
-    /// Random numbers for everything but the workload.
+    /// Random number generator for everything except the workload.
     pub rng: Pcg64Mcg,
-    /// The servers, their replication and the discovery service.
+    /// Servers, replica sets and discovery service.
     pub site: Site,
-    /// Faults of the network.
+    /// Active faults of the network links.
     pub links: LinkFaults,
-    /// The clients' requests.
+    /// Generator of the clients' requests.
     pub workload: Workload,
-    /// Checks the service rules.
+    /// Checker of the service rules.
     pub checker: RuleChecker,
-    /// The figures of the trial.
+    /// Results of the trial so far.
     pub report: Report,
-    /// The zone of each proxy.
+    /// Zone of each proxy.
     pub proxy_zones: Vec<usize>,
-    /// The version of the endpoint list that each proxy has cached.
+    /// Version of the endpoint list that each proxy has cached for its next start. `None` without a cached
+    /// list.
     pub cached_versions: Vec<Option<usize>>,
     burst: Burst,
     handshake_work: Vec<HandshakeWork>,
 }
 
 impl FleetModel {
-    /// Sets up the models of a plan.
+    /// Creates the models of a plan.
     pub fn new(plan: Plan) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
         let workload_rng = Pcg64Mcg::seed_from_u64(rng.random());
@@ -99,7 +100,7 @@
         fleet
     }
 
-    /// Registers servers that were added since the last call.
+    /// Registers the servers that the site has added since the last call.
     pub fn register_new_servers(&mut self) {
         let zones = self.site.zones();
         for (server, zone) in zones.into_iter().enumerate().skip(self.handshake_work.len()) {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// The settings of one proxy.
+    /// Returns the settings of one proxy: those of the plan, with the proxy's index and zone.
     pub fn proxy_settings(&self, proxy: usize) -> Settings {
         Settings {
             instance_index: proxy as u32,
@@ -118,12 +119,12 @@
         }
     }
 
-    /// Multiplies the request rate by a factor until a time.
+    /// Multiplies the request rate by `factor` until the time `until`.
     pub fn start_burst(&mut self, factor: f64, until: f64) {
         self.burst = Burst { factor, until };
     }
 
-    /// The factor of the request rate at a time.
+    /// Returns the factor of the request rate at a time. Returns 1 outside a burst.
     pub fn burst_factor(&self, now: f64) -> f64 {
         if now < self.burst.until {
             self.burst.factor
@@ -132,19 +133,21 @@
         }
     }
 
-    /// The state of a proxy's link.
+    /// Returns the state of the link between a proxy and a server or the discovery service.
     pub fn link_state(&self, proxy: usize, end: LinkEnd, now: f64) -> LinkState {
         self.links.state(proxy, end, now)
     }
 
-    /// One-way delay in s between a proxy and a server.
+    /// Returns the one-way delay in seconds between a proxy and a server, with the delay of active link
+    /// faults.
     pub fn one_way_delay(&self, proxy: usize, server: usize, now: f64) -> f64 {
         let same_zone = self.proxy_zones[proxy] == self.site.servers[server].zone;
         let delay = if same_zone { self.plan.intra_zone_delay_s } else { self.plan.cross_zone_delay_s };
         delay + self.link_state(proxy, LinkEnd::Server(server), now).delay_s
     }
 
-    /// Opens a connection at a server; false if its connection limit is reached.
+    /// Opens a connection to a server and adds the work of its handshake. Returns false if the server's
+    /// connection limit is reached.
     pub fn open_connection(&mut self, server: usize, now: f64) -> bool {
         self.report.handshakes += 1;
         let model = &mut self.site.servers[server].model;
@@ -159,18 +162,19 @@
         model.connect(now)
     }
 
-    /// Whether the requests of a class are writes.
+    /// Returns whether the requests of a class are writes.
     pub fn is_write(&self, class: ClassId) -> bool {
         self.plan.settings.classes[class.0].consistency == Consistency::Write
     }
 
-    /// Whether a proxy that knows this start time of a server has been informed of its last start.
+    /// Returns whether `known_start`, the start time of a server that a proxy has received, is that of the
+    /// server's last start. Returns true if the server has not started during the trial.
     pub fn is_informed_of_start(&self, server: usize, known_start: Option<f64>) -> bool {
         let Some(started_at) = self.site.servers[server].model.started_at else { return true };
         known_start.unwrap_or(0.0) + START_TOLERANCE_S > started_at
     }
 
-    /// Draws a new request of a proxy's clients.
+    /// Draws a new request of a proxy's clients, and records it in the report.
     pub fn create_request(&mut self, proxy: usize, now: f64) -> ClientRequest {
         let settings = &self.plan.settings;
         let request = self.workload.draw_request(proxy, now, settings);
@@ -179,7 +183,8 @@
         request
     }
 
-    /// The commit in the session token of a request, if its client sends one.
+    /// Returns the commit time in the session token of a request. Returns `None` if the client sends no
+    /// token.
     pub fn token_commit(&self, request: &ClientRequest) -> Option<f64> {
         let settings = &self.plan.settings;
         let clients_send_tokens = settings.session_tokens == SessionTokens::FromClient;
@@ -187,26 +192,26 @@
         request.session_commit.filter(|_| clients_send_tokens && causal)
     }
 
-    /// When a client tries a request again, if it does.
+    /// Returns the time at which a client retries a failed try. Returns `None` if the client does not retry.
     pub fn retry_at(&self, request: &ClientRequest, failure: TryFailure, now: f64) -> Option<f64> {
         let class = &self.plan.settings.classes[request.class.0];
         self.workload.retry_at(request, class, failure, now)
     }
 
-    /// Records that a request was served.
+    /// Records in the report that a request was served.
     pub fn request_served(&mut self, request: &ClientRequest, now: f64) {
         let class = &self.plan.settings.classes[request.class.0];
         self.report.request_served(request, class, now, request.created_at - START_S);
     }
 
-    /// Records the start of a process, and returns its index in the report.
+    /// Records the start of a process, and returns the index of its entry in the report.
     pub fn record_start(&mut self, now: f64) -> usize {
         self.report.starts.push(ProcessStart { at: now - START_S, ..ProcessStart::default() });
         self.report.starts.len() - 1
     }
 
-    /// Ends the trial: checks for requests without an answer, and completes the report. The violations that the
-    /// trial recorded itself stay in it, before those of the checker.
+    /// Ends the trial: checks for requests without an answer, and returns the completed report. Violations
+    /// that the trial itself recorded come before those of the checker.
     pub fn finish(&mut self, end: f64) -> Report {
         self.checker.finish(end);
         let mut report = std::mem::take(&mut self.report);
--- a/testkit/src/fleet/fleet_model/tests.rs
+++ b/testkit/src/fleet/fleet_model/tests.rs
@@ -4,7 +4,8 @@
 use crate::fleet::rule_checker::Rule;
 use crate::fleet::scenario::default_plan;
 
-/// Guards against a trial that drops the violations that it recorded itself, so that a failed trial passes.
+/// Guards against a report that contains only the checker's violations: a trial that failed to start a
+/// process would then pass.
 #[test]
 fn violations_that_the_trial_recorded_itself_are_reported_with_those_of_the_checker() {
     let mut model = FleetModel::new(default_plan());
--- a/testkit/src/fleet/mod.rs
+++ b/testkit/src/fleet/mod.rs
@@ -1,12 +1,12 @@
 //! Trials of a fleet: many proxies, their data servers and the discovery service.
 //!
-//! A [`plan`] describes the fleet and its faults; a [`scenario`] is a plan as a script. [`server_model`],
-//! [`replication`], [`discovery_model`] and [`link_faults`] are models without clock and I/O. [`site`] and
-//! [`fleet_model`] combine them, and [`workload`] generates the clients' requests. [`simulation`] runs
-//! routing engines against the models on virtual time, deterministic by a seed. [`process_trial`] runs
-//! processes of the built program against the same models on loopback sockets. [`rule_checker`] checks the
-//! service rules from what servers and the discovery service observe. The models do not depend on how a
-//! routing engine decides.
+//! A [`plan`] describes the fleet and its faults. A [`scenario`] is a script that is parsed into a plan.
+//! [`server_model`], [`replication`], [`discovery_model`] and [`link_faults`] are models without a clock and
+//! I/O. [`site`] and [`fleet_model`] combine the models, and [`workload`] generates the clients' requests.
+//! [`simulation`] runs routing engines against the models in virtual time; a seed determines its result.
+//! [`process_trial`] runs processes of the built program against the same models over loopback sockets.
+//! [`rule_checker`] checks the service rules against the observations of the servers, the clients and the
+//! discovery service. The models are independent of the decisions of a routing engine.
 
 pub mod discovery_model;
 pub mod fleet_model;
--- a/testkit/src/fleet/process_trial/process_table.rs
+++ b/testkit/src/fleet/process_trial/process_table.rs
@@ -50,8 +50,8 @@
 }
 
 impl PreparedStart {
-    /// Starts the process. Its files are written and it is spawned on a thread of its own: either may take tens
-    /// of milliseconds, and the stand-ins of the trial must go on answering meanwhile.
+    /// Starts the process. Its files are written and it is spawned on a thread of its own: either may take
+    /// tens of milliseconds, and the stand-ins of the trial must go on answering meanwhile.
     pub async fn spawn(self, start_index: usize) -> io::Result<Process> {
         let admin_address = self.admin_address;
         let child = spawn_blocking(move || self.spawn_child()).await??;
--- a/testkit/src/fleet/process_trial/proxy_config.rs
+++ b/testkit/src/fleet/process_trial/proxy_config.rs
@@ -51,7 +51,7 @@
         "Zone": zone_name(settings.zone.0),
         "Zones": (0..zones).map(zone_name).collect::<Vec<_>>(),
         "TickMs": milliseconds(settings.min_step_interval),
-        "Classes": settings.classes.iter().enumerate().map(|(index, class)| class_settings(index, class)).collect::<Vec<_>>(),
+        "Classes": settings.classes.iter().enumerate().map(|(i, c)| class_settings(i, c)).collect::<Vec<_>>(),
         "Domain": consistency_settings(settings),
         "Report": load_reports(settings.load_reports),
         "Discovery": "subscribe",
--- a/testkit/src/fleet/report.rs
+++ b/testkit/src/fleet/report.rs
@@ -1,8 +1,8 @@
-//! The figures of a trial.
+//! The results of a trial.
 //!
-//! Owns the counters that a trial prints. The stepped simulation and the trial with processes fill in the
-//! same figures, except for those that one of them cannot observe. All figures come from clients, servers and
-//! the discovery service; none is reported by a proxy.
+//! Owns the counters that a trial prints. The simulation and the trial with processes fill in the same
+//! results, except for those that one of them cannot observe. All results come from clients, servers and the
+//! discovery service. A proxy reports none of them.
 
 use std::collections::BTreeMap;
 
@@ -11,29 +11,31 @@
 
 use super::workload::ClientRequest;
 
-/// The start of a process. The times of its first events are in s after the start.
+/// The start of a proxy process, and the times in seconds from the start to its first events. A time is
+/// `None` if the event did not occur.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct ProcessStart {
-    /// When it started, in s of the trial.
+    /// Time of the start, in seconds since the start of the trial.
     pub at: f64,
-    /// When the discovery service first sent it the endpoint list.
+    /// Time until the discovery service first answered a poll of the process.
     #[serde(rename = "told")]
     pub notified: Option<f64>,
-    /// When it received its first request.
+    /// Time until clients sent the first request to the process.
     #[serde(rename = "asked")]
     pub first_request: Option<f64>,
-    /// When it first served a request.
+    /// Time until the process first served a request.
     #[serde(rename = "served")]
     pub first_served: Option<f64>,
 }
 
-/// Priority weight of requests; printed as a pair.
+/// Total priority weight of some requests. It is serialized as the pair of `offered` and `served`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
 pub struct Weight {
-    /// Weight of the requests that clients created.
+    /// Weight of all requests that clients created.
     pub offered: f64,
-    /// Weight of those that were served, with a deduction for late responses.
+    /// Weight of the served requests. A request that was served after its latency objective counts with the
+    /// late weight of its class.
     pub served: f64,
 }
 
@@ -44,75 +46,76 @@
 }
 
 impl Weight {
-    /// The served share.
+    /// Returns the served share of the offered weight, from 0 to 1. Returns 0 if no weight was offered.
     pub fn share(&self) -> f64 {
         self.served / self.offered.max(1e-9)
     }
 }
 
-/// The figures of a trial.
+/// Results of a trial.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Report {
-    /// Priority weight of the requests that clients created.
+    /// Priority weight of all requests that clients created.
     pub offered: f64,
-    /// Priority weight of those that were served, with a deduction for late responses.
+    /// Priority weight of the served requests, with a deduction for late responses.
     pub served: f64,
-    /// The weights by class.
+    /// Weights by class, in the order of the classes in the settings.
     pub classes: Vec<Weight>,
-    /// The weights by the second in which clients created the requests.
+    /// Weights by the second of the trial in which clients created the requests.
     pub seconds: Vec<Weight>,
-    /// Tries of clients.
+    /// Tries of client requests, including retries.
     pub tries: usize,
-    /// Tries that were rejected.
+    /// Tries that a proxy rejected without executing them.
     #[serde(rename = "refused")]
     pub rejected: usize,
-    /// Tries that failed.
+    /// Tries that a proxy answered with an error other than a rejection.
     pub failed: usize,
-    /// Tries whose proxy was not reachable.
+    /// Tries without an answer: the proxy was unreachable, closed the connection or did not respond in time.
     #[serde(rename = "unheard")]
     pub unreachable: usize,
-    /// Attempts.
+    /// Attempts that proxies sent to servers.
     pub attempts: usize,
-    /// Attempts of reads at primaries.
+    /// Attempts of reads that proxies sent to primaries.
     pub reads_at_primaries: usize,
-    /// New connections to servers.
+    /// New connections from proxies to servers.
     pub handshakes: usize,
-    /// The largest share of a server's capacity that new connections took within one second.
+    /// Maximum share of a server's capacity that new connections used within one second, as a ratio.
     pub handshake_share: f64,
-    /// Health checks.
+    /// Health checks that proxies sent to servers.
     #[serde(rename = "probes")]
     pub health_checks: usize,
-    /// Number of attempts by outcome.
+    /// Number of attempts by the `Debug` name of their outcome.
     pub outcomes: BTreeMap<String, usize>,
-    /// Polls of the discovery service.
+    /// Polls of the discovery service, including the opening of watches.
     #[serde(rename = "calls")]
     pub polls: usize,
     /// Polls that timed out while the service was reachable.
     #[serde(rename = "calls_failed")]
     pub failed_polls: usize,
-    /// Longest wait in s of an answered poll.
+    /// Longest time in seconds for which an answered poll waited.
     #[serde(rename = "call_longest_s")]
     pub longest_poll_s: f64,
-    /// Starts of processes.
+    /// Starts of proxy processes, in the order of their times.
     pub starts: Vec<ProcessStart>,
-    /// The largest overload ratio of a server that warmed up; a server crashes above 1.
+    /// Maximum overload ratio of a server during its warm-up. A server crashes above 1.
     #[serde(rename = "cold_most")]
     pub max_overload_ratio: f64,
-    /// Servers that crashed on overload.
+    /// Crashes of servers that were overloaded during their warm-up.
     #[serde(rename = "fell")]
     pub overload_crashes: usize,
-    /// Violations of the service rules.
+    /// Descriptions of violations of the service rules, and errors of the trial itself.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
 }
 
 impl Report {
-    /// An empty report with this number of classes.
+    /// Returns an empty report for a number of classes.
     pub fn new(classes: usize) -> Self {
         Self { classes: vec![Weight::default(); classes], ..Self::default() }
     }
 
-    /// Records a new request of a client. `at` is the time of the trial in s.
+    /// Records a new request of a client. `at` is the time of its creation, in seconds since the start of the
+    /// trial.
     pub fn request_offered(&mut self, request: &ClientRequest, class: &Class, at: f64) {
         self.offered += class.priority_weight;
         self.classes[request.class.0].offered += class.priority_weight;
@@ -123,8 +126,8 @@
         self.seconds[second].offered += class.priority_weight;
     }
 
-    /// Records a request that was served at `now`. `created_at` is when the client created it, in s of the
-    /// trial.
+    /// Records a request that was served at `now`. `created_at` is the time of its creation, in seconds since
+    /// the start of the trial. `now` has the time base of `request`.
     pub fn request_served(&mut self, request: &ClientRequest, class: &Class, now: f64, created_at: f64) {
         let in_time = now <= request.created_at + class.latency_objective.as_secs_f64();
         let weight = class.priority_weight * if in_time { 1.0 } else { class.late_weight };
@@ -135,23 +138,25 @@
         }
     }
 
-    /// Records the end of an attempt.
+    /// Counts an ended attempt by its outcome.
     pub fn attempt_ended(&mut self, outcome: Outcome) {
         *self.outcomes.entry(format!("{outcome:?}")).or_default() += 1;
     }
 
-    /// The served share of the offered weight.
+    /// Returns the served share of the offered weight over all requests, from 0 to 1.
     pub fn share(&self) -> f64 {
         Weight { offered: self.offered, served: self.served }.share()
     }
 
-    /// When the last process received the endpoint list, in s after its start; none if one never did.
+    /// Returns the longest time in seconds from the start of a process to its first answered poll. Returns
+    /// `None` if the poll of a process was never answered.
     pub fn last_notified(&self) -> Option<f64> {
         let mut notified = self.starts.iter().map(|start| start.notified);
         notified.try_fold(0.0, |last, at| Some(f64::max(last, at?)))
     }
 
-    /// The share of the starts that served a request within this time in s after their first request.
+    /// Returns the share of the processes with a request that served one within `seconds` of their first
+    /// request, from 0 to 1. Returns 0 if no process received a request.
     pub fn served_within(&self, seconds: f64) -> f64 {
         let requested: Vec<_> = self.starts.iter().filter(|start| start.first_request.is_some()).collect();
         let in_time = requested.iter().filter(|start| {
--- a/testkit/src/fleet/simulation/attempts.rs
+++ b/testkit/src/fleet/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks of a process: connections, sending, and how they end.
+//! Attempts and health checks of a proxy process: their connections, their sending and their results.
 
 use std::time::Duration;
 
@@ -21,12 +21,13 @@
         self.fleet.link_state(self.processes[process].proxy, end, self.now)
     }
 
-    /// One-way delay in s between a process and a server.
+    /// Returns the one-way delay in seconds between a process and a server.
     pub(super) fn one_way_delay(&self, process: usize, server: usize) -> f64 {
         self.fleet.one_way_delay(self.processes[process].proxy, server, self.now)
     }
 
-    /// Closes connections to a server, given by the incarnation that accepted each.
+    /// Closes connections to a server. `incarnations` has the server's incarnation for each connection; those
+    /// of earlier incarnations are closed already.
     pub(super) fn close_connections(&mut self, server: usize, incarnations: impl IntoIterator<Item = u32>) {
         let model = &mut self.fleet.site.servers[server].model;
         let current = model.incarnation;
@@ -34,7 +35,7 @@
         model.connections = model.connections.saturating_sub(closed);
     }
 
-    /// Takes an idle connection to a server that is still open; false if there is none.
+    /// Removes an open connection to a server from the idle ones. Returns false if there is none.
     fn take_idle_connection(&mut self, process: usize, server: usize) -> bool {
         let Some(idle) = self.processes[process].idle_connections.get_mut(&server) else { return false };
         let incarnation = self.fleet.site.servers[server].model.incarnation;
@@ -46,7 +47,7 @@
         found
     }
 
-    /// Sends an attempt of a request to a server.
+    /// Sends an attempt of a request to a server, on an idle connection or on a new one.
     pub(super) fn send_attempt(
         &mut self,
         process: usize,
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Opens a connection for an attempt.
+    /// Opens a connection for an attempt, and schedules the arrival of the statement or the failure of the
+    /// attempt.
     fn connect(&mut self, process: usize, id: AttemptId, server: usize) {
         let now = self.now;
         let link = self.link_state(process, LinkEnd::Server(server));
@@ -124,14 +126,15 @@
         self.schedule(now + handshake_s + delay, SimulationEvent::StatementReceived { process, id });
     }
 
-    /// Ends an attempt whose timeout expires.
+    /// Ends an attempt whose timeout has expired. Does nothing if it has ended before.
     pub(super) fn attempt_times_out(&mut self, process: usize, id: AttemptId) {
         let Some(attempt) = self.processes[process].in_flight.get(&id) else { return };
         let outcome = if attempt.written { Outcome::Timeout } else { Outcome::ConnectFailed };
         self.attempt_ends(process, id, outcome.into());
     }
 
-    /// Ends an attempt; a paused process observes it when it resumes.
+    /// Ends an attempt and notifies the routing engine. If the process is paused, this is delayed until it
+    /// resumes.
     pub(super) fn attempt_ends(&mut self, process: usize, id: AttemptId, result: AttemptResult) {
         let state = &mut self.processes[process];
         if !state.alive {
@@ -165,7 +168,8 @@
         self.enqueue_event(process, Event::AttemptEnded(ended));
     }
 
-    /// Returns the connection of an attempt to the idle ones, or closes it.
+    /// Adds the connection of an ended attempt to the idle connections if it is reusable, and closes it
+    /// otherwise.
     fn release_connection(&mut self, process: usize, attempt: &InFlightAttempt, outcome: Outcome) {
         let reusable = match outcome {
             Outcome::Success | Outcome::Misdirected | Outcome::ServerError | Outcome::NotSent => true,
@@ -181,7 +185,7 @@
         }
     }
 
-    /// Records what a process learns from the status of a server.
+    /// Records the role and the position from a server's status in the observations of a process.
     fn record_server_status(&mut self, process: usize, server: usize, status: ServerStatus) {
         let observations = &mut self.processes[process].observations;
         let is_replica = status.primary == Some(false);
@@ -196,7 +200,8 @@
         observations.positions.insert(server, newest.filter(|_| is_replica));
     }
 
-    /// Handles the successful end of an attempt; false if its request had ended before.
+    /// Handles the success of an attempt: records an acknowledged write and serves the request. Returns false
+    /// if the request has already ended.
     fn request_served(
         &mut self,
         process: usize,
@@ -226,7 +231,7 @@
         true
     }
 
-    /// Sends a health check to a server.
+    /// Sends a health check to a server, and schedules its result.
     pub(super) fn health_check(&mut self, process: usize, server: usize) {
         self.fleet.report.health_checks += 1;
         let now = self.now;
--- a/testkit/src/fleet/simulation/clients.rs
+++ b/testkit/src/fleet/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send requests to proxies, retry them and sometimes go away early.
+//! Clients that send requests to proxies, retry them, and sometimes disconnect before the answer.
 
 use pipittack_core::api::{Consistency, Event, GroupId, Request, RequestId};
 use rand::Rng;
@@ -10,13 +10,13 @@
 use super::process::OpenRequest;
 use super::Simulation;
 
-/// Share of the requests whose clients go away before their deadline.
+/// Share of the tries whose client closes its connection at a random time before the deadline.
 const CLIENT_DISCONNECT_SHARE: f64 = 0.02;
-/// Length of a statement.
+/// Length of a statement in bytes.
 const STATEMENT_BYTES: u64 = 100;
 
 impl Simulation {
-    /// Sends the next new request of a proxy's clients, and schedules the one after it.
+    /// Sends the next new request of a proxy's clients, and schedules the following request.
     pub(super) fn next_request(&mut self, proxy: usize) {
         if self.now > START_S + self.fleet.plan.duration_s {
             return;
@@ -28,7 +28,7 @@
         self.send_request(client_request);
     }
 
-    /// Sends a try of a client's request to its proxy.
+    /// Starts the next try of a client's request: sends the request to a process of its proxy.
     pub(super) fn send_request(&mut self, mut client_request: ClientRequest) {
         client_request.tries += 1;
         self.fleet.report.tries += 1;
@@ -61,7 +61,7 @@
         self.enqueue_event(process, Event::Request(request));
     }
 
-    /// A client's request as its proxy receives it.
+    /// Returns a client's request as its proxy passes it to the routing engine.
     fn proxy_request(
         &self,
         id: RequestId,
@@ -84,13 +84,14 @@
         }
     }
 
-    /// Ends a try whose proxy accepts no requests.
+    /// Ends a try whose proxy accepts no requests or exited before it answered.
     pub(super) fn proxy_unreachable(&mut self, client_request: ClientRequest) {
         self.fleet.report.unreachable += 1;
         self.try_failed(client_request, TryFailure::Failed);
     }
 
-    /// Ends the request of a client that goes away.
+    /// Ends the open request of a client that closes its connection. Does nothing if the request has been
+    /// answered.
     pub(super) fn client_closes(&mut self, process: usize, id: RequestId) {
         if self.processes[process].open_requests.remove(&id).is_some() {
             self.fleet.checker.request_abandoned(id.0);
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Ends a try that was not served, and schedules a retry if the client makes one.
+    /// Ends a try that was not served, and schedules the client's retry if there is one.
     pub(super) fn try_failed(&mut self, client_request: ClientRequest, failure: TryFailure) {
         if let Some(at) = self.fleet.retry_at(&client_request, failure, self.now) {
             self.schedule(at, SimulationEvent::Retry(client_request));
--- a/testkit/src/fleet/simulation/discovery.rs
+++ b/testkit/src/fleet/simulation/discovery.rs
@@ -1,4 +1,4 @@
-//! Polls and watches of the discovery service.
+//! Polls and watches of the discovery service by proxy processes.
 
 use pipittack_core::api::{Endpoint, EndpointState, EndpointUpdate, Event, PeerMessage};
 use rand::Rng;
@@ -9,11 +9,11 @@
 use super::event_queue::SimulationEvent;
 use super::Simulation;
 
-/// Time in s after which a poll fails that can't connect.
+/// Time in seconds after which a poll fails if the process cannot connect to the discovery service.
 const CONNECT_TIMEOUT_S: f64 = 1.0;
 
 impl Simulation {
-    /// Polls the discovery service.
+    /// Polls the discovery service, and schedules the end of the poll.
     pub(super) fn poll(&mut self, process: usize) {
         if !self.link_state(process, LinkEnd::Discovery).is_open() {
             let event = SimulationEvent::PollEnds { process, ok: false };
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Ends a poll; if it is answered, the process watches from now on.
+    /// Ends a poll. If it was answered, the process receives the endpoint list and watches it from now on.
     pub(super) fn poll_ends(&mut self, process: usize, ok: bool) {
         if !self.processes[process].alive {
             return;
@@ -45,7 +45,8 @@
         self.endpoints_changed(process, self.fleet.site.discovery.version(self.now));
     }
 
-    /// A process notices that its watch is broken, unless it has opened another one.
+    /// Notifies a process that its watch is broken. If the process has opened another watch meanwhile, ends
+    /// that watch without a notification.
     pub(super) fn watch_lost(&mut self, process: usize) {
         let state = &mut self.processes[process];
         if !std::mem::replace(&mut state.watching, false) {
@@ -53,21 +54,23 @@
         }
     }
 
-    /// Breaks the watch of a process, which notices it at this time.
+    /// Ends the watch of a process. The process detects it at the time `noticed_at`.
     pub(super) fn break_watch(&mut self, process: usize, noticed_at: f64) {
         if std::mem::replace(&mut self.processes[process].watching, false) {
             self.schedule(noticed_at, SimulationEvent::WatchLost { process });
         }
     }
 
-    /// Delivers a version of the endpoint list to a process that watches.
+    /// Delivers a version of the endpoint list to a process with a watch: the changes since the version that
+    /// the process has, or the full list if it has none.
     pub(super) fn endpoints_changed(&mut self, process: usize, version: usize) {
         let state = &mut self.processes[process];
         if !state.alive || !state.watching {
             return;
         }
         let proxy = state.proxy;
-        // A service that has lost versions sends the full list.
+        // A service that was restored from a backup may have lost the version of the process. It then sends
+        // the full list.
         let known = state.list_version.replace(version).filter(|known| *known <= version);
         let endpoints = match known {
             Some(known) => self.fleet.site.discovery.changes_since(known, version),
@@ -88,7 +91,7 @@
         self.enqueue_event(process, Event::Endpoints(update));
     }
 
-    /// Records the start times in a list that a process has received.
+    /// Records the start times of servers from endpoints that a process has received.
     pub(super) fn record_start_times(&mut self, process: usize, endpoints: &[Endpoint]) {
         let start_times = &mut self.processes[process].observations.started_at;
         for endpoint in endpoints {
@@ -98,7 +101,8 @@
         }
     }
 
-    /// Notifies the processes that watch of a publication, each within the notification spread.
+    /// Schedules the delivery of a published version to all running processes, each after a random delay of
+    /// at most the notification spread.
     pub(super) fn list_published(&mut self, publication: Publication) {
         let spread_s = self.fleet.site.discovery.settings().notification_spread_s;
         for process in 0..self.processes.len() {
--- a/testkit/src/fleet/simulation/faults.rs
+++ b/testkit/src/fleet/simulation/faults.rs
@@ -1,7 +1,7 @@
-//! Starts and ends the faults of a plan.
+//! Start and end of the faults of a plan.
 //!
-//! Faults change the models and the processes. A routing engine only receives the events that a proxy would
-//! observe.
+//! A fault changes the models and the simulated processes. A routing engine only receives the events that a
+//! proxy would observe.
 
 use pipittack_core::api::{EndpointState, Event, ServerId};
 
@@ -11,11 +11,11 @@
 use super::event_queue::SimulationEvent;
 use super::Simulation;
 
-/// Time in s without data after which a process takes its watch for broken.
+/// Time in seconds without data after which a process considers its watch broken.
 const WATCH_TIMEOUT_S: f64 = 3.5;
 
 impl Simulation {
-    /// Starts a fault.
+    /// Starts a fault, and schedules its end unless the fault ends by itself.
     pub(super) fn start_fault(&mut self, fault: Fault) {
         match fault {
             Fault::FailServers { servers, duration_s, .. }
@@ -65,7 +65,8 @@
         proxies.resolve(&self.fleet.proxy_zones, &mut self.fleet.rng)
     }
 
-    /// Starts a fault of servers, and removes those from `affected` that it can't affect.
+    /// Starts a fault of servers, and returns the effects. Removes the servers from `affected` to which the
+    /// fault cannot apply, such as a removed server.
     fn start_server_fault(&mut self, fault: Fault, affected: &mut Vec<usize>) -> Vec<Effect> {
         let now = self.now;
         let mut effects = Vec::new();
@@ -94,7 +95,7 @@
         effects
     }
 
-    /// Starts a fault of a proxy.
+    /// Starts a fault of the processes of a proxy.
     fn start_proxy_fault(&mut self, fault: Fault, proxy: usize) {
         match fault {
             Fault::Upgrade { .. } => self.upgrade(proxy),
@@ -135,7 +136,9 @@
         self.fleet.links.inject(proxies, ends, fault, until);
     }
 
-    /// Resets the connections of a process to these ends if the fault does so, and breaks its watch.
+    /// Applies the start of a link fault to a process. A fault that resets connections resets those of the
+    /// process to `ends`. The watch breaks if the discovery service is one of the ends. A delay changes no
+    /// connection.
     fn apply_link_fault(&mut self, process: usize, ends: &[LinkEnd], fault: LinkFault) {
         let resets = match fault {
             LinkFault::Cut | LinkFault::Reset => true,
@@ -165,7 +168,8 @@
         }
     }
 
-    /// Has operators take a server out of service at every proxy, or return it.
+    /// Sends an operator's action on a server to all processes, and records the resulting endpoint state in
+    /// the checker for all proxies.
     fn apply_operator_action(&mut self, server: usize, event: &Event, state: EndpointState) {
         for process in 0..self.processes.len() {
             self.enqueue_event(process, event.clone());
@@ -175,7 +179,7 @@
         }
     }
 
-    /// Ends a fault for the servers or sets that it affected.
+    /// Ends a fault of servers or replica sets. `affected` has their indices.
     pub(super) fn end_fault(&mut self, fault: Fault, affected: &[usize]) {
         let now = self.now;
         let mut effects = Vec::new();
--- a/testkit/src/fleet/simulation/lifecycle.rs
+++ b/testkit/src/fleet/simulation/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts, hot restarts, shutdowns and kills of proxy processes.
+//! Starts, hot restarts, graceful shutdowns and kills of simulated proxy processes.
 
 use std::ops::Range;
 
@@ -12,19 +12,21 @@
 use super::process::Process;
 use super::Simulation;
 
-/// Time in s from the signal to shut down until a process stops accepting requests.
+/// Time in seconds from the shutdown signal until a process stops accepting requests.
 const ACCEPT_GRACE_PERIOD_S: f64 = 1.8;
-/// Minimum time in s from the kill of a process that shuts down until the next start.
+/// Minimum time in seconds from the deadline of a graceful shutdown, when the process is killed, until the
+/// next start.
 const MIN_RESTART_DELAY_S: f64 = 0.1;
-/// Time in s from the start of a successor until it takes over.
+/// Range of the random time in seconds from the start of a successor until it takes over.
 const TAKE_OVER_DELAY_S: Range<f64> = 0.02..0.4;
-/// Time in s for which a process accepts requests beside its successor.
+/// Time in seconds for which a predecessor accepts requests after its successor has taken over.
 const OVERLAP_S: f64 = 0.45;
-/// Interval in s at which a process that shuts down checks whether it is idle.
+/// Interval in seconds at which a process that shuts down checks whether it has open requests.
 const EXIT_CHECK_INTERVAL_S: f64 = 0.05;
 
 impl Simulation {
-    /// Creates a process of a proxy, with a version of the endpoint list if it has one cached.
+    /// Creates a process of a proxy, and returns its index. `list_version` is the version of the endpoint
+    /// list that the process has cached, or `None`.
     fn spawn_process(&mut self, proxy: usize, list_version: Option<usize>) -> usize {
         let seed = self.fleet.rng.random();
         let router = RoutingEngine::new(self.fleet.proxy_settings(proxy), seed)
@@ -45,13 +47,15 @@
         process
     }
 
-    /// Starts a process of a proxy that accepts requests at once.
+    /// Starts a process of a proxy, which accepts requests at once.
     pub(super) fn start_process(&mut self, proxy: usize) {
         let process = self.spawn_process(proxy, self.fleet.cached_versions[proxy]);
         self.processes[process].accepting = true;
     }
 
-    /// Starts a hot restart: a successor starts beside the present process, and takes over a little later.
+    /// Starts the hot restart of a proxy: starts a successor with a snapshot of the predecessor's routing
+    /// state, and schedules its takeover. Does nothing if the predecessor is paused or another hot restart is
+    /// in progress.
     pub(super) fn upgrade(&mut self, proxy: usize) {
         let Some(predecessor) = self.accepting_process(proxy) else { return };
         let paused = self.processes[predecessor].paused_until > self.now;
@@ -69,7 +73,7 @@
         self.schedule(at, SimulationEvent::TakeOver { process: successor });
     }
 
-    /// A successor accepts requests from now on, and the old process shuts down.
+    /// Lets a successor accept requests, and shuts down its predecessors.
     pub(super) fn take_over(&mut self, successor: usize) {
         self.processes[successor].accepting = true;
         let proxy = self.processes[successor].proxy;
@@ -82,7 +86,8 @@
         }
     }
 
-    /// Shuts down the processes of a proxy gracefully, and starts a new one later.
+    /// Shuts down the processes of a proxy gracefully, and schedules the start of a new one. `downtime_s` is
+    /// the time from the shutdown signal until that start.
     pub(super) fn restart(&mut self, proxy: usize, downtime_s: f64) {
         if self.live_processes[proxy].is_empty() {
             return;
@@ -97,7 +102,8 @@
         self.schedule(start_at, SimulationEvent::StartProcess { proxy });
     }
 
-    /// Ends a process that has no open requests or has reached its deadline.
+    /// Ends a process that shuts down if it has no open requests or if `kill_at` has been reached. Otherwise
+    /// schedules the next check.
     pub(super) fn await_exit(&mut self, process: usize, kill_at: f64) {
         let state = &self.processes[process];
         if !state.alive {
@@ -110,7 +116,7 @@
         self.schedule(next_check, SimulationEvent::AwaitExit { process, kill_at });
     }
 
-    /// Ends a process. Its connections close, and its open requests fail.
+    /// Ends a process: closes its connections, and fails its open requests.
     fn exit_process(&mut self, process: usize) {
         let state = &mut self.processes[process];
         if !std::mem::replace(&mut state.alive, false) {
@@ -140,7 +146,7 @@
         self.live_processes[proxy].retain(|other| *other != process);
     }
 
-    /// Kills the processes of a proxy, and starts a new one later.
+    /// Kills the processes of a proxy, and schedules the start of a new one after `downtime_s`.
     pub(super) fn kill(&mut self, proxy: usize, downtime_s: f64) {
         if self.live_processes[proxy].is_empty() {
             return;
@@ -151,7 +157,8 @@
         self.schedule(self.now + downtime_s, SimulationEvent::StartProcess { proxy });
     }
 
-    /// Kills a proxy now and again after each interval, until a time.
+    /// Kills the processes of a proxy, and schedules the next kill after `interval_s` unless `until` has been
+    /// reached.
     pub(super) fn crash_loop(&mut self, proxy: usize, interval_s: f64, until: f64) {
         self.kill(proxy, CRASH_LOOP_DOWNTIME_S);
         if self.now < until {
@@ -160,7 +167,8 @@
         }
     }
 
-    /// A process of a proxy that accepts requests; a random one if there are two.
+    /// Returns a process of a proxy that accepts requests, a random one if there are several. Returns `None`
+    /// if there is none.
     pub(super) fn accepting_process(&mut self, proxy: usize) -> Option<usize> {
         let accepting: Vec<_> = self.live_processes[proxy]
             .iter()
--- a/testkit/src/fleet/simulation/mod.rs
+++ b/testkit/src/fleet/simulation/mod.rs
@@ -1,9 +1,9 @@
-//! Many proxies in one process on virtual time, against the models of the fleet.
+//! Runs many simulated proxies in virtual time against the models of the fleet.
 //!
-//! Owns the virtual clock, the event queue and the state of each proxy process. The routing engines are the
-//! real ones; everything around them is simulated. A simulation is deterministic by the seed of its plan:
-//! neither the order of random draws nor that of events depends on anything else. An engine only receives
-//! what a proxy would observe.
+//! Owns the virtual clock, the event queue and the state of each simulated proxy process. The simulation runs
+//! the routing engine of the proxy and simulates everything around it. The plan and its seed determine the
+//! result: the order of the random draws and of the events depends on nothing else. A routing engine only
+//! receives the events that a proxy would observe. Times are in seconds on the clock of the fleet model.
 
 mod attempts;
 mod clients;
@@ -25,28 +25,30 @@
 use pipittack_core::api::{Event, ServerId};
 use process::Process;
 
-/// Time in s after the last request in which the simulation ends.
+/// Time in seconds from the end of the load until the simulation ends. Open requests are answered within it.
 const SETTLE_S: f64 = 10.0;
-/// Interval in s at which old accounts are removed, and their minimum age.
+/// Interval in seconds at which requests that have ended and faults that are over are removed from the
+/// models, and the minimum age of the requests that are removed.
 const PRUNE_INTERVAL_S: f64 = 20.0;
 
-/// A simulation of one plan.
+/// Simulation of one plan.
 pub struct Simulation {
     fleet: FleetModel,
     now: f64,
     queue: EventQueue,
-    /// All processes, including those that have exited.
+    /// All proxy processes, including those that have exited. Events refer to a process by its index.
     processes: Vec<Process>,
-    /// The processes of each proxy that are alive.
+    /// Indices of the running processes of each proxy.
     live_processes: Vec<Vec<usize>>,
-    /// Servers that operators have taken out of service.
+    /// Servers that operators have taken out of service and not returned.
     out_of_service: Vec<usize>,
-    /// Number of tries so far; each is a request with an id of its own.
+    /// Id of the last request that a proxy accepted. Each try of a client gets a new id.
     last_request_id: u64,
 }
 
 impl Simulation {
-    /// Sets up the simulation of a plan.
+    /// Creates the simulation of a plan, and schedules the first start and request of each proxy and the
+    /// faults.
     pub fn new(plan: Plan) -> Self {
         let proxies = plan.proxies;
         let mut simulation = Self {
@@ -73,7 +75,7 @@
         simulation
     }
 
-    /// Runs the simulation to its end.
+    /// Runs the simulation to its end, and returns the report.
     pub fn run(mut self) -> Report {
         let end = START_S + self.fleet.plan.duration_s + SETTLE_S;
         let mut prune_at = START_S + PRUNE_INTERVAL_S;
--- a/testkit/src/fleet/simulation/process.rs
+++ b/testkit/src/fleet/simulation/process.rs
@@ -1,7 +1,7 @@
-//! The state of one simulated proxy process.
+//! State of one simulated proxy process.
 //!
 //! Owns the routing engine of the process, its pending events and timers, and the tables of open requests,
-//! attempts and idle connections that the program keeps around the engine.
+//! attempts and idle connections. In the built program, the driver keeps these tables.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet};
@@ -12,61 +12,63 @@
 
 use super::super::workload::ClientRequest;
 
-/// A request that waits for its final answer.
+/// Request that a process has accepted and not answered.
 pub struct OpenRequest {
     pub client_request: ClientRequest,
     pub deadline: f64,
     pub attempts: u32,
 }
 
-/// An attempt that has not ended for its process.
+/// Attempt that has not ended for its process.
 pub struct InFlightAttempt {
     pub server: usize,
-    /// The incarnation of the server to which its connection belongs.
+    /// Incarnation of the server when the attempt was sent. Its connection ends with this incarnation.
     pub incarnation: u32,
     pub class: ClassId,
     pub session: u64,
     pub sent_at: f64,
     pub work_s: f64,
-    /// It opened a new connection.
+    /// Whether the attempt opened a new connection.
     pub on_new_connection: bool,
-    /// Its statement was written.
+    /// Whether the statement of the attempt has reached the server.
     pub written: bool,
-    /// Until when the data of its server is known to be recent enough for a read with bounded staleness.
+    /// For a read with bounded staleness: the time until which the last known position of the server
+    /// satisfies the bound. `None` for other classes, and if the position is not known.
     pub fresh_until: Option<f64>,
-    /// The server was primary before, and the process could not know otherwise.
+    /// Whether the server was primary at some time and the process had not been informed that it no longer
+    /// was when it sent the attempt. A stale read is then no violation.
     pub may_read_stale: bool,
 }
 
-/// An idle connection to a server.
+/// Idle connection from a process to a server.
 #[derive(Debug, Clone, Copy)]
 pub struct IdleConnection {
-    /// The incarnation of the server that accepted it.
+    /// Incarnation of the server that accepted the connection.
     pub incarnation: u32,
     pub idle_since: f64,
 }
 
-/// What a process knows of servers; a successor inherits it.
+/// State of the servers as a process has observed it. A successor gets a copy from its predecessor.
 #[derive(Clone, Default)]
 pub struct ServerObservations {
-    /// The last known replication position of each server.
+    /// Newest replication position that each replica has reported. `None` after a response of a primary.
     pub positions: HashMap<usize, Option<f64>>,
-    /// Servers that reported that they are not primary.
+    /// Servers whose last reported role is replica.
     pub not_primary: HashSet<usize>,
-    /// When servers started, by the endpoint list.
+    /// Start time of each server in the endpoint list.
     pub started_at: HashMap<usize, f64>,
 }
 
-/// A process of a proxy.
+/// Simulated process of a proxy.
 pub struct Process {
     pub proxy: usize,
     pub router: RoutingEngine,
     pub alive: bool,
-    /// It accepts requests.
+    /// Whether the process accepts requests.
     pub accepting: bool,
-    /// It is paused up to this time.
+    /// Time until which the process is paused. A time in the past means that it is not paused.
     pub paused_until: f64,
-    /// Its index among the starts of the report.
+    /// Index of the process's entry in the starts of the report.
     pub start_index: usize,
     pub events: Vec<Event>,
     pub timers: BinaryHeap<Reverse<(Duration, u64)>>,
@@ -74,16 +76,16 @@
     pub next_step_at: Option<f64>,
     pub open_requests: BTreeMap<RequestId, OpenRequest>,
     pub in_flight: BTreeMap<AttemptId, InFlightAttempt>,
-    /// Idle connections by server.
+    /// Idle connections to each server.
     pub idle_connections: HashMap<usize, Vec<IdleConnection>>,
-    /// The version of the endpoint list that it has.
+    /// Version of the endpoint list that the process last received. `None` before the first list.
     pub list_version: Option<usize>,
     pub watching: bool,
     pub observations: ServerObservations,
 }
 
 impl Process {
-    /// A process that has just started and accepts no requests yet.
+    /// Creates a process that has just started and does not accept requests yet.
     pub fn new(proxy: usize, router: RoutingEngine, start_index: usize, list_version: Option<usize>) -> Self {
         Self {
             proxy,
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Moves the timers that have expired to the pending events.
+    /// Removes the timers that have expired, and adds their events to the pending events.
     pub fn expire_timers(&mut self, now: Duration) {
         while let Some(Reverse((at, id))) = self.timers.peek().copied() {
             if at > now {
--- a/testkit/src/fleet/simulation/servers.rs
+++ b/testkit/src/fleet/simulation/servers.rs
@@ -1,4 +1,4 @@
-//! Execution of attempts at the modelled servers, and their responses.
+//! Execution of attempts by the server models, and the responses to the attempts.
 
 use pipittack_core::api::{AttemptId, Outcome, ServerStatus};
 
@@ -16,7 +16,8 @@
         let Some(attempt) = self.processes[process].in_flight.get(&id) else { return };
         let server = attempt.server;
         let delay = self.one_way_delay(process, server);
-        // The connection took so long that the data may be too old: the attempt ends without being sent.
+        // The connection took so long that the data of the server may now be older than the bound of the
+        // read: the proxy does not send the statement.
         if attempt.fresh_until.is_some_and(|until| now - delay > until) {
             return self.attempt_ends(process, id, Outcome::NotSent.into());
         }
@@ -46,7 +47,8 @@
         self.admit(execution);
     }
 
-    /// Has a server admit an attempt.
+    /// Passes an attempt to the model of its server, which executes or rejects it, does not respond, or
+    /// crashes.
     fn admit(&mut self, execution: Execution) {
         let Execution { process, server, id, .. } = execution;
         let known_start = self.processes[process].observations.started_at.get(&server).copied();
@@ -72,7 +74,8 @@
         }
     }
 
-    /// Sends a server's response, unless the link drops it.
+    /// Sends the response of a server to an attempt, unless the link drops responses. Without a `status`, the
+    /// response has the present status of the server.
     fn respond(
         &mut self,
         process: usize,
@@ -89,13 +92,13 @@
         }
     }
 
-    /// Whether a server still works on an execution.
+    /// Returns whether the server is up in the incarnation that started the execution.
     fn is_executing(&self, execution: &Execution) -> bool {
         let model = &self.fleet.site.servers[execution.server].model;
         model.incarnation == execution.incarnation && model.state == ServerState::Up
     }
 
-    /// A server starts an execution, and reads its data.
+    /// Starts an execution: a replica reads its data, at its present position.
     pub(super) fn execution_starts(&mut self, execution: Execution) {
         if !self.is_executing(&execution) {
             return;
@@ -114,7 +117,7 @@
         }
     }
 
-    /// A server ends an execution, and responds.
+    /// Ends an execution: the server commits a write, and responds.
     pub(super) fn execution_ends(&mut self, execution: Execution) {
         if !self.is_executing(&execution) {
             return;
@@ -127,7 +130,8 @@
         self.respond(process, server, id, outcome, Some(status));
     }
 
-    /// The process of a server has exited: its connections are reset, unless their links drop the resets.
+    /// Handles the exit of an incarnation of a server: resets the connections of attempts in flight, except
+    /// on links that drop data to the proxy and thus also the resets.
     pub(super) fn server_exited(&mut self, server: usize, incarnation: u32) {
         for process in 0..self.processes.len() {
             let in_flight = self.processes[process].in_flight.iter();
@@ -145,7 +149,7 @@
         }
     }
 
-    /// Schedules the end of an attempt whose connection is reset.
+    /// Schedules the end of an attempt whose connection is reset at a time.
     pub(super) fn schedule_reset(&mut self, process: usize, id: AttemptId, written: bool, at: f64) {
         let outcome = if written { Outcome::Reset } else { Outcome::ConnectFailed };
         self.schedule(at, SimulationEvent::AttemptEnds { process, id, result: outcome.into() });
--- a/testkit/src/fleet/simulation/stepping.rs
+++ b/testkit/src/fleet/simulation/stepping.rs
@@ -1,4 +1,4 @@
-//! Feeds events to the routing engine of a process, and carries out its actions.
+//! Steps of the routing engine of a process: delivers the pending events and performs the engine's actions.
 
 use std::cmp::Reverse;
 
@@ -10,11 +10,12 @@
 use super::event_queue::SimulationEvent;
 use super::Simulation;
 
-/// Rounding error in s of event times.
+/// Resolution in seconds of the times of events, which the event queue rounds up to microseconds.
 const TIME_RESOLUTION_S: f64 = 1e-6;
 
 impl Simulation {
-    /// Adds an event for a process, unless it has exited.
+    /// Adds an event to the pending events of a process and schedules a step. Does nothing if the process has
+    /// exited.
     pub(super) fn enqueue_event(&mut self, process: usize, event: Event) {
         if self.processes[process].alive {
             self.processes[process].events.push(event);
@@ -22,7 +23,7 @@
         }
     }
 
-    /// Sends a message to the other process of the same proxy.
+    /// Sends a message to the peer processes of a process.
     pub(super) fn send_to_peer(&mut self, process: usize, message: &PeerMessage) {
         let proxy = self.processes[process].proxy;
         for other in self.live_processes[proxy].clone() {
@@ -36,14 +37,15 @@
         self.fleet.plan.settings.min_step_interval.as_secs_f64()
     }
 
-    /// Schedules the next step of a process at the earliest possible time.
+    /// Schedules the next step of a process at the earliest time that the minimum interval between steps and
+    /// a pause of the process allow.
     pub(super) fn schedule_step(&mut self, process: usize) {
         let state = &self.processes[process];
         let earliest = self.now.max(state.last_step_at + self.min_step_interval()).max(state.paused_until);
         self.schedule_step_at(process, earliest);
     }
 
-    /// Schedules a step of a process at a time, unless an earlier one is scheduled.
+    /// Schedules a step of a process at a time, unless a step is already scheduled at that time or earlier.
     fn schedule_step_at(&mut self, process: usize, at: f64) {
         let state = &mut self.processes[process];
         if state.next_step_at.is_none_or(|scheduled| at < scheduled) {
@@ -52,7 +54,8 @@
         }
     }
 
-    /// Steps a process, unless its step was moved to another time.
+    /// Steps a process if a step is due. Does nothing if its next step is scheduled later or has already run.
+    /// If the process is paused, schedules the step for the end of the pause.
     pub(super) fn step_if_due(&mut self, process: usize) {
         let state = &mut self.processes[process];
         if state.next_step_at.is_none_or(|at| at > self.now + TIME_RESOLUTION_S) {
@@ -65,7 +68,7 @@
         self.step(process);
     }
 
-    /// Steps the routing engine of a process, and carries out its actions.
+    /// Passes the pending events of a process to its routing engine, and performs the returned actions.
     pub(super) fn step(&mut self, process: usize) {
         let now = duration(self.now);
         let state = &mut self.processes[process];
@@ -126,7 +129,7 @@
         }
     }
 
-    /// Ends a request that is not served.
+    /// Answers a request that is not served with a rejection or an error.
     fn end_request(&mut self, process: usize, id: RequestId, answer: FinalAnswer, failure: TryFailure) {
         let Some(open_request) = self.processes[process].open_requests.remove(&id) else { return };
         self.fleet.checker.request_answered(id.0, answer, self.now);
