--- a/testkit/src/fleet/fleet_model.rs
+++ b/testkit/src/fleet/fleet_model.rs
@@ -211,7 +211,7 @@
     }
 
     /// Ends the trial: checks for requests without an answer, and returns the completed report. Violations
-    /// that the trial itself recorded come before those of the checker.
+    /// that the trial has added to the report come before those of the checker.
     pub fn finish(&mut self, end: f64) -> Report {
         self.checker.finish(end);
         let mut report = std::mem::take(&mut self.report);
--- a/testkit/src/fleet/process_trial/admin.rs
+++ b/testkit/src/fleet/process_trial/admin.rs
@@ -1,4 +1,4 @@
-//! Calls of the admin API of proxy processes.
+//! Calls to the admin API of proxy processes.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,20 +9,20 @@
 
 use super::state::SharedTrial;
 
-/// Timeout of a call.
+/// Timeout for opening the connection of a call, and for each read of the response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Whether operators let proxies use a server.
+/// Service state that operators set for a server.
 #[derive(Debug, Clone, Copy)]
 pub enum ServiceState {
-    /// Proxies use it.
+    /// Proxies send requests to the server.
     InService,
-    /// Proxies send it no new requests.
+    /// Proxies send no new requests to the server.
     OutOfService,
 }
 
 impl ServiceState {
-    /// The last part of the path in the admin API.
+    /// Returns the last segment of the path in the admin API.
     fn path_segment(self) -> &'static str {
         match self {
             Self::InService => "online",
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The endpoint state with the same effect on new requests.
+    /// Returns the endpoint state that has the same effect on new requests.
     fn endpoint_state(self) -> EndpointState {
         match self {
             Self::InService => EndpointState::Healthy,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Takes servers out of service at every proxy, or returns them.
+/// Sets the service state of servers at all proxy processes, and records it in the rule checker.
 pub async fn set_service_state(shared: &SharedTrial, servers: &[usize], state: ServiceState) {
     let mut calls = Vec::new();
     for process in shared.with(|trial| trial.processes.admin_endpoints()) {
@@ -47,7 +47,7 @@
             let shared = shared.clone();
             calls.push(spawn_local(async move {
                 let path = format!("/control/data-servers/s{server}/{}", state.path_segment());
-                // Rejected calls are no faults of a trial: the server may be unknown to the proxy.
+                // A failed call is no error of the trial: the proxy may not know the server.
                 let _ = call(process.address, &format!("POST {path}")).await;
                 shared.with(|trial| {
                     let now = trial.clock.now();
@@ -62,12 +62,12 @@
     }
 }
 
-/// Whether a process is ready to serve.
+/// Returns whether a process reports that it is ready.
 pub async fn is_ready(address: SocketAddr) -> bool {
     matches!(call(address, "GET /control/ready").await, Ok(200))
 }
 
-/// Calls the admin API, and returns the status code.
+/// Calls the admin API on a separate thread, and returns the HTTP status code.
 async fn call(address: SocketAddr, method_and_path: &str) -> io::Result<u16> {
     let request = format!("{method_and_path} HTTP/1.1\r\nHost: proxy\r\nContent-Length: 0\r\n\r\n");
     let blocking_call = spawn_blocking(move || {
--- a/testkit/src/fleet/process_trial/clients.rs
+++ b/testkit/src/fleet/process_trial/clients.rs
@@ -1,7 +1,7 @@
-//! Clients of the proxies behind a load balancer: they create requests, try them and retry them.
+//! Clients that create requests, send them to the proxies through a load balancer, and retry them.
 //!
-//! Owns what the load balancer knows of each proxy. It sends requests only to proxies that it has admitted
-//! after a health check.
+//! Owns the load balancer's state of each proxy. The load balancer sends requests only to admitted proxies.
+//! It admits a proxy that has passed a health check.
 
 use std::time::Duration;
 
@@ -15,25 +15,26 @@
 use super::proxy_config::class_name;
 use super::state::{SharedTrial, TrialState};
 
-/// Interval of the health checks of a proxy that is not admitted.
+/// Interval between the health checks of a proxy that is not admitted.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Timeout of a health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time in s after which the load balancer removes a proxy that can't be reached.
+/// Time in seconds after which the load balancer removes an unreachable proxy.
 const UNREACHABLE_TIMEOUT_S: f64 = 1.0;
 
-/// A proxy as the load balancer sees it.
+/// State of a proxy in the load balancer.
 #[derive(Default)]
 pub struct BalancerTarget {
-    /// Clients are sent to it.
+    /// Whether the load balancer sends requests to the proxy.
     pub admitted: bool,
-    /// Since when it can't be reached.
+    /// Time in seconds of the first failed connection since the proxy was admitted or last served or rejected
+    /// a request. `None` without such a failure.
     pub unreachable_since: Option<f64>,
-    /// Idle connections of clients.
+    /// Idle connections of clients to the proxy.
     pub idle: Vec<MessageStream>,
 }
 
-/// Health checks a proxy until it is ready, and admits it.
+/// Sends health checks to a proxy until one succeeds, and then admits the proxy.
 pub async fn admit_when_ready(shared: SharedTrial, proxy: usize) {
     while !shared.with(|trial| trial.balancer_targets[proxy].admitted) {
         let address = shared.with(|trial| trial.processes.listen_address(proxy));
@@ -49,7 +50,7 @@
     }
 }
 
-/// Creates the requests of a proxy's clients until the trial ends.
+/// Creates the requests of a proxy's clients until the end of the load.
 pub async fn run_clients(shared: &SharedTrial, proxy: usize) {
     let clock = shared.clock();
     loop {
@@ -80,7 +81,7 @@
     }
 }
 
-/// Runs one try of a request.
+/// Runs one try of a request: sends the statement, checks the answer and records the result in the report.
 async fn run_try(shared: &SharedTrial, request: &ClientRequest) -> Result<(), TryFailure> {
     let clock = shared.clock();
     let (statement, admitted) = shared.with(|trial| {
@@ -125,7 +126,7 @@
     })
 }
 
-/// The statement for a new try of a request.
+/// Creates the statement for the next try of a request.
 fn new_statement(trial: &mut TrialState, request: &ClientRequest) -> Statement {
     trial.fleet.report.tries += 1;
     trial.last_request_id += 1;
@@ -147,7 +148,7 @@
     Statement { id, text, token_commit }
 }
 
-/// Checks the final answer of a try.
+/// Passes the final answer of a try to the rule checker.
 fn check_answer(
     trial: &mut TrialState,
     request: &ClientRequest,
@@ -156,7 +157,8 @@
     result: &Result<ClientResponse, ExchangeError>,
 ) {
     let now = trial.clock.now();
-    // A paused process can't answer, and the requests of a process that was killed need no answer.
+    // A paused process cannot answer before the deadline. A request needs no answer if its process was killed
+    // or was never reached.
     let paused = now > request.deadline && trial.processes.was_paused_since(request.proxy, sent_at);
     let killed = result.is_err() && trial.processes.was_killed_since(request.proxy, sent_at);
     let unreachable = matches!(result, Err(ExchangeError::Unreachable));
@@ -172,7 +174,7 @@
     trial.fleet.checker.request_answered(statement.id, answer, now);
 }
 
-/// Records that a request was served, and checks that the response is its own.
+/// Records that a request was served, and checks that the response contains the id of the request.
 fn request_served(
     trial: &mut TrialState,
     request: &ClientRequest,
@@ -183,7 +185,7 @@
     let id = statement.id;
     let fleet = &mut trial.fleet;
     if !String::from_utf8_lossy(body).contains(&format!("{id:x}")) {
-        let description = format!("request {id}: served with the response of another request");
+        let description = format!("request {id}: served with the response to another request");
         fleet.checker.report_violation(now, Rule::AnswerInTime, description);
     }
     fleet.request_served(request, now);
@@ -192,7 +194,8 @@
     }
 }
 
-/// Removes a proxy from the load balancer once it has been unreachable for a while.
+/// Records that a proxy is unreachable. After the timeout, removes the proxy from the load balancer and
+/// starts health checks that admit it again.
 fn record_unreachable_proxy(shared: &SharedTrial, trial: &mut TrialState, proxy: usize, now: f64) {
     let target = &mut trial.balancer_targets[proxy];
     let since = *target.unreachable_since.get_or_insert(now);
--- a/testkit/src/fleet/process_trial/discovery_service.rs
+++ b/testkit/src/fleet/process_trial/discovery_service.rs
@@ -1,8 +1,8 @@
-//! The discovery service on sockets: the endpoint list, or a watch on its changes, at an address for each
-//! proxy.
+//! Discovery service on sockets, with a separate address for each proxy.
 //!
-//! Owns the connections of the service. A change is sent only after its publication, and counts as known to a
-//! proxy only after it was written.
+//! Owns the connections of the service. A request is answered with the endpoint list, or with a watch on its
+//! changes. A change is sent only after its publication. It counts as received by the proxy when it is
+//! written.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,14 +21,14 @@
 use super::proxy_config::endpoint_entry;
 use super::state::{SharedTrial, TrialState};
 
-/// Time in s after which an empty line shows that a watch is alive.
+/// Time in seconds without a write after which a watch sends an empty line as a keepalive.
 const KEEP_ALIVE_INTERVAL_S: f64 = 2.0;
-/// Interval of the checks for changes.
+/// Interval between the checks for changes of the endpoint list and of the link.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// The address of endpoints that have none: nothing listens there.
+/// Address in the list for endpoints without a listening socket. Nothing listens at the discard port.
 const PLACEHOLDER_ADDRESS: ([u8; 4], u16) = ([127, 0, 0, 1], 9);
 
-/// Listens for a proxy, and returns the address.
+/// Opens the listening socket for a proxy, and returns its address.
 pub fn listen(shared: &SharedTrial, proxy: usize) -> io::Result<SocketAddr> {
     let listener = std::net::TcpListener::bind("127.0.0.1:0")?;
     listener.set_nonblocking(true)?;
@@ -39,7 +39,7 @@
         while let Ok((stream, _)) = listener.accept().await {
             let shared = shared.clone();
             spawn_local(async move {
-                // The proxy may close its connection at any time.
+                // An error only means that the proxy has closed the connection.
                 let _ = serve_connection(&shared, proxy, stream).await;
             });
         }
@@ -84,7 +84,7 @@
     }
 }
 
-/// The revision from which a request watches; none if it polls.
+/// Returns the first revision that a watch requests. Returns `None` for a request of the full list.
 fn watch_revision(request: &str) -> Option<usize> {
     if !request.contains("watch=1") {
         return None;
@@ -93,7 +93,8 @@
     value.split([' ', '&']).next()?.parse().ok()
 }
 
-/// Waits while the link drops data; whether data passes.
+/// Waits while the link drops data. Returns whether the exchange can go on: false if the link is cut, or if
+/// data was dropped and is lost.
 async fn wait_for_link(shared: &SharedTrial, proxy: usize) -> bool {
     loop {
         let link = shared.link_state(proxy, LinkEnd::Discovery);
@@ -105,12 +106,13 @@
         }
         tokio::time::sleep(CHECK_INTERVAL).await;
         if shared.link_state(proxy, LinkEnd::Discovery).is_open() {
-            return false; // the data that was dropped meanwhile is lost
+            return false; // the dropped data is not sent again
         }
     }
 }
 
-/// The full list for a proxy, or the changes after a version. Counts as received by the proxy.
+/// Returns the changes of the endpoint list between two versions, or the full list of `version` if `after` is
+/// `None` or later than `version`. Records that the proxy has received it.
 fn list_update(shared: &SharedTrial, proxy: usize, after: Option<usize>, version: usize) -> Value {
     shared.with(|trial| {
         let now = trial.clock.now();
@@ -132,7 +134,7 @@
     })
 }
 
-/// A full list in the format of the protocol, with the addresses for one proxy.
+/// Returns a full endpoint list in the format of the discovery API, with the addresses for one proxy.
 pub fn full_list(trial: &TrialState, proxy: usize, endpoints: &[Endpoint], version: usize) -> Value {
     json!({ "rev": version + 1, "all": true, "targets": endpoint_entries(trial, proxy, endpoints) })
 }
@@ -157,7 +159,7 @@
     endpoints.iter().map(entry).collect()
 }
 
-/// Sends changes after a version until the proxy closes the watch or the service is unreachable.
+/// Sends the changes after a version until the proxy closes the watch, or the link or the service fails.
 async fn watch(
     shared: &SharedTrial,
     proxy: usize,
@@ -182,7 +184,7 @@
         let version = shared.with(|trial| trial.fleet.site.discovery.version(publication_cutoff));
         let has_update = sent_version.is_none_or(|sent| version > sent || (is_initial && version < sent));
         if !link.is_open() {
-            // What would be sent is dropped, and no side is notified.
+            // The link drops the update, and neither side is notified.
             sent_version = sent_version.max(Some(version));
         } else if has_update {
             let line = list_update(shared, proxy, sent_version, version).to_string();
--- a/testkit/src/fleet/process_trial/exchange.rs
+++ b/testkit/src/fleet/process_trial/exchange.rs
@@ -1,6 +1,7 @@
 //! Sends a client's statement to a proxy, and reads the response.
 //!
-//! A statement that crosses the close of an idle connection is sent again once, on a new connection.
+//! A proxy may close an idle connection while the client sends a statement on it. The client then sends the
+//! statement once more, on a new connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,41 +16,41 @@
 use super::state::SharedTrial;
 use crate::wire::{query, startup};
 
-/// Time in s past its deadline for which a client reads a response.
+/// Time in seconds for which a client waits for a response after the deadline of its request.
 const RESPONSE_GRACE_PERIOD_S: f64 = 0.5;
-/// SQLSTATEs of a rejection: too many connections, and cannot connect now.
+/// SQLSTATEs of a rejection: `too_many_connections` and `cannot_connect_now`.
 const REJECTION_CODES: [&str; 2] = ["53300", "57P03"];
 
-/// The statement of one try.
+/// Statement of one try of a client request.
 pub struct Statement {
-    /// The id of the try.
+    /// Id of the try.
     pub id: u64,
-    /// The SQL text.
+    /// SQL text with the comment.
     pub text: String,
-    /// The commit in its session token.
+    /// Commit time in the session token, in seconds. `None` if the client sends no token.
     pub token_commit: Option<f64>,
 }
 
-/// A complete response.
+/// Complete response to a statement.
 pub enum ClientResponse {
-    /// A result with this body.
+    /// Result; the value is the body of its data row.
     Served(Vec<u8>),
-    /// A rejection, which promises that the client can try again safely.
+    /// Rejection: the request was not executed, so a retry is safe.
     Rejected { retry_after: Option<Duration> },
-    /// Another error.
+    /// Error that is not a rejection.
     Failed,
 }
 
-/// Why there is no response.
+/// Reason for a missing response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExchangeError {
-    /// No connection could be opened.
+    /// The client could not open a connection.
     Unreachable,
-    /// The connection was closed before the first byte of a response.
+    /// The proxy closed the connection before the first byte of a response.
     ClosedBeforeResponse,
-    /// The connection was closed within a response, or once more before it.
+    /// The proxy closed the connection within a response, or closed a new connection before a response.
     NoResponse,
-    /// There was no response in time.
+    /// The proxy did not respond by the deadline and the grace period after it.
     TimedOut,
 }
 
@@ -59,7 +60,7 @@
     Ok(stream)
 }
 
-/// Whether a proxy answers an empty query.
+/// Sends an empty query to a proxy. Returns an error if the proxy cannot be reached or answers with an error.
 pub async fn health_check(address: SocketAddr) -> io::Result<()> {
     let mut stream = connect(address).await?;
     stream.write_all(&query("")).await?;
@@ -149,7 +150,7 @@
     response.ok_or(ExchangeError::NoResponse)
 }
 
-/// Records that a write was acknowledged: later reads of its session must see it.
+/// Records that a client received the response to a write. Later reads of the session must return the write.
 fn write_acknowledged(shared: &SharedTrial, request: &ClientRequest, id: u64) {
     shared.with(|trial| {
         let Some(commit) = trial.unacknowledged_commits.remove(&id) else { return };
@@ -159,7 +160,8 @@
     });
 }
 
-/// The meaning of an `ErrorResponse`.
+/// Classifies an `ErrorResponse` as a rejection or another error. The detail of a rejection is the time in
+/// milliseconds after which the client may retry.
 fn error_response(body: &[u8]) -> ClientResponse {
     let code = error_field(body, b'C').unwrap_or_default();
     if REJECTION_CODES.contains(&code.as_str()) {
--- a/testkit/src/fleet/process_trial/faults.rs
+++ b/testkit/src/fleet/process_trial/faults.rs
@@ -1,4 +1,4 @@
-//! Runs the faults of a plan from their start to their end.
+//! Start and end of the faults of a plan.
 
 use tokio::task::spawn_local;
 
@@ -17,7 +17,7 @@
     shared.with(|trial| proxies.resolve(&trial.fleet.proxy_zones, &mut trial.fleet.rng))
 }
 
-/// Starts a fault, and returns when it has ended or ends by itself.
+/// Runs a fault. Starts it, waits for its duration and ends it; returns earlier if the fault ends by itself.
 pub async fn run_fault(shared: &SharedTrial, fault: Fault) {
     let now = shared.now();
     match fault {
@@ -110,7 +110,7 @@
     }
 }
 
-/// Replaces servers that have drained, and listens for the new ones.
+/// Replaces servers that have drained, and opens listening sockets for the new servers.
 fn replace_servers(shared: &SharedTrial, servers: &[usize]) {
     let clock = shared.clock();
     let mut effects = Vec::new();
@@ -119,7 +119,7 @@
         trial.fleet.plan.proxies
     });
     if let Err(error) = (0..proxies).try_for_each(|proxy| server_connections::listen(shared, proxy)) {
-        let violation = format!("the trial itself: can't listen for new servers: {error}");
+        let violation = format!("trial error: failed to open listening sockets for new servers: {error}");
         shared.with(|trial| trial.fleet.report.violations.push(violation));
     }
     shared.handle_effects(effects);
@@ -146,7 +146,7 @@
     }
 }
 
-/// Kills a proxy now and again after each interval, until a time.
+/// Kills and restarts a proxy until a time, with a pause of `interval_s` after each restart.
 async fn crash_loop(shared: SharedTrial, proxy: usize, interval_s: f64, until: f64) {
     let clock = shared.clock();
     while clock.now() < until {
--- a/testkit/src/fleet/process_trial/lifecycle.rs
+++ b/testkit/src/fleet/process_trial/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts, hot restarts, shutdowns and kills of proxy processes.
+//! Starts, hot restarts, graceful shutdowns and kills of proxy processes.
 
 use std::time::Duration;
 
@@ -10,18 +10,18 @@
 use super::state::{SharedTrial, TrialState};
 use super::{admin, clients, discovery_service, proxy_config};
 
-/// Time in s in which a successor must be ready.
+/// Time in seconds within which a successor must be ready, from the beginning of a hot restart.
 const READY_TIMEOUT_S: f64 = 6.0;
-/// Interval of the checks whether a process is ready or has exited.
+/// Interval between the checks whether a process is ready or has exited.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time in s from that signal until the load balancer sends the proxy no more requests.
+/// Time in seconds from the shutdown signal until the load balancer removes the proxy.
 const BALANCER_DELAY_S: f64 = 0.4;
-/// Maximum number of descriptors of a process.
+/// Maximum number of sockets of a process, in its configuration.
 const MAX_SOCKETS: u32 = 512;
-/// Maximum memory of a process in MiB.
+/// Maximum memory of a process in MiB, in its configuration.
 const MAX_MEMORY_MB: u32 = 64;
 
-/// Starts a process of a proxy.
+/// Starts a process of a proxy. If that fails, records a violation.
 pub async fn start(shared: &SharedTrial, proxy: usize) {
     let (config, start_index) = shared.with(|trial| {
         let start_index = trial.fleet.record_start(trial.clock.now());
@@ -35,7 +35,7 @@
     shared.with(|trial| match started {
         Ok(process) => trial.processes.add_process(proxy, process),
         Err(error) => {
-            let violation = format!("the trial itself: proxy {proxy} can't be started: {error}");
+            let violation = format!("trial error: failed to start a process of proxy {proxy}: {error}");
             trial.fleet.report.violations.push(violation);
         }
     });
@@ -44,7 +44,7 @@
     }
 }
 
-/// The configuration of a new process.
+/// Returns the text of the configuration file for a new process.
 fn process_config(trial: &mut TrialState, proxy: usize) -> String {
     let settings = trial.fleet.proxy_settings(proxy);
     let cached_list = trial.fleet.cached_versions[proxy].map(|version| {
@@ -71,7 +71,7 @@
     trial.balancer_targets[proxy].idle.clear();
 }
 
-/// Kills a proxy's processes, and starts a new one after a downtime in s.
+/// Kills the processes of a proxy, and starts a new one after `downtime_s`.
 pub async fn kill(shared: SharedTrial, proxy: usize, downtime_s: f64) {
     let clock = shared.clock();
     shared.with(|trial| kill_processes(trial, proxy));
@@ -80,13 +80,14 @@
     start(&shared, proxy).await;
 }
 
-/// Shuts down a proxy gracefully, and starts a new process this long in s after the signal.
+/// Shuts down the processes of a proxy gracefully, and starts a new one. `downtime_s` is the time in seconds
+/// from the shutdown signal until that start, which comes after the shutdown timeout at the earliest.
 pub async fn restart(shared: SharedTrial, proxy: usize, downtime_s: f64) {
     let clock = shared.clock();
     let signalled_at = clock.now();
     shared.with(|trial| trial.processes.shut_down(proxy));
     clock.sleep_until(signalled_at + BALANCER_DELAY_S).await;
-    // The load balancer opens no new connections; clients keep theirs.
+    // Clients open no new connections to the proxy and keep their open ones.
     shared.with(|trial| trial.balancer_targets[proxy].admitted = false);
     clock.sleep_until(signalled_at + SHUTDOWN_TIMEOUT_S).await;
     shared.with(|trial| kill_processes(trial, proxy));
@@ -94,8 +95,8 @@
     start(&shared, proxy).await;
 }
 
-/// Hot restart: starts a successor beside a proxy's process, and shuts that one down once the successor is
-/// ready.
+/// Hot restart of a proxy: starts a successor, and shuts down the predecessor once the successor is ready.
+/// Does nothing if the proxy does not have exactly one process.
 pub async fn upgrade(shared: SharedTrial, proxy: usize) {
     let clock = shared.clock();
     let started_at = clock.now();
@@ -108,7 +109,7 @@
     let Some(address) = shared.with(|trial| trial.processes.successor_admin_address(proxy)) else { return };
     while !admin::is_ready(address).await {
         if clock.now() > started_at + READY_TIMEOUT_S {
-            let violation = format!("proxy {proxy}: its successor was not ready after {READY_TIMEOUT_S} s");
+            let violation = format!("proxy {proxy}: the successor was not ready after {READY_TIMEOUT_S} s");
             shared.with(|trial| trial.fleet.report.violations.push(violation));
             break;
         }
--- a/testkit/src/fleet/process_trial/message_stream.rs
+++ b/testkit/src/fleet/process_trial/message_stream.rs
@@ -1,7 +1,7 @@
-//! PostgreSQL messages and lines of text on a socket.
+//! Reading and writing of PostgreSQL messages and lines of text on a socket.
 //!
-//! Owns the bytes that were read and not yet consumed, so that reading can be cancelled at any `await` and
-//! resumed. Messages have a maximum length.
+//! Owns the bytes that were read and not yet consumed, so a read can be cancelled at any `await` and resumed.
+//! A message or line above the maximum length is an error.
 
 use std::io;
 use std::net::Shutdown;
@@ -12,11 +12,11 @@
 
 use crate::wire::message;
 
-/// Maximum length of a message or line.
+/// Maximum length of a message or line in bytes.
 const MAX_MESSAGE_BYTES: usize = 64 * 1024;
 
-/// A connection and its read buffer. It ends for its peer when it is dropped, also while a process that the
-/// trial is starting holds a copy of its descriptor.
+/// Connection with a read buffer. Dropping it shuts down the socket, because closing the descriptor does not
+/// end the connection while a child process that the trial is starting holds a copy of the descriptor.
 pub struct MessageStream {
     stream: TcpStream,
     buffer: Vec<u8>,
@@ -24,19 +24,20 @@
 
 impl Drop for MessageStream {
     fn drop(&mut self) {
-        // The peer may have closed it already.
+        // The shutdown fails if the peer has already closed the connection.
         let _ = SockRef::from(&self.stream).shutdown(Shutdown::Both);
     }
 }
 
 impl MessageStream {
-    /// A stream with an empty buffer.
+    /// Creates a stream with an empty buffer, and disables Nagle's algorithm on the socket.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nodelay(true)?;
         Ok(Self { stream, buffer: Vec::new() })
     }
 
-    /// Reads more bytes; an error at the end of the connection. Safe to cancel.
+    /// Reads more bytes into the buffer. Returns an error if the connection has ended. Cancelling it loses no
+    /// data.
     async fn fill_buffer(&mut self) -> io::Result<()> {
         loop {
             self.stream.readable().await?;
@@ -53,12 +54,13 @@
         }
     }
 
-    /// Whether all bytes that were read have been consumed.
+    /// Returns whether all bytes that were read have been consumed.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// Takes the next message. `length` computes its length from the first `header_bytes` bytes.
+    /// Reads the next packet. `packet_length` computes the length of the packet in bytes from its first
+    /// `header_bytes` bytes.
     async fn read_packet(
         &mut self,
         header_bytes: usize,
@@ -79,7 +81,7 @@
         }
     }
 
-    /// Reads the startup packet.
+    /// Reads the startup packet and discards it.
     pub async fn read_startup(&mut self) -> io::Result<()> {
         let packet_length =
             |header: &[u8]| u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
@@ -95,7 +97,7 @@
         Ok((message[0], body))
     }
 
-    /// Reads a line of text, and returns it without its end.
+    /// Reads a line of text, and returns it without trailing white space.
     pub async fn read_line(&mut self) -> io::Result<String> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
@@ -110,7 +112,8 @@
         }
     }
 
-    /// Waits until the connection is closed, and buffers what is received before.
+    /// Waits until the connection is closed, and buffers data that is received meanwhile. Also returns when
+    /// the buffer exceeds the maximum length of a message.
     pub async fn wait_until_closed(&mut self) {
         while self.buffer.len() <= MAX_MESSAGE_BYTES && self.fill_buffer().await.is_ok() {}
     }
@@ -128,24 +131,24 @@
         Ok(())
     }
 
-    /// Closes the connection with a reset.
+    /// Sets the linger time to zero and drops the stream, so that the connection ends with a reset.
     pub fn reset(self) {
         let _ = socket2::SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 }
 
-/// The field of an `ErrorResponse` with this type.
+/// Returns the value of the field with type `field_type` in the body of an `ErrorResponse`.
 pub fn error_field(body: &[u8], field_type: u8) -> Option<String> {
     let field = body.split(|byte| *byte == 0).find(|field| field.first() == Some(&field_type))?;
     Some(String::from_utf8_lossy(&field[1..]).into_owned())
 }
 
-/// An `ErrorResponse` with this SQLSTATE.
+/// Returns an `ErrorResponse` message with a SQLSTATE.
 pub fn error_message(code: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0VERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
-/// The value of a name in the comment of a statement.
+/// Returns the value of the field `name` in the comment of a statement.
 pub fn comment_value<'t>(text: &'t str, name: &str) -> Option<&'t str> {
     let comment = text.rsplit_once("/*")?.1;
     let pair = comment.split([',', ' ', '*']).find_map(|pair| pair.strip_prefix(name));
--- a/testkit/src/fleet/process_trial/mod.rs
+++ b/testkit/src/fleet/process_trial/mod.rs
@@ -1,9 +1,9 @@
-//! Runs a plan with processes of the built program against the models of the fleet on loopback sockets.
+//! Runs a plan with processes of the built program against the models of the fleet over loopback sockets.
 //!
-//! Owns the clock, the shared state of all sockets, and the schedule of the faults. One thread serves all
-//! stand-ins. Each proxy reaches each server and the discovery service at addresses of its own, so that a
-//! link is known by its address and can fail by itself. A proxy only receives what it would observe in
-//! service. No process outlives its trial.
+//! Owns the clock, the shared state of all sockets, and the schedule of the faults. One thread serves the
+//! sockets of all servers and of the discovery service. Each of them listens at a separate address for each
+//! proxy: the address identifies the link, so a fault can be applied to a single link. A proxy only receives
+//! what it would observe in production. All processes are killed at the end of the trial.
 
 mod admin;
 mod clients;
@@ -31,19 +31,20 @@
 use process_table::ProcessTable;
 use state::{SharedTrial, TrialState};
 
-/// Time in s after the last request in which all are answered.
+/// Time in seconds from the end of the load until the trial ends. Open requests are answered within it.
 const SETTLE_S: f64 = 9.0;
 
-/// The program, and where a trial may write.
+/// Paths of the program and of the trial's files.
 #[derive(Debug, Clone)]
 pub struct TrialPaths {
-    /// The program.
+    /// Path of the built program.
     pub program: PathBuf,
-    /// A folder for this trial alone.
+    /// Folder for the configuration, the logs and the sockets of the processes. No other trial may use it.
     pub folder: PathBuf,
 }
 
-/// Runs a plan with processes. Their logs stay in the folder.
+/// Runs a plan with processes of the program, and returns the report. The logs of the processes stay in the
+/// folder.
 pub fn run(plan: Plan, paths: &TrialPaths) -> io::Result<Report> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, run_trial(plan, paths))
@@ -60,7 +61,7 @@
         shared.with(|trial| trial.discovery_addresses.push(address));
         server_connections::listen(&shared, proxy)?;
     }
-    // All sockets listen before the clock begins with the first process.
+    // The clock starts only now, because all sockets must listen before the first process starts.
     shared.with(|trial| trial.clock = clock::Clock::start());
     for proxy in 0..plan.proxies {
         let spread_s = shared.with(|trial| plan.start_spread_s * trial.fleet.rng.random::<f64>());
@@ -84,7 +85,7 @@
     Ok(report)
 }
 
-/// Starts a proxy and its clients.
+/// Starts a proxy at a time, and then runs its clients.
 async fn run_proxy(shared: SharedTrial, proxy: usize, start_at: f64) {
     let clock = shared.clock();
     clock.sleep_until(start_at).await;
--- a/testkit/src/fleet/process_trial/process_table.rs
+++ b/testkit/src/fleet/process_trial/process_table.rs
@@ -1,7 +1,7 @@
-//! The child processes of a trial by proxy.
+//! Child processes of a trial, by proxy.
 //!
-//! Owns every child process with its folder and its log, and signals them. A child is killed and reaped when
-//! it is dropped.
+//! Owns all child processes with their folders and logs, and sends signals to them. A child process is killed
+//! and reaped when it is dropped.
 
 use std::fs::File;
 use std::io;
@@ -15,10 +15,11 @@
 
 use super::TrialPaths;
 
-/// Ports for listeners, below those that the system assigns to outgoing connections.
+/// Ports at which processes listen. The range is below the ports that the operating system assigns to
+/// outgoing connections.
 const LISTEN_PORTS: Range<u32> = 10_000..32_000;
 
-/// A child process that is killed and reaped when it is dropped.
+/// Child process that is killed and reaped when it is dropped.
 pub struct OwnedChild(Child);
 
 impl Drop for OwnedChild {
@@ -40,7 +41,7 @@
     }
 }
 
-/// What a process is started with.
+/// Program, files and admin address for a process that has not been started yet.
 pub struct PreparedStart {
     program: PathBuf,
     folder: PathBuf,
@@ -50,8 +51,9 @@
 }
 
 impl PreparedStart {
-    /// Starts the process. Its files are written and it is spawned on a thread of its own: either may take
-    /// tens of milliseconds, and the stand-ins of the trial must go on answering meanwhile.
+    /// Writes the files of the process and starts it, on a separate thread. Both may take tens of
+    /// milliseconds, and the simulated servers and the discovery service, which share one thread, must go on
+    /// responding meanwhile. `start_index` is the index of the process's entry in the starts of the report.
     pub async fn spawn(self, start_index: usize) -> io::Result<Process> {
         let admin_address = self.admin_address;
         let child = spawn_blocking(move || self.spawn_child()).await??;
@@ -60,7 +62,7 @@
 
     fn spawn_child(&self) -> io::Result<OwnedChild> {
         let path = self.folder.join("config.json");
-        // The file is replaced atomically, because a process may reload it at any time.
+        // The file is replaced atomically, because another process of the proxy may reload it at any time.
         let temporary = self.folder.join("config.new");
         std::fs::write(&temporary, &self.config)?;
         std::fs::rename(&temporary, &path)?;
@@ -77,36 +79,37 @@
     }
 }
 
-/// A process of a proxy.
+/// Running process of a proxy.
 pub struct Process {
     child: OwnedChild,
     admin_address: SocketAddr,
-    /// Its index among the starts of the report.
+    /// Index of the process's entry in the starts of the report.
     start_index: usize,
 }
 
-/// The admin API of one process.
+/// Address of the admin API of one process.
 #[derive(Debug, Clone, Copy)]
 pub struct AdminEndpoint {
     pub proxy: usize,
     pub address: SocketAddr,
 }
 
-/// The processes of one proxy.
+/// Processes of one proxy.
 struct Proxy {
     folder: PathBuf,
     listen_address: SocketAddr,
-    /// In the order of their starts; the last one serves.
+    /// Processes in the order of their starts. The last one is the successor of the others.
     processes: Vec<Process>,
-    /// Number of starts.
+    /// Number of starts so far. It numbers the log files.
     start_count: u32,
     last_killed_at: Option<f64>,
-    /// Until when its processes were last paused.
+    /// End in seconds of the last pause of the processes, or infinity during a pause. `None` before the first
+    /// pause.
     paused_until: Option<f64>,
 }
 
 impl Proxy {
-    /// Kills all processes but the newest ones.
+    /// Kills all processes except for the newest `kept_count` ones.
     fn kill_all_but_newest(&mut self, kept_count: usize) {
         let killed_count = self.processes.len().saturating_sub(kept_count);
         self.processes.drain(..killed_count);
@@ -119,7 +122,7 @@
     }
 }
 
-/// The processes of all proxies.
+/// Processes of all proxies.
 pub struct ProcessTable {
     paths: TrialPaths,
     proxies: Vec<Proxy>,
@@ -127,9 +130,9 @@
 }
 
 impl ProcessTable {
-    /// A table without processes; creates a folder for each proxy.
+    /// Creates a table without processes, and a folder and a listen address for each proxy.
     pub fn new(paths: TrialPaths, proxies: usize) -> io::Result<Self> {
-        // Trials that run at the same time begin at different ports.
+        // The first port depends on the process id, so trials that run at the same time try different ports.
         let next_port =
             LISTEN_PORTS.start + std::process::id() * 997 % (LISTEN_PORTS.end - LISTEN_PORTS.start);
         let mut table = Self { paths, proxies: Vec::new(), next_port };
@@ -149,7 +152,7 @@
         Ok(table)
     }
 
-    /// An address at which no process listens.
+    /// Returns an address at which no process listens.
     fn free_address(&mut self) -> io::Result<SocketAddr> {
         for _ in LISTEN_PORTS {
             self.next_port = LISTEN_PORTS.start
@@ -162,12 +165,12 @@
         Err(io::ErrorKind::AddrNotAvailable.into())
     }
 
-    /// Where clients reach a proxy.
+    /// Returns the address at which a proxy listens for clients.
     pub fn listen_address(&self, proxy: usize) -> SocketAddr {
         self.proxies[proxy].listen_address
     }
 
-    /// The admin APIs of all processes.
+    /// Returns the addresses of the admin APIs of all processes.
     pub fn admin_endpoints(&self) -> Vec<AdminEndpoint> {
         let proxies = self.proxies.iter().enumerate();
         proxies
@@ -178,32 +181,35 @@
             .collect()
     }
 
-    /// The admin API of a proxy's successor, while there is one.
+    /// Returns the address of the admin API of a proxy's successor. Returns `None` if the proxy has no
+    /// successor.
     pub fn successor_admin_address(&self, proxy: usize) -> Option<SocketAddr> {
         self.proxies[proxy].processes.get(1).map(|process| process.admin_address)
     }
 
-    /// Number of processes of a proxy.
+    /// Returns the number of processes of a proxy.
     pub fn process_count(&self, proxy: usize) -> usize {
         self.proxies[proxy].processes.len()
     }
 
-    /// The index in the report of the start of the process that serves a proxy.
+    /// Returns the index in the report's starts of a proxy's newest process. Returns `None` if the proxy has
+    /// no process.
     pub fn start_index(&self, proxy: usize) -> Option<usize> {
         self.proxies[proxy].processes.last().map(|process| process.start_index)
     }
 
-    /// Whether a process of a proxy was killed after a time.
+    /// Returns whether the processes of a proxy were last killed at or after the time `since`.
     pub fn was_killed_since(&self, proxy: usize, since: f64) -> bool {
         self.proxies[proxy].last_killed_at.is_some_and(|at| at >= since)
     }
 
-    /// Whether a proxy's processes have been paused after a time.
+    /// Returns whether the processes of a proxy were paused at or after the time `since`.
     pub fn was_paused_since(&self, proxy: usize, since: f64) -> bool {
         self.proxies[proxy].paused_until.is_some_and(|until| until >= since)
     }
 
-    /// Chooses the admin address and the log file of a new process.
+    /// Assigns an admin address and a log file to a new process. `config` is the text of its configuration
+    /// file.
     pub fn prepare_start(&mut self, proxy: usize, config: String) -> io::Result<PreparedStart> {
         let admin_address = self.free_address()?;
         let proxy = &mut self.proxies[proxy];
@@ -213,34 +219,35 @@
         Ok(PreparedStart { program, folder, config, log_file, admin_address })
     }
 
-    /// Adds a process that has started.
+    /// Adds a started process as the newest process of a proxy.
     pub fn add_process(&mut self, proxy: usize, process: Process) {
         self.proxies[proxy].processes.push(process);
     }
 
-    /// Pauses a proxy's processes.
+    /// Pauses the processes of a proxy with `SIGSTOP`.
     pub fn pause(&mut self, proxy: usize) {
         self.proxies[proxy].send_signal(Signal::STOP);
         self.proxies[proxy].paused_until = Some(f64::INFINITY);
     }
 
-    /// Resumes a proxy's processes.
+    /// Resumes the processes of a proxy with `SIGCONT`.
     pub fn resume(&mut self, proxy: usize, now: f64) {
         self.proxies[proxy].send_signal(Signal::CONT);
         self.proxies[proxy].paused_until = Some(now);
     }
 
-    /// Has a proxy's processes reload their configuration.
+    /// Makes the processes of a proxy reload their configuration, with `SIGHUP`.
     pub fn reload(&self, proxy: usize) {
         self.proxies[proxy].send_signal(Signal::HUP);
     }
 
-    /// Has a proxy's processes shut down gracefully.
+    /// Makes the processes of a proxy shut down gracefully, with `SIGTERM`.
     pub fn shut_down(&self, proxy: usize) {
         self.proxies[proxy].send_signal(Signal::TERM);
     }
 
-    /// Has one process of a proxy shut down gracefully, unless it was killed meanwhile.
+    /// Makes one process of a proxy shut down gracefully, with `SIGTERM`. Does nothing if the process has
+    /// been killed.
     pub fn shut_down_process(&self, proxy: usize, start_index: usize) {
         let mut processes = self.proxies[proxy].processes.iter();
         if let Some(process) = processes.find(|process| process.start_index == start_index) {
@@ -248,25 +255,25 @@
         }
     }
 
-    /// Whether one process of a proxy has exited or was killed.
+    /// Returns whether one process of a proxy has exited or has been killed.
     pub fn has_exited(&mut self, proxy: usize, start_index: usize) -> bool {
         let mut processes = self.proxies[proxy].processes.iter_mut();
         let process = processes.find(|process| process.start_index == start_index);
         process.is_none_or(|process| process.child.has_exited())
     }
 
-    /// Kills a proxy's processes.
+    /// Kills all processes of a proxy, and records the time.
     pub fn kill(&mut self, proxy: usize, now: f64) {
         self.proxies[proxy].last_killed_at = Some(now);
         self.proxies[proxy].kill_all_but_newest(0);
     }
 
-    /// Kills the predecessors of the process that serves a proxy.
+    /// Kills all processes of a proxy except for the newest one.
     pub fn kill_predecessors(&mut self, proxy: usize) {
         self.proxies[proxy].kill_all_but_newest(1);
     }
 
-    /// Kills all processes, and describes those that had exited by themselves.
+    /// Kills the processes of all proxies. Returns a description of each process that had already exited.
     pub fn kill_all(&mut self) -> Vec<String> {
         let mut unexpected_exits = Vec::new();
         for (proxy_index, proxy) in self.proxies.iter_mut().enumerate() {
@@ -281,7 +288,7 @@
     }
 }
 
-/// Describes a process that has exited although nobody ended it.
+/// Describes the exit of a process that the trial did not end.
 fn describe_exit(proxy: usize, status: ExitStatus) -> String {
     let kind = if status.success() { "Ended" } else { "Crashed" };
     format!("{kind}: a process of proxy {proxy} ended with {status}")
--- a/testkit/src/fleet/process_trial/process_table/tests.rs
+++ b/testkit/src/fleet/process_trial/process_table/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// Guards against a process that ended in order and is reported as crashed.
+/// Guards against a description that reports an exit with status 0 as a crash.
 #[test]
 fn an_exit_is_described_by_its_status() {
     let in_order = describe_exit(3, ExitStatus::from_raw(0));
--- a/testkit/src/fleet/process_trial/proxy_config.rs
+++ b/testkit/src/fleet/process_trial/proxy_config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a proxy process, in the names of the platform.
+//! Conversion of settings and endpoints to the formats of the configuration file and of the endpoint list.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,12 +13,12 @@
     time.as_secs_f64() * 1e3
 }
 
-/// The name of a class.
+/// Returns the name of a class in the configuration and in the comments of statements.
 pub fn class_name(class: ClassId) -> String {
     format!("c{}", class.0)
 }
 
-/// The name of a zone.
+/// Returns the name of a zone in the configuration and in the endpoint list.
 pub fn zone_name(zone: usize) -> String {
     format!("z{zone}")
 }
@@ -43,7 +43,8 @@
     })
 }
 
-/// The settings of one proxy, with the timeout in s of its idle connections to servers.
+/// Returns the settings of one proxy in the format of the configuration file. `idle_timeout_s` is the timeout
+/// in seconds of idle connections to servers.
 pub fn settings(settings: &Settings, zones: usize, idle_timeout_s: f64) -> Value {
     json!({
         "Index": settings.instance_index,
@@ -141,7 +142,8 @@
     })
 }
 
-/// An entry of the endpoint list, without the role of the server.
+/// Returns an entry of the endpoint list in the format of the discovery API, without the role of the server.
+/// `started_unix_ms` is the start of the server in Unix time in milliseconds, or `None` if it is not listed.
 pub fn endpoint_entry(endpoint: &Endpoint, address: SocketAddr, started_unix_ms: Option<f64>) -> Value {
     json!({
         "uid": format!("s{}", endpoint.server.0),
--- a/testkit/src/fleet/process_trial/server_connections.rs
+++ b/testkit/src/fleet/process_trial/server_connections.rs
@@ -1,8 +1,8 @@
-//! Data servers on sockets: each listens at an address of its own for each proxy.
+//! Data servers on sockets, with a separate address for each pair of a proxy and a server.
 //!
-//! Owns the connections of proxies to servers. Statements go to the model of the server, and responses are
-//! written after the delay of the link. A connection writes nothing while its link or its server drops data,
-//! and is reset when either comes back.
+//! Owns the connections of proxies to servers. The model of the server executes the statements, and responses
+//! are written after the delay of the link. A connection that has lost data, because its link or its server
+//! dropped it, writes nothing more. It is reset once the link and the server pass data again.
 
 use std::io;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 use super::state::{SharedTrial, TrialState};
 use crate::wire::message;
 
-/// Interval of the checks whether a link has come back.
+/// Interval between the checks whether the link of a connection that has lost data is open again.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// SQLSTATE of a full server.
+/// SQLSTATE of a server whose connection limit is reached.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// Listens for a proxy at the servers that were added since the last call.
+/// Opens the listening sockets for a proxy of all servers that were added since the last call.
 pub fn listen(shared: &SharedTrial, proxy: usize) -> io::Result<()> {
     let servers = shared.with(|trial| trial.fleet.site.servers.len());
     for server in 0..servers {
@@ -46,24 +46,25 @@
     Ok(())
 }
 
-/// A connection of a proxy to a server.
+/// Connection of a proxy to a server.
 struct ServerConnection {
     shared: SharedTrial,
     proxy: usize,
     server: usize,
-    /// The incarnation of the server that accepted it.
+    /// Incarnation of the server when the proxy opened the connection.
     incarnation: u32,
     opened_at: f64,
     state_changes: watch::Receiver<u64>,
-    /// Data was dropped: the connection is reset once the link and the server are back.
+    /// Whether data of the connection was dropped. The connection is reset once the link is open and the
+    /// server is responsive again.
     data_lost: bool,
 }
 
-/// Why a connection ends.
+/// Reason for the end of a connection.
 enum ConnectionEnd {
-    /// The proxy closed it.
+    /// The proxy closed the connection, or the server refused it with an error response.
     Closed,
-    /// The server or the link resets it.
+    /// The server or the link resets the connection.
     Reset,
 }
 
@@ -73,11 +74,11 @@
     }
 }
 
-/// The state of a connection's link and server.
+/// Present state of a connection's link and server.
 struct ConnectionState {
     link: LinkState,
     server: ServerState,
-    /// The connection is reset.
+    /// Whether the connection must be reset.
     reset: bool,
 }
 
@@ -116,7 +117,7 @@
         })
     }
 
-    /// Waits until the connection is reset.
+    /// Waits until the connection must be reset.
     async fn wait_for_reset(&mut self) -> ConnectionEnd {
         loop {
             let state = self.state();
@@ -124,7 +125,7 @@
             if state.reset || (self.data_lost && has_recovered) {
                 return ConnectionEnd::Reset;
             }
-            // The end of a link fault sends no notification of its own.
+            // The state of a link depends on the time, so a connection that has lost data also polls.
             tokio::select! {
                 _ = self.state_changes.changed() => {}
                 () = tokio::time::sleep(CHECK_INTERVAL), if self.data_lost => {}
@@ -132,13 +133,13 @@
         }
     }
 
-    /// Drops what was received, and waits until the connection is reset.
+    /// Marks the connection as having lost data, and waits until it must be reset.
     async fn drop_data(&mut self) -> ConnectionEnd {
         self.data_lost = true;
         self.wait_for_reset().await
     }
 
-    /// Sleeps for a multiple of the link's one-way delay.
+    /// Sleeps for `factor` times the one-way delay of the link.
     async fn sleep_one_way(&self, factor: f64) {
         self.shared.sleep_one_way(self.proxy, self.server, factor).await;
     }
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Counts the connection as closed at its server.
+    /// Removes the connection from the count of open connections at the server.
     fn record_closed(&self) {
         self.shared.with(|trial| {
             let model = &mut trial.fleet.site.servers[self.server].model;
@@ -169,7 +170,7 @@
         });
     }
 
-    /// Accepts the connection; false if the server's connection limit is reached.
+    /// Handles the startup of the connection. Returns false if the server's connection limit is reached.
     async fn accept(&mut self, stream: &mut MessageStream) -> Result<bool, ConnectionEnd> {
         tokio::select! {
             end = self.wait_for_reset() => return Err(end),
@@ -195,7 +196,7 @@
         Ok(true)
     }
 
-    /// Serves the statements of a connection until it ends.
+    /// Serves the statements of the connection until it ends.
     async fn serve(&mut self, stream: &mut MessageStream) -> ConnectionEnd {
         loop {
             let read = tokio::select! {
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Receives data without a response until the connection ends.
+    /// Sends no response: waits until the connection ends, and records that the attempt was abandoned.
     async fn wait_without_response(&mut self, stream: &mut MessageStream, text: &str) -> ConnectionEnd {
         let end = tokio::select! {
             end = self.wait_for_reset() => end,
@@ -237,7 +238,8 @@
         end
     }
 
-    /// Records that the proxy closed the connection during an attempt, whose execution continues.
+    /// Records that the proxy closed the connection during an attempt. The execution of the attempt
+    /// continues.
     fn record_abandoned_attempt(&self, text: &str) -> ConnectionEnd {
         if let Some(id) = request_id(text) {
             self.shared.with(|trial| {
@@ -247,7 +249,7 @@
         ConnectionEnd::Closed
     }
 
-    /// Records what the proxy learns from a response.
+    /// Records the end of an attempt, and the role of the server that the proxy learns from the response.
     fn record_response(&self, response: &ServerResponse) {
         let Some(attempt) = response.attempt else { return };
         self.shared.with(|trial| {
--- a/testkit/src/fleet/process_trial/server_execution.rs
+++ b/testkit/src/fleet/process_trial/server_execution.rs
@@ -1,4 +1,4 @@
-//! Execution of statements at the modelled servers, and their responses on the wire.
+//! Execution of statements by the server models, and the encoding of the responses.
 
 use pipittack_core::api::{ClassId, Outcome, ServerStatus};
 use rand::Rng;
@@ -11,48 +11,49 @@
 use super::state::{SharedTrial, TrialState};
 use crate::wire::{message, row};
 
-/// Time in s in which a proxy is expected to process a response.
+/// Time in seconds within which a proxy must have processed a response.
 const RESPONSE_PROCESSING_S: f64 = 0.1;
-/// The statement of a health check.
+/// Statement of a health check.
 const HEALTH_CHECK_STATEMENT: &str = "SELECT 1";
-/// The statement of a health check with a load report.
+/// Statement of a health check that requests a load report.
 const LOAD_REPORT_STATEMENT: &str = "SHOW stats";
 
-/// SQLSTATE of an unknown statement.
+/// SQLSTATE of the response to a statement that no client sent.
 const PROTOCOL_VIOLATION: &str = "08P01";
 /// SQLSTATE of a write at a replica.
 const READ_ONLY_TRANSACTION: &str = "25006";
-/// SQLSTATE of a server that sends no load reports.
+/// SQLSTATE of the response to a request of a load report by a server that sends none.
 const INSUFFICIENT_PRIVILEGE: &str = "42501";
-/// SQLSTATE of a full server.
+/// SQLSTATE of a rejection by a server that drains or whose queue is full.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 /// SQLSTATE of a failed execution.
 const INTERNAL_ERROR: &str = "XX000";
 
-/// An attempt that ended at its server.
+/// Attempt that ended at its server, with the id of the try and the outcome.
 #[derive(Debug, Clone, Copy)]
 pub struct EndedAttempt {
     pub request: u64,
     pub outcome: Outcome,
 }
 
-/// A server's response to a statement.
+/// Response of a server to a statement.
 pub struct ServerResponse {
     body: Vec<u8>,
     pub status: ServerStatus,
     position_unix_ms: Option<f64>,
-    /// The attempt that ended; none for a health check.
+    /// The attempt that the response ends. `None` for a health check and for an unknown statement.
     pub attempt: Option<EndedAttempt>,
 }
 
 impl ServerResponse {
-    /// A response without the server's status.
+    /// Creates a response without the status of the server.
     fn without_status(body: Vec<u8>) -> Self {
         let status = ServerStatus { position: None, primary: None };
         Self { body, status, position_unix_ms: None, attempt: None }
     }
 
-    /// The messages of the response.
+    /// Encodes the response as protocol messages, with the status of the server in `ParameterStatus`
+    /// messages.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = self.body.clone();
         if let Some(primary) = self.status.primary {
@@ -67,12 +68,12 @@
     }
 }
 
-/// The id of the try in a statement's comment.
+/// Returns the id of the try from the comment of a statement.
 pub fn request_id(text: &str) -> Option<u64> {
     comment_value(text, "id").and_then(|id| u64::from_str_radix(id, 16).ok())
 }
 
-/// An attempt at a server.
+/// Attempt that has reached a server.
 #[derive(Clone)]
 struct Attempt {
     shared: SharedTrial,
@@ -81,11 +82,12 @@
     class: ClassId,
     work_s: f64,
     sent_at: f64,
-    /// The server was primary before, and the proxy could not know otherwise.
+    /// Whether the server was primary at some time and the proxy had no time to learn that it no longer was.
+    /// A stale read is then no violation.
     may_read_stale: bool,
 }
 
-/// Executes a statement; none if the server never responds.
+/// Executes a statement, and returns the response. Returns `None` if the server never responds.
 pub async fn execute(
     shared: SharedTrial,
     proxy: usize,
@@ -133,7 +135,8 @@
     }
 }
 
-/// Whether a server was primary before, and a proxy could not know otherwise.
+/// Returns whether a server was primary at some time, and no response that the proxy must have processed has
+/// informed the proxy that the server is not primary.
 fn may_read_stale(trial: &TrialState, proxy: usize, server: usize, now: f64) -> bool {
     let informed_at = trial.not_primary_since.get(&(proxy, server));
     let informed = informed_at.is_some_and(|at| at + RESPONSE_PROCESSING_S < now);
@@ -141,7 +144,7 @@
 }
 
 impl Attempt {
-    /// Has the server admit the attempt.
+    /// Passes the attempt to the model of its server, and records it in the report and the rule checker.
     fn admit(&self, proxy: usize) -> RequestAdmission {
         self.shared.with(|trial| {
             let known_start = trial.known_starts.get(&(proxy, self.server)).copied();
@@ -161,7 +164,7 @@
         })
     }
 
-    /// A response with the present status of the server.
+    /// Returns the response to an attempt that was not executed, with the present status of the server.
     fn rejection_response(&self, outcome: Outcome, body: Vec<u8>) -> ServerResponse {
         let status = self.shared.with(|trial| trial.fleet.site.status(self.server, trial.clock.now()));
         self.new_response(outcome, body, status)
@@ -176,7 +179,8 @@
         })
     }
 
-    /// The response to an attempt that was executed.
+    /// Returns the response to an attempt that was executed. A successful response contains the id of the
+    /// try.
     fn execution_response(&self, completion: Completion) -> ServerResponse {
         let Completion { outcome, status } = completion;
         let body = if outcome == Outcome::Success {
@@ -187,7 +191,7 @@
         self.new_response(outcome, body, status)
     }
 
-    /// Crashes the server, which the attempt has overloaded.
+    /// Crashes the server because the attempt overloaded it.
     fn crash_server(&self, informed_share: f64) {
         let mut effects = Vec::new();
         self.shared.with(|trial| {
@@ -198,7 +202,7 @@
         self.shared.handle_effects(effects);
     }
 
-    /// Executes the attempt; none if the server fails before it is done.
+    /// Executes the attempt between two times. Returns `None` if the server fails before the execution ends.
     async fn execute(self, starts_at: f64, ends_at: f64) -> Option<Completion> {
         let clock = self.shared.clock();
         let incarnation = self.shared.with(|trial| trial.fleet.site.servers[self.server].model.incarnation);
@@ -214,7 +218,7 @@
         Some(self.finish_execution())
     }
 
-    /// Whether the server still works on the attempt.
+    /// Returns whether the server is up in the incarnation that started the attempt.
     fn is_executing(&self, incarnation: u32) -> bool {
         self.shared.with(|trial| {
             let model = &trial.fleet.site.servers[self.server].model;
@@ -222,7 +226,7 @@
         })
     }
 
-    /// Starts the execution, and reads the data.
+    /// Starts the execution. If the server is a replica, passes the position of the data to the rule checker.
     fn read_data(&self) {
         self.shared.with(|trial| {
             let now = trial.clock.now();
@@ -240,7 +244,7 @@
         });
     }
 
-    /// Ends the execution, and commits a write.
+    /// Ends the execution, and records the commit of a successful write.
     fn finish_execution(&self) -> Completion {
         self.shared.with(|trial| {
             let now = trial.clock.now();
@@ -257,7 +261,8 @@
     }
 }
 
-/// Answers a health check, with a load report if the statement asks for one and servers send them.
+/// Responds to a health check, with a load report if the statement requests one. The response to such a
+/// request is an error if servers send no load reports.
 async fn health_check(shared: &SharedTrial, server: usize, text: &str) -> Option<ServerResponse> {
     let clock = shared.clock();
     let done_at = shared.with(|trial| {
--- a/testkit/src/fleet/process_trial/state.rs
+++ b/testkit/src/fleet/process_trial/state.rs
@@ -1,7 +1,7 @@
-//! The state that all sockets of a trial share.
+//! State that all tasks of a trial share.
 //!
-//! Owns the models of the fleet, the addresses, and what each proxy has received. All tasks run on one
-//! thread; a borrow of the state never lasts across an `await`.
+//! Owns the models of the fleet, the addresses, and the information that each proxy has received. All tasks
+//! run on one thread. A borrow of the state must not last across an `await`.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -22,41 +22,42 @@
 use super::clock::Clock;
 use super::process_table::ProcessTable;
 
-/// Connections between proxies and ends that were reset.
+/// Reset of all connections between some proxies and some link ends, at a time in seconds.
 pub struct LinkReset {
     pub proxies: Vec<usize>,
     pub ends: Vec<LinkEnd>,
     pub at: f64,
 }
 
-/// The state of a trial.
+/// State of a trial.
 pub struct TrialState {
     pub fleet: FleetModel,
     pub clock: Clock,
-    /// Each try by its id.
+    /// The client request of each try, by the id of the try.
     pub client_requests: HashMap<u64, ClientRequest>,
-    /// Number of tries so far.
+    /// Id of the last try. The id is in the comment of the statement.
     pub last_request_id: u64,
-    /// Commits that no client has received yet, by request.
+    /// Commit times in seconds of the writes whose response no client has received yet, by the id of the try.
     pub unacknowledged_commits: HashMap<u64, f64>,
-    /// Where each proxy reaches each server.
+    /// Address of each server for each proxy, by proxy and server.
     pub server_addresses: HashMap<(usize, usize), SocketAddr>,
-    /// Where each proxy reaches the discovery service.
+    /// Address of the discovery service for each proxy.
     pub discovery_addresses: Vec<SocketAddr>,
-    /// The proxies as the clients' load balancer sees them.
+    /// State of each proxy in the clients' load balancer.
     pub balancer_targets: Vec<BalancerTarget>,
     pub processes: ProcessTable,
-    /// When each proxy was first informed that a server is not primary.
+    /// Time of the first response that informed a proxy that a server is not primary, by proxy and server. A
+    /// response with another role removes the entry.
     pub not_primary_since: BTreeMap<(usize, usize), f64>,
-    /// The start times of servers that each proxy has received.
+    /// Start time in seconds of a server that a proxy has received in an endpoint list, by proxy and server.
     pub known_starts: HashMap<(usize, usize), f64>,
-    /// Incremented by changes that may end connections.
+    /// Counter that is incremented by changes that may end connections.
     pub state_changes: watch::Sender<u64>,
     pub link_resets: Vec<LinkReset>,
 }
 
 impl TrialState {
-    /// The state of a plan before its start.
+    /// Returns the state before the trial starts.
     pub fn new(plan: Plan, processes: ProcessTable) -> Self {
         Self {
             clock: Clock::start(),
@@ -75,12 +76,12 @@
         }
     }
 
-    /// Has connections check whether they end.
+    /// Notifies all connections, which then check whether they have been reset.
     pub fn notify_connections(&self) {
         self.state_changes.send_modify(|count| *count += 1);
     }
 
-    /// Records the start times in a list that a proxy receives.
+    /// Records the start times of servers from endpoints that a proxy receives.
     pub fn record_start_times(&mut self, proxy: usize, endpoints: &[Endpoint]) {
         for endpoint in endpoints {
             if let Some(started_at) = endpoint.started_at {
@@ -90,14 +91,15 @@
         }
     }
 
-    /// The report's entry for the start of the process that serves a proxy.
+    /// Returns the report's entry for the start of a proxy's newest process. Returns `None` if the proxy has
+    /// no process.
     pub fn process_start_entry(&mut self, proxy: usize) -> Option<&mut ProcessStart> {
         let index = self.processes.start_index(proxy)?;
         self.fleet.report.starts.get_mut(index)
     }
 }
 
-/// The state, shared by all tasks of a trial.
+/// Handle for the state of a trial.
 #[derive(Clone)]
 pub struct SharedTrial(Rc<RefCell<TrialState>>);
 
@@ -106,7 +108,7 @@
         Self(Rc::new(RefCell::new(state)))
     }
 
-    /// Calls a function with the state.
+    /// Borrows the state for one operation, and returns its result.
     pub fn with<T>(&self, operation: impl FnOnce(&mut TrialState) -> T) -> T {
         operation(&mut self.0.borrow_mut())
     }
@@ -119,13 +121,13 @@
         self.clock().now()
     }
 
-    /// The present state of a proxy's link.
+    /// Returns the present state of the link between a proxy and a server or the discovery service.
     pub fn link_state(&self, proxy: usize, end: LinkEnd) -> LinkState {
         let trial = self.0.borrow();
         trial.fleet.link_state(proxy, end, trial.clock.now())
     }
 
-    /// Sleeps for a multiple of the one-way delay between a proxy and a server.
+    /// Sleeps for `factor` times the one-way delay between a proxy and a server.
     pub async fn sleep_one_way(&self, proxy: usize, server: usize, factor: f64) {
         let clock = self.clock();
         let now = clock.now();
@@ -133,8 +135,9 @@
         clock.sleep_until(now + factor * delay).await;
     }
 
-    /// Handles the effects of an operation on the site. Watches and connections notice publications and exits
-    /// themselves.
+    /// Handles the effects of an operation on the site: schedules elections, registers new servers and
+    /// notifies the connections. Publications need no handling, because each watch checks the version of the
+    /// endpoint list.
     pub fn handle_effects(&self, effects: Vec<Effect>) {
         for effect in effects {
             if let Effect::ElectionDue { set, at } = effect {
--- a/testkit/src/fleet/report.rs
+++ b/testkit/src/fleet/report.rs
@@ -103,7 +103,8 @@
     /// Crashes of servers that were overloaded during their warm-up.
     #[serde(rename = "fell")]
     pub overload_crashes: usize,
-    /// Descriptions of violations of the service rules, and errors of the trial itself.
+    /// Descriptions of violations of the service rules, and errors of the trial, such as a process that did
+    /// not start.
     #[serde(rename = "broken")]
     pub violations: Vec<String>,
 }
--- a/testkit/src/fleet/simulation/process.rs
+++ b/testkit/src/fleet/simulation/process.rs
@@ -51,7 +51,7 @@
 /// State of the servers as a process has observed it. A successor gets a copy from its predecessor.
 #[derive(Clone, Default)]
 pub struct ServerObservations {
-    /// Newest replication position that each replica has reported. `None` after a response of a primary.
+    /// Newest replication position that each replica has reported. `None` after a response from a primary.
     pub positions: HashMap<usize, Option<f64>>,
     /// Servers whose last reported role is replica.
     pub not_primary: HashSet<usize>,
