--- a/testkit/src/fleet/process_trial/clients.rs
+++ b/testkit/src/fleet/process_trial/clients.rs
@@ -1,7 +1,7 @@
 //! Clients that create requests, send them to the proxies through a load balancer, and retry them.
 //!
-//! Owns the load balancer's state of each proxy. The load balancer sends requests only to admitted proxies.
-//! It admits a proxy that has passed a health check.
+//! Owns the state of each proxy in the load balancer. The load balancer sends requests only to admitted
+//! proxies. It admits a proxy that has passed a health check.
 
 use std::time::Duration;
 
--- a/testkit/src/fleet/process_trial/discovery_service.rs
+++ b/testkit/src/fleet/process_trial/discovery_service.rs
@@ -116,9 +116,9 @@
 fn list_update(shared: &SharedTrial, proxy: usize, after: Option<usize>, version: usize) -> Value {
     shared.with(|trial| {
         let now = trial.clock.now();
-        let known = after.filter(|after| *after <= version);
-        let endpoints = match known {
-            Some(known) => trial.fleet.site.discovery.changes_since(known, version),
+        let known_version = after.filter(|after| *after <= version);
+        let endpoints = match known_version {
+            Some(known_version) => trial.fleet.site.discovery.changes_since(known_version, version),
             None => trial.fleet.site.discovery.full_list(version),
         };
         for endpoint in &endpoints {
@@ -127,7 +127,7 @@
         }
         trial.record_start_times(proxy, &endpoints);
         trial.fleet.cached_versions[proxy] = Some(version);
-        match known {
+        match known_version {
             Some(_) => incremental_list(trial, proxy, &endpoints, version),
             None => full_list(trial, proxy, &endpoints, version),
         }
--- a/testkit/src/fleet/process_trial/lifecycle.rs
+++ b/testkit/src/fleet/process_trial/lifecycle.rs
@@ -71,7 +71,7 @@
     trial.balancer_targets[proxy].idle.clear();
 }
 
-/// Kills the processes of a proxy, and starts a new one after `downtime_s`.
+/// Kills the processes of a proxy, and starts a new one after `downtime_s` seconds.
 pub async fn kill(shared: SharedTrial, proxy: usize, downtime_s: f64) {
     let clock = shared.clock();
     shared.with(|trial| kill_processes(trial, proxy));
--- a/testkit/src/fleet/simulation/discovery.rs
+++ b/testkit/src/fleet/simulation/discovery.rs
@@ -71,9 +71,10 @@
         let proxy = state.proxy;
         // A service that was restored from a backup may have lost the version of the process. It then sends
         // the full list.
-        let known = state.list_version.replace(version).filter(|known| *known <= version);
-        let endpoints = match known {
-            Some(known) => self.fleet.site.discovery.changes_since(known, version),
+        let known_version =
+            state.list_version.replace(version).filter(|known_version| *known_version <= version);
+        let endpoints = match known_version {
+            Some(known_version) => self.fleet.site.discovery.changes_since(known_version, version),
             None => self.fleet.site.discovery.full_list(version),
         };
         for endpoint in &endpoints {
@@ -84,7 +85,7 @@
             }
         }
         self.record_start_times(process, &endpoints);
-        let update = match known {
+        let update = match known_version {
             Some(_) => EndpointUpdate::Changes(endpoints),
             None => EndpointUpdate::Full(endpoints),
         };
--- a/testkit/src/fleet/simulation/lifecycle.rs
+++ b/testkit/src/fleet/simulation/lifecycle.rs
@@ -87,7 +87,8 @@
     }
 
     /// Shuts down the processes of a proxy gracefully, and schedules the start of a new one. `downtime_s` is
-    /// the time from the shutdown signal until that start.
+    /// the time in seconds from the shutdown signal until that start, which is later than the shutdown
+    /// deadline in any case.
     pub(super) fn restart(&mut self, proxy: usize, downtime_s: f64) {
         if self.live_processes[proxy].is_empty() {
             return;
@@ -146,7 +147,7 @@
         self.live_processes[proxy].retain(|other| *other != process);
     }
 
-    /// Kills the processes of a proxy, and schedules the start of a new one after `downtime_s`.
+    /// Kills the processes of a proxy, and schedules the start of a new one after `downtime_s` seconds.
     pub(super) fn kill(&mut self, proxy: usize, downtime_s: f64) {
         if self.live_processes[proxy].is_empty() {
             return;
--- a/testkit/src/fleet/simulation/process.rs
+++ b/testkit/src/fleet/simulation/process.rs
@@ -63,6 +63,7 @@
 pub struct Process {
     pub proxy: usize,
     pub router: RoutingEngine,
+    /// Whether the process has not exited.
     pub alive: bool,
     /// Whether the process accepts requests.
     pub accepting: bool,
@@ -70,9 +71,13 @@
     pub paused_until: f64,
     /// Index of the process's entry in the starts of the report.
     pub start_index: usize,
+    /// Events that the next step passes to the routing engine.
     pub events: Vec<Event>,
+    /// Expiry and id of each running timer.
     pub timers: BinaryHeap<Reverse<(Duration, u64)>>,
+    /// Time of the last step in seconds. 0 before the first step.
     pub last_step_at: f64,
+    /// Time of the scheduled step in seconds. `None` if no step is scheduled.
     pub next_step_at: Option<f64>,
     pub open_requests: BTreeMap<RequestId, OpenRequest>,
     pub in_flight: BTreeMap<AttemptId, InFlightAttempt>,
@@ -80,6 +85,7 @@
     pub idle_connections: HashMap<usize, Vec<IdleConnection>>,
     /// Version of the endpoint list that the process last received. `None` before the first list.
     pub list_version: Option<usize>,
+    /// Whether the process has an open watch of the discovery service.
     pub watching: bool,
     pub observations: ServerObservations,
 }
