--- a/testkit/src/fleet/process_trial/clients.rs
+++ b/testkit/src/fleet/process_trial/clients.rs
@@ -1,7 +1,7 @@
-//! Clients of the proxies behind a load balancer: they create requests, try them and retry them.
+//! Clients that create requests, send them to the proxies through a load balancer, and retry them.
 //!
-//! Owns what the load balancer knows of each proxy. It sends requests only to proxies that it has admitted
-//! after a health check.
+//! Owns the state of each proxy in the load balancer. The load balancer sends requests only to admitted
+//! proxies. It admits a proxy that has passed a health check.
 
 use std::time::Duration;
 
@@ -15,30 +15,31 @@
 use super::proxy_config::class_name;
 use super::state::{SharedTrial, TrialState};
 
-/// Interval of the health checks of a proxy that is not admitted.
+/// Interval between the health checks of a proxy that is not admitted.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Timeout of a health check.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time in s after which the load balancer removes a proxy that can't be reached.
+/// Time in seconds after which the load balancer removes an unreachable proxy.
 const UNREACHABLE_TIMEOUT_S: f64 = 1.0;
 
-/// A proxy as the load balancer sees it.
+/// State of a proxy in the load balancer.
 #[derive(Default)]
 pub struct BalancerTarget {
-    /// Clients are sent to it.
+    /// Whether the load balancer sends requests to the proxy.
     pub admitted: bool,
-    /// Since when it can't be reached.
+    /// Time in seconds of the first failed connection since the proxy was admitted or last served or rejected
+    /// a request. `None` without such a failure.
     pub unreachable_since: Option<f64>,
-    /// Idle connections of clients.
+    /// Idle connections of clients to the proxy.
     pub idle: Vec<MessageStream>,
 }
 
-/// Health checks a proxy until it is ready, and admits it.
+/// Sends health checks to a proxy until one succeeds, and then admits the proxy.
 pub async fn admit_when_ready(shared: SharedTrial, proxy: usize) {
     while !shared.with(|trial| trial.balancer_targets[proxy].admitted) {
         let address = shared.with(|trial| trial.processes.listen_address(proxy));
-        let checked = tokio::time::timeout(HEALTH_CHECK_TIMEOUT, health_check(address)).await;
-        if matches!(checked, Ok(Ok(()))) {
+        let check_result = tokio::time::timeout(HEALTH_CHECK_TIMEOUT, health_check(address)).await;
+        if matches!(check_result, Ok(Ok(()))) {
             shared.with(|trial| {
                 trial.balancer_targets[proxy].admitted = true;
                 trial.balancer_targets[proxy].unreachable_since = None;
@@ -49,17 +50,17 @@
     }
 }
 
-/// Creates the requests of a proxy's clients until the trial ends.
+/// Creates the requests of a proxy's clients until the end of the load.
 pub async fn run_clients(shared: &SharedTrial, proxy: usize) {
     let clock = shared.clock();
     loop {
-        let (interval, ended) = shared.with(|trial| {
+        let (interval, load_ended) = shared.with(|trial| {
             let now = clock.now();
             let factor = trial.fleet.burst_factor(now);
-            let ended = now > START_S + trial.fleet.plan.duration_s;
-            (trial.fleet.workload.next_interval(proxy, factor), ended)
+            let load_ended = now > START_S + trial.fleet.plan.duration_s;
+            (trial.fleet.workload.next_interval(proxy, factor), load_ended)
         });
-        if ended {
+        if load_ended {
             return;
         }
         clock.sleep_until(clock.now() + interval).await;
@@ -80,7 +81,7 @@
     }
 }
 
-/// Runs one try of a request.
+/// Runs one try of a request: sends the statement, checks the answer and records the result in the report.
 async fn run_try(shared: &SharedTrial, request: &ClientRequest) -> Result<(), TryFailure> {
     let clock = shared.clock();
     let (statement, admitted) = shared.with(|trial| {
@@ -97,7 +98,7 @@
     let now = clock.now();
     shared.with(|trial| {
         check_answer(trial, request, &statement, sent_at, &result);
-        let ended = match result {
+        let outcome = match result {
             Ok(ClientResponse::Served(body)) => {
                 request_served(trial, request, &statement, &body, now);
                 Ok(())
@@ -113,23 +114,23 @@
             Err(error) => {
                 trial.fleet.report.unreachable += 1;
                 if error == ExchangeError::Unreachable {
-                    proxy_unreachable(shared, trial, request.proxy, now);
+                    record_unreachable_proxy(shared, trial, request.proxy, now);
                 }
                 Err(TryFailure::Failed)
             }
         };
-        if ended != Err(TryFailure::Failed) {
+        if outcome != Err(TryFailure::Failed) {
             trial.balancer_targets[request.proxy].unreachable_since = None;
         }
-        ended
+        outcome
     })
 }
 
-/// The statement for a new try of a request.
+/// Creates the statement for the next try of a request.
 fn new_statement(trial: &mut TrialState, request: &ClientRequest) -> Statement {
     trial.fleet.report.tries += 1;
-    trial.requests += 1;
-    let id = trial.requests;
+    trial.last_request_id += 1;
+    let id = trial.last_request_id;
     let token_commit = trial.fleet.token_commit(request);
     let after = token_commit
         .map_or(String::new(), |commit| format!(",after={:.0}", trial.clock.to_unix_ms(commit).ceil()));
@@ -147,7 +148,7 @@
     Statement { id, text, token_commit }
 }
 
-/// Checks the final answer of a try.
+/// Passes the final answer of a try to the rule checker.
 fn check_answer(
     trial: &mut TrialState,
     request: &ClientRequest,
@@ -156,7 +157,8 @@
     result: &Result<ClientResponse, ExchangeError>,
 ) {
     let now = trial.clock.now();
-    // A paused process can't answer, and the requests of a process that was killed need no answer.
+    // A paused process cannot answer before the deadline. A request needs no answer if its process was killed
+    // or was never reached.
     let paused = now > request.deadline && trial.processes.was_paused_since(request.proxy, sent_at);
     let killed = result.is_err() && trial.processes.was_killed_since(request.proxy, sent_at);
     let unreachable = matches!(result, Err(ExchangeError::Unreachable));
@@ -172,7 +174,7 @@
     trial.fleet.checker.request_answered(statement.id, answer, now);
 }
 
-/// Records that a request was served, and checks that the response is its own.
+/// Records that a request was served, and checks that the response contains the id of the request.
 fn request_served(
     trial: &mut TrialState,
     request: &ClientRequest,
@@ -183,17 +185,18 @@
     let id = statement.id;
     let fleet = &mut trial.fleet;
     if !String::from_utf8_lossy(body).contains(&format!("{id:x}")) {
-        let description = format!("request {id}: served with the response of another request");
+        let description = format!("request {id}: served with the response to another request");
         fleet.checker.report_violation(now, Rule::AnswerInTime, description);
     }
     fleet.request_served(request, now);
-    if let Some(start) = trial.start_report(request.proxy) {
+    if let Some(start) = trial.process_start_entry(request.proxy) {
         start.first_served.get_or_insert(now - START_S - start.at);
     }
 }
 
-/// Removes a proxy from the load balancer once it has been unreachable for a while.
-fn proxy_unreachable(shared: &SharedTrial, trial: &mut TrialState, proxy: usize, now: f64) {
+/// Records that a proxy is unreachable. After the timeout, removes the proxy from the load balancer and
+/// starts health checks that admit it again.
+fn record_unreachable_proxy(shared: &SharedTrial, trial: &mut TrialState, proxy: usize, now: f64) {
     let target = &mut trial.balancer_targets[proxy];
     let since = *target.unreachable_since.get_or_insert(now);
     if now - since > UNREACHABLE_TIMEOUT_S {
--- a/testkit/src/fleet/process_trial/server_connections.rs
+++ b/testkit/src/fleet/process_trial/server_connections.rs
@@ -1,8 +1,8 @@
-//! Data servers on sockets: each listens at an address of its own for each proxy.
+//! Data servers on sockets, with a separate address for each pair of a proxy and a server.
 //!
-//! Owns the connections of proxies to servers. Statements go to the model of the server, and responses are
-//! written after the delay of the link. A connection writes nothing while its link or its server drops data,
-//! and is reset when either comes back.
+//! Owns the connections of proxies to servers. The model of the server executes the statements, and responses
+//! are written after the delay of the link. A connection that has lost data, because its link or its server
+//! dropped it, writes nothing more. It is reset once the link and the server pass data again.
 
 use std::io;
 use std::time::Duration;
@@ -18,12 +18,12 @@
 use super::state::{SharedTrial, TrialState};
 use crate::wire::message;
 
-/// Interval of the checks whether a link has come back.
+/// Interval between the checks whether the link of a connection that has lost data is open again.
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// SQLSTATE of a full server.
+/// SQLSTATE of a server whose connection limit is reached.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 
-/// Listens for a proxy at the servers that were added since the last call.
+/// Opens the listening sockets for a proxy of all servers that were added since the last call.
 pub fn listen(shared: &SharedTrial, proxy: usize) -> io::Result<()> {
     let servers = shared.with(|trial| trial.fleet.site.servers.len());
     for server in 0..servers {
@@ -46,24 +46,25 @@
     Ok(())
 }
 
-/// A connection of a proxy to a server.
+/// Connection of a proxy to a server.
 struct ServerConnection {
     shared: SharedTrial,
     proxy: usize,
     server: usize,
-    /// The incarnation of the server that accepted it.
+    /// Incarnation of the server when the proxy opened the connection.
     incarnation: u32,
     opened_at: f64,
-    changes: watch::Receiver<u64>,
-    /// Data was dropped: the connection is reset once the link and the server are back.
+    state_changes: watch::Receiver<u64>,
+    /// Whether data of the connection was dropped. The connection is reset once the link is open and the
+    /// server is responsive again.
     data_lost: bool,
 }
 
-/// Why a connection ends.
+/// Reason for the end of a connection.
 enum ConnectionEnd {
-    /// The proxy closed it.
+    /// The proxy closed the connection, or the server refused it with an error response.
     Closed,
-    /// The server or the link resets it.
+    /// The server or the link resets the connection.
     Reset,
 }
 
@@ -73,17 +74,17 @@
     }
 }
 
-/// The state of a connection's link and server.
+/// Present state of a connection's link and server.
 struct ConnectionState {
     link: LinkState,
     server: ServerState,
-    /// The connection is reset.
+    /// Whether the connection must be reset.
     reset: bool,
 }
 
 impl TrialState {
     fn was_reset_since(&self, proxy: usize, server: usize, since: f64) -> bool {
-        self.resets.iter().any(|reset| {
+        self.link_resets.iter().any(|reset| {
             let affected = reset.proxies.contains(&proxy) && reset.ends.contains(&LinkEnd::Server(server));
             affected && reset.at >= since
         })
@@ -99,7 +100,7 @@
             server,
             incarnation,
             opened_at: shared.now(),
-            changes: shared.with(|trial| trial.changes.subscribe()),
+            state_changes: shared.with(|trial| trial.state_changes.subscribe()),
             data_lost: false,
         }
     }
@@ -116,29 +117,29 @@
         })
     }
 
-    /// Waits until the connection is reset.
+    /// Waits until the connection must be reset.
     async fn wait_for_reset(&mut self) -> ConnectionEnd {
         loop {
             let state = self.state();
-            let is_back = state.link.is_open() && state.server != ServerState::Unresponsive;
-            if state.reset || (self.data_lost && is_back) {
+            let has_recovered = state.link.is_open() && state.server != ServerState::Unresponsive;
+            if state.reset || (self.data_lost && has_recovered) {
                 return ConnectionEnd::Reset;
             }
-            // The end of a link fault sends no notification of its own.
+            // The state of a link depends on the time, so a connection that has lost data also polls.
             tokio::select! {
-                _ = self.changes.changed() => {}
+                _ = self.state_changes.changed() => {}
                 () = tokio::time::sleep(CHECK_INTERVAL), if self.data_lost => {}
             }
         }
     }
 
-    /// Drops what was received, and waits until the connection is reset.
+    /// Marks the connection as having lost data, and waits until it must be reset.
     async fn drop_data(&mut self) -> ConnectionEnd {
         self.data_lost = true;
         self.wait_for_reset().await
     }
 
-    /// Sleeps for a multiple of the link's one-way delay.
+    /// Sleeps for `factor` times the one-way delay of the link.
     async fn sleep_one_way(&self, factor: f64) {
         self.shared.sleep_one_way(self.proxy, self.server, factor).await;
     }
@@ -148,7 +149,7 @@
         let end = match self.accept(&mut stream).await {
             Ok(true) => {
                 let end = self.serve(&mut stream).await;
-                self.release();
+                self.record_closed();
                 end
             }
             Ok(false) => ConnectionEnd::Closed,
@@ -159,8 +160,8 @@
         }
     }
 
-    /// Counts the connection as closed at its server.
-    fn release(&self) {
+    /// Removes the connection from the count of open connections at the server.
+    fn record_closed(&self) {
         self.shared.with(|trial| {
             let model = &mut trial.fleet.site.servers[self.server].model;
             if model.incarnation == self.incarnation {
@@ -169,11 +170,11 @@
         });
     }
 
-    /// Accepts the connection; false if the server's connection limit is reached.
+    /// Handles the startup of the connection. Returns false if the server's connection limit is reached.
     async fn accept(&mut self, stream: &mut MessageStream) -> Result<bool, ConnectionEnd> {
         tokio::select! {
             end = self.wait_for_reset() => return Err(end),
-            read = stream.startup() => read?,
+            read = stream.read_startup() => read?,
         }
         let state = self.state();
         if state.link.requests_dropped || state.server == ServerState::Unresponsive {
@@ -188,19 +189,19 @@
             return Err(self.drop_data().await);
         }
         if !accepted {
-            stream.write(&error_message(TOO_MANY_CONNECTIONS)).await?;
+            stream.write_all(&error_message(TOO_MANY_CONNECTIONS)).await?;
             return Ok(false);
         }
-        stream.write(&[message(b'R', &[0; 4]), message(b'Z', b"I")].concat()).await?;
+        stream.write_all(&[message(b'R', &[0; 4]), message(b'Z', b"I")].concat()).await?;
         Ok(true)
     }
 
-    /// Serves the statements of a connection until it ends.
+    /// Serves the statements of the connection until it ends.
     async fn serve(&mut self, stream: &mut MessageStream) -> ConnectionEnd {
         loop {
             let read = tokio::select! {
                 end = self.wait_for_reset() => return end,
-                read = stream.message() => read,
+                read = stream.read_message() => read,
             };
             let Ok((b'Q', body)) = read else { return ConnectionEnd::Closed };
             let text = String::from_utf8_lossy(body.strip_suffix(&[0]).unwrap_or(&body)).into_owned();
@@ -211,34 +212,35 @@
             let execution = execute(self.shared.clone(), self.proxy, self.server, text.clone());
             let response = tokio::select! {
                 end = self.wait_for_reset() => return end,
-                () = stream.closed() => return self.attempt_abandoned(&text),
+                () = stream.wait_until_closed() => return self.record_abandoned_attempt(&text),
                 response = execution => response,
             };
-            let Some(response) = response else { return self.never_respond(stream, &text).await };
+            let Some(response) = response else { return self.wait_without_response(stream, &text).await };
             self.sleep_one_way(1.0).await;
             let state = self.state();
             if state.reset || state.link.responses_dropped || state.server != ServerState::Up {
                 return self.drop_data().await;
             }
-            self.response_sent(&response);
-            if stream.write(&response.to_bytes()).await.is_err() {
+            self.record_response(&response);
+            if stream.write_all(&response.to_bytes()).await.is_err() {
                 return ConnectionEnd::Closed;
             }
         }
     }
 
-    /// Receives data without a response until the connection ends.
-    async fn never_respond(&mut self, stream: &mut MessageStream, text: &str) -> ConnectionEnd {
+    /// Sends no response: waits until the connection ends, and records that the attempt was abandoned.
+    async fn wait_without_response(&mut self, stream: &mut MessageStream, text: &str) -> ConnectionEnd {
         let end = tokio::select! {
             end = self.wait_for_reset() => end,
-            () = stream.closed() => ConnectionEnd::Closed,
+            () = stream.wait_until_closed() => ConnectionEnd::Closed,
         };
-        self.attempt_abandoned(text);
+        self.record_abandoned_attempt(text);
         end
     }
 
-    /// Records that the proxy closed the connection during an attempt, whose execution continues.
-    fn attempt_abandoned(&self, text: &str) -> ConnectionEnd {
+    /// Records that the proxy closed the connection during an attempt. The execution of the attempt
+    /// continues.
+    fn record_abandoned_attempt(&self, text: &str) -> ConnectionEnd {
         if let Some(id) = request_id(text) {
             self.shared.with(|trial| {
                 trial.fleet.checker.attempt_abandoned(id, self.server, trial.clock.now());
@@ -247,8 +249,8 @@
         ConnectionEnd::Closed
     }
 
-    /// Records what the proxy learns from a response.
-    fn response_sent(&self, response: &ServerResponse) {
+    /// Records the end of an attempt, and the role of the server that the proxy learns from the response.
+    fn record_response(&self, response: &ServerResponse) {
         let Some(attempt) = response.attempt else { return };
         self.shared.with(|trial| {
             let now = trial.clock.now();
--- a/testkit/src/fleet/process_trial/server_execution.rs
+++ b/testkit/src/fleet/process_trial/server_execution.rs
@@ -1,4 +1,4 @@
-//! Execution of statements at the modelled servers, and their responses on the wire.
+//! Execution of statements by the server models, and the encoding of the responses.
 
 use pipittack_core::api::{ClassId, Outcome, ServerStatus};
 use rand::Rng;
@@ -11,48 +11,49 @@
 use super::state::{SharedTrial, TrialState};
 use crate::wire::{message, row};
 
-/// Time in s in which a proxy is expected to process a response.
+/// Time in seconds within which a proxy must have processed a response.
 const RESPONSE_PROCESSING_S: f64 = 0.1;
-/// The statement of a health check.
-const HEALTH_CHECK: &str = "SELECT 1";
-/// The statement of a health check with a load report.
-const LOAD_REPORT: &str = "SHOW stats";
+/// Statement of a health check.
+const HEALTH_CHECK_STATEMENT: &str = "SELECT 1";
+/// Statement of a health check that requests a load report.
+const LOAD_REPORT_STATEMENT: &str = "SHOW stats";
 
-/// SQLSTATE of an unknown statement.
+/// SQLSTATE of the response to a statement that no client sent.
 const PROTOCOL_VIOLATION: &str = "08P01";
 /// SQLSTATE of a write at a replica.
 const READ_ONLY_TRANSACTION: &str = "25006";
-/// SQLSTATE of a server that sends no load reports.
+/// SQLSTATE of the response to a request of a load report by a server that sends none.
 const INSUFFICIENT_PRIVILEGE: &str = "42501";
-/// SQLSTATE of a full server.
+/// SQLSTATE of a rejection by a server that drains or whose queue is full.
 const TOO_MANY_CONNECTIONS: &str = "53300";
 /// SQLSTATE of a failed execution.
 const INTERNAL_ERROR: &str = "XX000";
 
-/// An attempt that ended at its server.
+/// Attempt that ended at its server, with the id of the try and the outcome.
 #[derive(Debug, Clone, Copy)]
 pub struct EndedAttempt {
     pub request: u64,
     pub outcome: Outcome,
 }
 
-/// A server's response to a statement.
+/// Response of a server to a statement.
 pub struct ServerResponse {
     body: Vec<u8>,
     pub status: ServerStatus,
     position_unix_ms: Option<f64>,
-    /// The attempt that ended; none for a health check.
+    /// The attempt that the response ends. `None` for a health check and for an unknown statement.
     pub attempt: Option<EndedAttempt>,
 }
 
 impl ServerResponse {
-    /// A response without the server's status.
+    /// Creates a response without the status of the server.
     fn without_status(body: Vec<u8>) -> Self {
         let status = ServerStatus { position: None, primary: None };
         Self { body, status, position_unix_ms: None, attempt: None }
     }
 
-    /// The messages of the response.
+    /// Encodes the response as protocol messages, with the status of the server in `ParameterStatus`
+    /// messages.
     pub fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = self.body.clone();
         if let Some(primary) = self.status.primary {
@@ -67,12 +68,12 @@
     }
 }
 
-/// The id of the try in a statement's comment.
+/// Returns the id of the try from the comment of a statement.
 pub fn request_id(text: &str) -> Option<u64> {
     comment_value(text, "id").and_then(|id| u64::from_str_radix(id, 16).ok())
 }
 
-/// An attempt at a server.
+/// Attempt that has reached a server.
 #[derive(Clone)]
 struct Attempt {
     shared: SharedTrial,
@@ -81,27 +82,28 @@
     class: ClassId,
     work_s: f64,
     sent_at: f64,
-    /// The server was primary before, and the proxy could not know otherwise.
+    /// Whether the server was primary at some time and the proxy had no time to learn that it no longer was.
+    /// A stale read is then no violation.
     may_read_stale: bool,
 }
 
-/// Executes a statement; none if the server never responds.
+/// Executes a statement, and returns the response. Returns `None` if the server never responds.
 pub async fn execute(
     shared: SharedTrial,
     proxy: usize,
     server: usize,
     text: String,
 ) -> Option<ServerResponse> {
-    if text == HEALTH_CHECK || text == LOAD_REPORT {
+    if text == HEALTH_CHECK_STATEMENT || text == LOAD_REPORT_STATEMENT {
         return health_check(&shared, server, &text).await;
     }
     let sent_at = shared.now();
-    let known = shared.with(|trial| {
+    let sent_request = shared.with(|trial| {
         let request = request_id(&text)?;
-        let client = trial.client_requests.get(&request)?;
-        Some((request, client.class, client.work_s))
+        let client_request = trial.client_requests.get(&request)?;
+        Some((request, client_request.class, client_request.work_s))
     });
-    let Some((request, class, work_s)) = known else {
+    let Some((request, class, work_s)) = sent_request else {
         shared.with(|trial| {
             let description = format!("server {server} received a statement that no client sent: {text}");
             trial.fleet.checker.report_violation(sent_at, Rule::AnswerInTime, description);
@@ -115,10 +117,10 @@
     match admission {
         RequestAdmission::NoResponse => None,
         RequestAdmission::NotPrimary => {
-            Some(attempt.reject(Outcome::Misdirected, error_message(READ_ONLY_TRANSACTION)))
+            Some(attempt.rejection_response(Outcome::Misdirected, error_message(READ_ONLY_TRANSACTION)))
         }
         RequestAdmission::Rejected => {
-            Some(attempt.reject(Outcome::Rejected, error_message(TOO_MANY_CONNECTIONS)))
+            Some(attempt.rejection_response(Outcome::Rejected, error_message(TOO_MANY_CONNECTIONS)))
         }
         RequestAdmission::Crashed { informed_share } => {
             attempt.crash_server(informed_share);
@@ -126,14 +128,15 @@
         }
         RequestAdmission::Executing { starts_at, ends_at } => {
             // The execution continues even if its proxy closes the connection.
-            let execution = spawn_local(attempt.clone().run(starts_at, ends_at));
+            let execution = spawn_local(attempt.clone().execute(starts_at, ends_at));
             let completion = execution.await.ok().flatten()?;
-            Some(attempt.complete(completion))
+            Some(attempt.execution_response(completion))
         }
     }
 }
 
-/// Whether a server was primary before, and a proxy could not know otherwise.
+/// Returns whether a server was primary at some time, and no response that the proxy must have processed has
+/// informed the proxy that the server is not primary.
 fn may_read_stale(trial: &TrialState, proxy: usize, server: usize, now: f64) -> bool {
     let informed_at = trial.not_primary_since.get(&(proxy, server));
     let informed = informed_at.is_some_and(|at| at + RESPONSE_PROCESSING_S < now);
@@ -141,7 +144,7 @@
 }
 
 impl Attempt {
-    /// Has the server admit the attempt.
+    /// Passes the attempt to the model of its server, and records it in the report and the rule checker.
     fn admit(&self, proxy: usize) -> RequestAdmission {
         self.shared.with(|trial| {
             let known_start = trial.known_starts.get(&(proxy, self.server)).copied();
@@ -161,13 +164,13 @@
         })
     }
 
-    /// A response with the present status of the server.
-    fn reject(&self, outcome: Outcome, body: Vec<u8>) -> ServerResponse {
+    /// Returns the response to an attempt that was not executed, with the present status of the server.
+    fn rejection_response(&self, outcome: Outcome, body: Vec<u8>) -> ServerResponse {
         let status = self.shared.with(|trial| trial.fleet.site.status(self.server, trial.clock.now()));
-        self.respond(outcome, body, status)
+        self.new_response(outcome, body, status)
     }
 
-    fn respond(&self, outcome: Outcome, body: Vec<u8>, status: ServerStatus) -> ServerResponse {
+    fn new_response(&self, outcome: Outcome, body: Vec<u8>, status: ServerStatus) -> ServerResponse {
         self.shared.with(|trial| {
             trial.fleet.report.attempt_ended(outcome);
             let position_unix_ms = status.position.map(|at| trial.clock.to_unix_ms(at.as_secs_f64()));
@@ -176,18 +179,19 @@
         })
     }
 
-    /// The response to an attempt that was executed.
-    fn complete(&self, completion: Completion) -> ServerResponse {
+    /// Returns the response to an attempt that was executed. A successful response contains the id of the
+    /// try.
+    fn execution_response(&self, completion: Completion) -> ServerResponse {
         let Completion { outcome, status } = completion;
         let body = if outcome == Outcome::Success {
             row(format!("{:x}", self.request).as_bytes())
         } else {
             error_message(INTERNAL_ERROR)
         };
-        self.respond(outcome, body, status)
+        self.new_response(outcome, body, status)
     }
 
-    /// Crashes the server, which the attempt has overloaded.
+    /// Crashes the server because the attempt overloaded it.
     fn crash_server(&self, informed_share: f64) {
         let mut effects = Vec::new();
         self.shared.with(|trial| {
@@ -198,8 +202,8 @@
         self.shared.handle_effects(effects);
     }
 
-    /// Executes the attempt; none if the server fails before it is done.
-    async fn run(self, starts_at: f64, ends_at: f64) -> Option<Completion> {
+    /// Executes the attempt between two times. Returns `None` if the server fails before the execution ends.
+    async fn execute(self, starts_at: f64, ends_at: f64) -> Option<Completion> {
         let clock = self.shared.clock();
         let incarnation = self.shared.with(|trial| trial.fleet.site.servers[self.server].model.incarnation);
         clock.sleep_until(starts_at).await;
@@ -211,10 +215,10 @@
         if !self.is_executing(incarnation) {
             return None;
         }
-        Some(self.finish())
+        Some(self.finish_execution())
     }
 
-    /// Whether the server still works on the attempt.
+    /// Returns whether the server is up in the incarnation that started the attempt.
     fn is_executing(&self, incarnation: u32) -> bool {
         self.shared.with(|trial| {
             let model = &trial.fleet.site.servers[self.server].model;
@@ -222,7 +226,7 @@
         })
     }
 
-    /// Starts the execution, and reads the data.
+    /// Starts the execution. If the server is a replica, passes the position of the data to the rule checker.
     fn read_data(&self) {
         self.shared.with(|trial| {
             let now = trial.clock.now();
@@ -240,8 +244,8 @@
         });
     }
 
-    /// Ends the execution, and commits a write.
-    fn finish(&self) -> Completion {
+    /// Ends the execution, and records the commit of a successful write.
+    fn finish_execution(&self) -> Completion {
         self.shared.with(|trial| {
             let now = trial.clock.now();
             let fleet = &mut trial.fleet;
@@ -249,7 +253,7 @@
             if fleet.is_write(self.class) && completion.outcome == Outcome::Success {
                 fleet.checker.write_executed(self.request, self.class, now);
                 if let Some(commit) = completion.status.position {
-                    trial.commits.insert(self.request, commit.as_secs_f64());
+                    trial.unacknowledged_commits.insert(self.request, commit.as_secs_f64());
                 }
             }
             completion
@@ -257,7 +261,8 @@
     }
 }
 
-/// Answers a health check, with a load report if the statement asks for one and servers send them.
+/// Responds to a health check, with a load report if the statement requests one. The response to such a
+/// request is an error if servers send no load reports.
 async fn health_check(shared: &SharedTrial, server: usize, text: &str) -> Option<ServerResponse> {
     let clock = shared.clock();
     let done_at = shared.with(|trial| {
@@ -270,7 +275,7 @@
     let body = shared.with(|trial| {
         let age_s = trial.fleet.plan.load_report_age_s * trial.fleet.rng.random::<f64>();
         let report = trial.fleet.site.load_report(server, age_s, clock.now());
-        if text != LOAD_REPORT {
+        if text != LOAD_REPORT_STATEMENT {
             return row(b"1");
         }
         let Some(report) = report else { return error_message(INSUFFICIENT_PRIVILEGE) };
--- a/testkit/src/fleet/simulation/attempts.rs
+++ b/testkit/src/fleet/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts and health checks of a process: connections, sending, and how they end.
+//! Attempts and health checks of a proxy process: their connections, their sending and their results.
 
 use std::time::Duration;
 
@@ -21,12 +21,13 @@
         self.fleet.link_state(self.processes[process].proxy, end, self.now)
     }
 
-    /// One-way delay in s between a process and a server.
+    /// Returns the one-way delay in seconds between a process and a server.
     pub(super) fn one_way_delay(&self, process: usize, server: usize) -> f64 {
         self.fleet.one_way_delay(self.processes[process].proxy, server, self.now)
     }
 
-    /// Closes connections to a server, given by the incarnation that accepted each.
+    /// Closes connections to a server. `incarnations` has the server's incarnation for each connection; those
+    /// of earlier incarnations are closed already.
     pub(super) fn close_connections(&mut self, server: usize, incarnations: impl IntoIterator<Item = u32>) {
         let model = &mut self.fleet.site.servers[server].model;
         let current = model.incarnation;
@@ -34,9 +35,9 @@
         model.connections = model.connections.saturating_sub(closed);
     }
 
-    /// Takes an idle connection to a server that is still open; false if there is none.
+    /// Removes an open connection to a server from the idle ones. Returns false if there is none.
     fn take_idle_connection(&mut self, process: usize, server: usize) -> bool {
-        let Some(idle) = self.processes[process].idle.get_mut(&server) else { return false };
+        let Some(idle) = self.processes[process].idle_connections.get_mut(&server) else { return false };
         let incarnation = self.fleet.site.servers[server].model.incarnation;
         let oldest = self.now - self.fleet.plan.idle_timeout_s;
         let is_stale = |c: &mut IdleConnection| c.incarnation != incarnation || c.idle_since < oldest;
@@ -46,7 +47,7 @@
         found
     }
 
-    /// Sends an attempt of a request to a server.
+    /// Sends an attempt of a request to a server, on an idle connection or on a new one.
     pub(super) fn send_attempt(
         &mut self,
         process: usize,
@@ -55,13 +56,13 @@
         timeout: Duration,
     ) {
         let now = self.now;
-        let Some(open) = self.processes[process].open.get_mut(&request) else { return };
-        let id = AttemptId { request, number: AttemptNumber(open.attempts) };
-        open.attempts += 1;
-        let class = open.client.class;
-        let session = open.client.session;
-        let work_s = open.client.work_s;
-        let times_out_at = (now + timeout.as_secs_f64()).min(open.deadline);
+        let Some(open_request) = self.processes[process].open_requests.get_mut(&request) else { return };
+        let id = AttemptId { request, number: AttemptNumber(open_request.attempts) };
+        open_request.attempts += 1;
+        let class = open_request.client_request.class;
+        let session = open_request.client_request.session;
+        let work_s = open_request.client_request.work_s;
+        let times_out_at = (now + timeout.as_secs_f64()).min(open_request.deadline);
         let consistency = self.fleet.plan.settings.classes[class.0].consistency;
         self.fleet.report.attempts += 1;
         self.fleet.checker.attempt_sent(request.0, server, now);
@@ -69,7 +70,7 @@
             self.fleet.report.reads_at_primaries += 1;
         }
         let reuses_connection = self.take_idle_connection(process, server);
-        let known = &self.processes[process].known;
+        let observations = &self.processes[process].observations;
         let attempt = InFlightAttempt {
             server,
             incarnation: self.fleet.site.servers[server].model.incarnation,
@@ -81,13 +82,13 @@
             written: false,
             fresh_until: match consistency {
                 Consistency::BoundedStaleness(max_age) => {
-                    let position = known.positions.get(&server).copied().flatten();
+                    let position = observations.positions.get(&server).copied().flatten();
                     position.map(|position| position + max_age.as_secs_f64())
                 }
                 _ => None,
             },
             may_read_stale: self.fleet.site.servers[server].was_primary
-                && !known.not_primary.contains(&server),
+                && !observations.not_primary.contains(&server),
         };
         self.processes[process].in_flight.insert(id, attempt);
         self.schedule(times_out_at, SimulationEvent::AttemptTimeout { process, id });
@@ -99,7 +100,8 @@
         }
     }
 
-    /// Opens a connection for an attempt.
+    /// Opens a connection for an attempt, and schedules the arrival of the statement or the failure of the
+    /// attempt.
     fn connect(&mut self, process: usize, id: AttemptId, server: usize) {
         let now = self.now;
         let link = self.link_state(process, LinkEnd::Server(server));
@@ -124,14 +126,15 @@
         self.schedule(now + handshake_s + delay, SimulationEvent::StatementReceived { process, id });
     }
 
-    /// Ends an attempt whose timeout expires.
+    /// Ends an attempt whose timeout has expired. Does nothing if it has ended before.
     pub(super) fn attempt_times_out(&mut self, process: usize, id: AttemptId) {
         let Some(attempt) = self.processes[process].in_flight.get(&id) else { return };
         let outcome = if attempt.written { Outcome::Timeout } else { Outcome::ConnectFailed };
         self.attempt_ends(process, id, outcome.into());
     }
 
-    /// Ends an attempt; a paused process observes it when it resumes.
+    /// Ends an attempt and notifies the routing engine. If the process is paused, this is delayed until it
+    /// resumes.
     pub(super) fn attempt_ends(&mut self, process: usize, id: AttemptId, result: AttemptResult) {
         let state = &mut self.processes[process];
         if !state.alive {
@@ -147,7 +150,7 @@
         self.fleet.checker.attempt_ended(id.request.0, id.number.0, outcome, attempt.sent_at);
         self.release_connection(process, &attempt, outcome);
         if let Some(status) = status {
-            self.learn_status(process, attempt.server, status);
+            self.record_server_status(process, attempt.server, status);
         }
         let commit = status.and_then(|status| status.position).map(|position| position.as_secs_f64());
         let served =
@@ -158,14 +161,15 @@
             server: ServerId(attempt.server as u32),
             outcome,
             round_trip: duration(self.now - attempt.sent_at),
-            request_complete: served || !self.processes[process].open.contains_key(&id.request),
+            request_complete: served || !self.processes[process].open_requests.contains_key(&id.request),
             status,
             load_report: None,
         };
-        self.notify(process, Event::AttemptEnded(ended));
+        self.enqueue_event(process, Event::AttemptEnded(ended));
     }
 
-    /// Returns the connection of an attempt to the idle ones, or closes it.
+    /// Adds the connection of an ended attempt to the idle connections if it is reusable, and closes it
+    /// otherwise.
     fn release_connection(&mut self, process: usize, attempt: &InFlightAttempt, outcome: Outcome) {
         let reusable = match outcome {
             Outcome::Success | Outcome::Misdirected | Outcome::ServerError | Outcome::NotSent => true,
@@ -175,28 +179,29 @@
         let incarnation = attempt.incarnation;
         if reusable && self.fleet.site.servers[attempt.server].model.incarnation == incarnation {
             let connection = IdleConnection { incarnation, idle_since: self.now };
-            self.processes[process].idle.entry(attempt.server).or_default().push(connection);
+            self.processes[process].idle_connections.entry(attempt.server).or_default().push(connection);
         } else if !attempt.on_new_connection || attempt.written {
             self.close_connections(attempt.server, [incarnation]);
         }
     }
 
-    /// Records what a process learns from the status of a server.
-    fn learn_status(&mut self, process: usize, server: usize, status: ServerStatus) {
-        let known = &mut self.processes[process].known;
+    /// Records the role and the position from a server's status in the observations of a process.
+    fn record_server_status(&mut self, process: usize, server: usize, status: ServerStatus) {
+        let observations = &mut self.processes[process].observations;
         let is_replica = status.primary == Some(false);
         if is_replica {
-            known.not_primary.insert(server);
+            observations.not_primary.insert(server);
         } else if status.primary == Some(true) {
-            known.not_primary.remove(&server);
+            observations.not_primary.remove(&server);
         }
         let reported = status.position.map(|position| position.as_secs_f64());
-        let last = known.positions.get(&server).copied().flatten();
+        let last = observations.positions.get(&server).copied().flatten();
         let newest = if last > reported { last } else { reported };
-        known.positions.insert(server, newest.filter(|_| is_replica));
+        observations.positions.insert(server, newest.filter(|_| is_replica));
     }
 
-    /// Handles the successful end of an attempt; false if its request had ended before.
+    /// Handles the success of an attempt: records an acknowledged write and serves the request. Returns false
+    /// if the request has already ended.
     fn request_served(
         &mut self,
         process: usize,
@@ -214,19 +219,19 @@
                 self.send_to_peer(process, &PeerMessage::SessionWrite { session, commit });
             }
         }
-        let Some(open) = self.processes[process].open.remove(&request) else { return false };
+        let Some(open_request) = self.processes[process].open_requests.remove(&request) else { return false };
         let fleet = &mut self.fleet;
         fleet.checker.request_answered(request.0, FinalAnswer::Other, now);
         if let Some(commit) = commit {
-            fleet.workload.write_acknowledged(&open.client, commit, now);
+            fleet.workload.write_acknowledged(&open_request.client_request, commit, now);
         }
-        fleet.request_served(&open.client, now);
-        let start = &mut fleet.report.starts[self.processes[process].start];
+        fleet.request_served(&open_request.client_request, now);
+        let start = &mut fleet.report.starts[self.processes[process].start_index];
         start.first_served.get_or_insert(now - START_S - start.at);
         true
     }
 
-    /// Sends a health check to a server.
+    /// Sends a health check to a server, and schedules its result.
     pub(super) fn health_check(&mut self, process: usize, server: usize) {
         self.fleet.report.health_checks += 1;
         let now = self.now;
--- a/testkit/src/fleet/simulation/faults.rs
+++ b/testkit/src/fleet/simulation/faults.rs
@@ -1,7 +1,7 @@
-//! Starts and ends the faults of a plan.
+//! Start and end of the faults of a plan.
 //!
-//! Faults change the models and the processes. A routing engine only receives the events that a proxy would
-//! observe.
+//! A fault changes the models and the simulated processes. A routing engine only receives the events that a
+//! proxy would observe.
 
 use pipittack_core::api::{EndpointState, Event, ServerId};
 
@@ -11,11 +11,11 @@
 use super::event_queue::SimulationEvent;
 use super::Simulation;
 
-/// Time in s without data after which a process takes its watch for broken.
+/// Time in seconds without data after which a process considers its watch broken.
 const WATCH_TIMEOUT_S: f64 = 3.5;
 
 impl Simulation {
-    /// Starts a fault.
+    /// Starts a fault, and schedules its end unless the fault ends by itself.
     pub(super) fn start_fault(&mut self, fault: Fault) {
         match fault {
             Fault::FailServers { servers, duration_s, .. }
@@ -62,10 +62,11 @@
     }
 
     fn select_proxies(&mut self, proxies: Selection) -> Vec<usize> {
-        proxies.resolve(&self.fleet.zones, &mut self.fleet.rng)
+        proxies.resolve(&self.fleet.proxy_zones, &mut self.fleet.rng)
     }
 
-    /// Starts a fault of servers, and removes those from `affected` that it can't affect.
+    /// Starts a fault of servers, and returns the effects. Removes the servers from `affected` to which the
+    /// fault cannot apply, such as a removed server.
     fn start_server_fault(&mut self, fault: Fault, affected: &mut Vec<usize>) -> Vec<Effect> {
         let now = self.now;
         let mut effects = Vec::new();
@@ -86,7 +87,7 @@
                 for server in &*affected {
                     self.out_of_service.push(*server);
                     let event = Event::TakenOutOfService(ServerId(*server as u32));
-                    self.operator_action(*server, &event, EndpointState::Draining);
+                    self.apply_operator_action(*server, &event, EndpointState::Draining);
                 }
             }
             _ => {}
@@ -94,7 +95,7 @@
         effects
     }
 
-    /// Starts a fault of a proxy.
+    /// Starts a fault of the processes of a proxy.
     fn start_proxy_fault(&mut self, fault: Fault, proxy: usize) {
         match fault {
             Fault::Upgrade { .. } => self.upgrade(proxy),
@@ -105,14 +106,14 @@
                 self.schedule(self.now, SimulationEvent::CrashLoop { proxy, interval_s, until });
             }
             Fault::Pause { duration_s, .. } => {
-                for process in self.proxies[proxy].clone() {
+                for process in self.live_processes[proxy].clone() {
                     self.processes[process].paused_until = self.now + duration_s;
                 }
             }
             Fault::Reload { .. } => {
                 let settings = Box::new(self.fleet.proxy_settings(proxy));
-                for process in self.proxies[proxy].clone() {
-                    self.notify(process, Event::Settings(settings.clone()));
+                for process in self.live_processes[proxy].clone() {
+                    self.enqueue_event(process, Event::Settings(settings.clone()));
                     self.break_watch(process, self.now);
                 }
             }
@@ -129,14 +130,16 @@
         };
         for process in 0..self.processes.len() {
             if self.processes[process].alive && proxies.contains(&self.processes[process].proxy) {
-                self.link_fails(process, &ends, fault);
+                self.apply_link_fault(process, &ends, fault);
             }
         }
         self.fleet.links.inject(proxies, ends, fault, until);
     }
 
-    /// Resets the connections of a process to these ends if the fault does so, and breaks its watch.
-    fn link_fails(&mut self, process: usize, ends: &[LinkEnd], fault: LinkFault) {
+    /// Applies the start of a link fault to a process. A fault that resets connections resets those of the
+    /// process to `ends`. The watch breaks if the discovery service is one of the ends. A delay changes no
+    /// connection.
+    fn apply_link_fault(&mut self, process: usize, ends: &[LinkEnd], fault: LinkFault) {
         let resets = match fault {
             LinkFault::Cut | LinkFault::Reset => true,
             LinkFault::Blackhole | LinkFault::DropResponses => false,
@@ -151,8 +154,10 @@
         }
         let is_affected = |server: usize| ends.contains(&LinkEnd::Server(server));
         let state = &mut self.processes[process];
-        let servers: Vec<_> = state.idle.keys().copied().filter(|server| is_affected(*server)).collect();
-        let idle: Vec<_> = servers.iter().filter_map(|server| state.idle.remove_entry(server)).collect();
+        let servers: Vec<_> =
+            state.idle_connections.keys().copied().filter(|server| is_affected(*server)).collect();
+        let idle: Vec<_> =
+            servers.iter().filter_map(|server| state.idle_connections.remove_entry(server)).collect();
         let in_flight = state.in_flight.iter().filter(|(_, attempt)| is_affected(attempt.server));
         let in_flight: Vec<_> = in_flight.map(|(id, attempt)| (*id, attempt.written)).collect();
         for (server, connections) in idle {
@@ -163,17 +168,18 @@
         }
     }
 
-    /// Has operators take a server out of service at every proxy, or return it.
-    fn operator_action(&mut self, server: usize, event: &Event, state: EndpointState) {
+    /// Sends an operator's action on a server to all processes, and records the resulting endpoint state in
+    /// the checker for all proxies.
+    fn apply_operator_action(&mut self, server: usize, event: &Event, state: EndpointState) {
         for process in 0..self.processes.len() {
-            self.notify(process, event.clone());
+            self.enqueue_event(process, event.clone());
         }
         for proxy in 0..self.fleet.plan.proxies {
             self.fleet.checker.endpoint_listed(proxy, server, state, self.now);
         }
     }
 
-    /// Ends a fault for the servers or sets that it affected.
+    /// Ends a fault of servers or replica sets. `affected` has their indices.
     pub(super) fn end_fault(&mut self, fault: Fault, affected: &[usize]) {
         let now = self.now;
         let mut effects = Vec::new();
@@ -188,7 +194,7 @@
                     site.restart(index, now, &mut effects);
                     self.out_of_service.retain(|server| *server != index);
                     let event = Event::ReturnedToService(ServerId(index as u32));
-                    self.operator_action(index, &event, EndpointState::Healthy);
+                    self.apply_operator_action(index, &event, EndpointState::Healthy);
                 }
                 _ => {}
             }
--- a/testkit/src/fleet/simulation/mod.rs
+++ b/testkit/src/fleet/simulation/mod.rs
@@ -1,9 +1,9 @@
-//! Many proxies in one process on virtual time, against the models of the fleet.
+//! Runs many simulated proxies in virtual time against the models of the fleet.
 //!
-//! Owns the virtual clock, the event queue and the state of each proxy process. The routing engines are the
-//! real ones; everything around them is simulated. A simulation is deterministic by the seed of its plan:
-//! neither the order of random draws nor that of events depends on anything else. An engine only receives
-//! what a proxy would observe.
+//! Owns the virtual clock, the event queue and the state of each simulated proxy process. The simulation runs
+//! the routing engine of the proxy and simulates everything around it. The plan and its seed determine the
+//! result: the order of the random draws and of the events depends on nothing else. A routing engine only
+//! receives the events that a proxy would observe. Times are in seconds on the clock of the fleet model.
 
 mod attempts;
 mod clients;
@@ -25,28 +25,30 @@
 use pipittack_core::api::{Event, ServerId};
 use process::Process;
 
-/// Time in s after the last request in which the simulation ends.
+/// Time in seconds from the end of the load until the simulation ends. Open requests are answered within it.
 const SETTLE_S: f64 = 10.0;
-/// Interval in s at which old accounts are removed, and their minimum age.
+/// Interval in seconds at which requests that have ended and faults that are over are removed from the
+/// models, and the minimum age of the requests that are removed.
 const PRUNE_INTERVAL_S: f64 = 20.0;
 
-/// A simulation of one plan.
+/// Simulation of one plan.
 pub struct Simulation {
     fleet: FleetModel,
     now: f64,
     queue: EventQueue,
-    /// All processes, including those that have exited.
+    /// All proxy processes, including those that have exited. Events refer to a process by its index.
     processes: Vec<Process>,
-    /// The processes of each proxy that are alive.
-    proxies: Vec<Vec<usize>>,
-    /// Servers that operators have taken out of service.
+    /// Indices of the running processes of each proxy.
+    live_processes: Vec<Vec<usize>>,
+    /// Servers that operators have taken out of service and not returned.
     out_of_service: Vec<usize>,
-    /// Number of tries so far; each is a request with an id of its own.
-    requests: u64,
+    /// Id of the last request that a proxy accepted. Each try of a client gets a new id.
+    last_request_id: u64,
 }
 
 impl Simulation {
-    /// Sets up the simulation of a plan.
+    /// Creates the simulation of a plan, and schedules the first start and request of each proxy and the
+    /// faults.
     pub fn new(plan: Plan) -> Self {
         let proxies = plan.proxies;
         let mut simulation = Self {
@@ -54,9 +56,9 @@
             now: START_S,
             queue: EventQueue::default(),
             processes: Vec::new(),
-            proxies: vec![Vec::new(); proxies],
+            live_processes: vec![Vec::new(); proxies],
             out_of_service: Vec::new(),
-            requests: 0,
+            last_request_id: 0,
         };
         for proxy in 0..proxies {
             let fleet = &mut simulation.fleet;
@@ -73,7 +75,7 @@
         simulation
     }
 
-    /// Runs the simulation to its end.
+    /// Runs the simulation to its end, and returns the report.
     pub fn run(mut self) -> Report {
         let end = START_S + self.fleet.plan.duration_s + SETTLE_S;
         let mut prune_at = START_S + PRUNE_INTERVAL_S;
@@ -87,7 +89,7 @@
                 self.fleet.links.prune(self.now);
                 prune_at = self.now + PRUNE_INTERVAL_S;
             }
-            self.handle(event);
+            self.handle_event(event);
         }
         self.fleet.finish(end)
     }
@@ -96,10 +98,10 @@
         self.queue.schedule(at.max(self.now), event);
     }
 
-    fn handle(&mut self, event: SimulationEvent) {
+    fn handle_event(&mut self, event: SimulationEvent) {
         match event {
             SimulationEvent::NextRequest { proxy } => self.next_request(proxy),
-            SimulationEvent::Retry(client) => self.send_request(client),
+            SimulationEvent::Retry(client_request) => self.send_request(client_request),
             SimulationEvent::Step { process } => self.step_if_due(process),
             SimulationEvent::StatementReceived { process, id } => self.statement_received(process, id),
             SimulationEvent::ExecutionStarts(execution) => self.execution_starts(execution),
@@ -108,14 +110,14 @@
             SimulationEvent::AttemptTimeout { process, id } => self.attempt_times_out(process, id),
             SimulationEvent::HealthChecked { process, server, ok, load_report } => {
                 let server = ServerId(server as u32);
-                self.notify(process, Event::HealthChecked { server, ok, load_report });
+                self.enqueue_event(process, Event::HealthChecked { server, ok, load_report });
             }
             SimulationEvent::PollEnds { process, ok } => self.poll_ends(process, ok),
             SimulationEvent::WatchLost { process } => self.watch_lost(process),
             SimulationEvent::EndpointsChanged { process, version } => {
                 self.endpoints_changed(process, version);
             }
-            SimulationEvent::ClientGone { process, request } => self.client_gone(process, request),
+            SimulationEvent::ClientCloses { process, request } => self.client_closes(process, request),
             SimulationEvent::FaultStarts { index } => self.start_fault(self.fleet.plan.faults[index].fault),
             SimulationEvent::FaultEnds { fault, affected } => self.end_fault(fault, &affected),
             SimulationEvent::Election { set } => {
