--- a/testkit/src/client.rs
+++ b/testkit/src/client.rs
@@ -1,8 +1,8 @@
-//! A client of the proxy on PostgreSQL's wire protocol: one connection, one request at a time, and each response
-//! by what it promises.
+//! Blocking client of the proxy on PostgreSQL's wire protocol, with one connection and one request at a time.
 //!
-//! Owns the connection. A request is sent a second time only where the connection had closed before any byte of a
-//! response came.
+//! Each response is classified by its meaning for the request: executed, rejected before execution, or
+//! outcome unknown. The client resends a request only if the proxy closed a reused connection before the
+//! first byte of a response.
 
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,53 +11,54 @@
 use crate::closing_stream::ClosingStream;
 use crate::wire::{query, read_message, startup};
 
-/// Time within which the proxy must answer a startup packet.
+/// Timeout of each read while the proxy answers the startup packet.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a request's final response promises.
+/// Outcome of a request, as its final response states it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Response {
-    /// It ran, and this is its row.
+    /// The request was executed and returned a row.
     Served,
-    /// It ran nowhere and may be sent again, after this time if one is given.
+    /// The request was not executed and may be retried; the delay before a retry, or `None` if the proxy gave
+    /// none.
     Rejected(Option<Duration>),
-    /// It may have run; the SQLSTATE.
+    /// The request failed with this SQLSTATE and may have been executed.
     Failed(String),
-    /// Nothing came in time, or the connection ended.
+    /// No complete response arrived in time, or the connection ended.
     Unanswered,
-    /// The client closed its connection before a response.
+    /// The client closed its connection before a response arrived.
     Abandoned,
 }
 
-/// A request that was sent, and its response.
+/// A sent request and its outcome.
 #[derive(Debug, Clone)]
 pub struct RequestRecord {
-    /// Its id.
+    /// Id of the request.
     pub id: String,
-    /// Whether it was a write.
+    /// Whether the request is a write.
     pub is_write: bool,
-    /// When it was sent.
+    /// Time at which the client sent the request.
     pub sent_at: Instant,
-    /// How long its response took.
+    /// Time from sending the request until the response, or until the client gave up.
     pub latency: Duration,
-    /// The response.
+    /// Outcome of the request.
     pub response: Response,
 }
 
-/// A request to send.
+/// Parameters of a request to send.
 #[derive(Debug, Clone)]
 pub struct Request<'a> {
-    /// An id that was not used before.
+    /// Id of the request; unique among all requests of a test.
     pub id: &'a str,
-    /// The request class; `is_write` must fit it.
+    /// Name of the request class; must be a class of writes exactly if `is_write` is set.
     pub class: &'a str,
-    /// Whether it inserts.
+    /// Whether the request is an `INSERT`; otherwise it is a `SELECT`.
     pub is_write: bool,
-    /// The replica set.
+    /// Number of the replica set.
     pub group: u64,
-    /// How long the client waits, as the statement says.
+    /// Deadline of the request, relative to its arrival, that the statement carries.
     pub max_wait: Duration,
-    /// Time past that after which the request counts as unanswered.
+    /// Time after `max_wait` for which the client still waits for a response.
     pub response_slack: Duration,
 }
 
@@ -74,41 +75,41 @@
     }
 }
 
-/// A connection to the proxy, opened when it is needed.
+/// A client that connects to the proxy on its first request.
 pub struct Client {
     proxy: SocketAddr,
     stream: Option<ClosingStream>,
 }
 
 impl Client {
-    /// A client that has not connected yet.
+    /// Returns a client without a connection.
     pub fn new(proxy: SocketAddr) -> Self {
         Self { proxy, stream: None }
     }
 
-    /// Sends a request and waits for its final response.
+    /// Sends a request and waits for its final response until `max_wait` and `response_slack` have passed.
     pub fn send(&mut self, request: &Request<'_>) -> RequestRecord {
         let timeout = request.max_wait + request.response_slack;
         self.send_with_timeout(request, timeout, Response::Unanswered)
     }
 
-    /// Sends a request and closes the connection unless a response comes within `patience`.
-    pub fn send_and_abandon(&mut self, request: &Request<'_>, patience: Duration) -> RequestRecord {
-        self.send_with_timeout(request, patience, Response::Abandoned)
+    /// Sends a request and closes the connection unless a response arrives within `abandon_after`.
+    pub fn send_and_abandon(&mut self, request: &Request<'_>, abandon_after: Duration) -> RequestRecord {
+        self.send_with_timeout(request, abandon_after, Response::Abandoned)
     }
 
     fn send_with_timeout(
         &mut self,
         request: &Request<'_>,
         timeout: Duration,
-        without_response: Response,
+        outcome_on_error: Response,
     ) -> RequestRecord {
         let sent_at = Instant::now();
         let response = match self.exchange_with_reconnect(&request.statement(), timeout) {
             Ok(response) => response,
             Err(_) => {
                 self.stream = None;
-                without_response
+                outcome_on_error
             }
         };
         RequestRecord {
@@ -120,37 +121,38 @@
         }
     }
 
-    /// Sends a query and reads up to ReadyForQuery. Opens a connection anew that the proxy closed between requests.
-    fn exchange_with_reconnect(&mut self, text: &str, timeout: Duration) -> io::Result<Response> {
+    /// Sends a statement and reads up to ReadyForQuery. Reconnects and resends if the proxy closed the
+    /// connection between requests.
+    fn exchange_with_reconnect(&mut self, statement: &str, timeout: Duration) -> io::Result<Response> {
         let was_connected = self.stream.is_some();
-        match self.exchange(text, timeout) {
+        match self.exchange(statement, timeout) {
             Err(e) if was_connected && e.kind() == io::ErrorKind::UnexpectedEof => {
                 self.stream = None;
-                self.exchange(text, timeout)
+                self.exchange(statement, timeout)
             }
-            other => other,
+            result => result,
         }
     }
 
-    fn exchange(&mut self, text: &str, timeout: Duration) -> io::Result<Response> {
+    fn exchange(&mut self, statement: &str, timeout: Duration) -> io::Result<Response> {
         let deadline = Instant::now() + timeout;
         let stream = self.connect()?;
-        stream.write_all(&query(text))?;
+        stream.write_all(&query(statement))?;
         let mut response = None;
-        let mut response_begun = false;
+        let mut has_response_started = false;
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Err(io::ErrorKind::TimedOut.into());
             }
-            stream.set_read_timeout(Some(left))?;
+            stream.set_read_timeout(Some(remaining))?;
             match stream.peek(&mut [0]) {
-                Ok(0) if !response_begun => return Err(io::ErrorKind::UnexpectedEof.into()),
+                Ok(0) if !has_response_started => return Err(io::ErrorKind::UnexpectedEof.into()),
                 Ok(n) if n > 0 => {}
                 _ => return Err(io::ErrorKind::TimedOut.into()),
             }
             let (kind, body) = read_message(stream).ok_or(io::ErrorKind::TimedOut)?;
-            response_begun = true;
+            has_response_started = true;
             match kind {
                 b'D' => response = Some(Response::Served),
                 b'E' => response = Some(error_response(&body)),
@@ -169,11 +171,11 @@
             while read_message(&mut *stream).ok_or(io::ErrorKind::UnexpectedEof)?.0 != b'Z' {}
             self.stream = Some(stream);
         }
-        Ok(self.stream.as_mut().expect("it was just opened"))
+        Ok(self.stream.as_mut().expect("the connection was just opened"))
     }
 }
 
-/// What an ErrorResponse promises.
+/// Returns the outcome that an ErrorResponse stands for.
 fn error_response(body: &[u8]) -> Response {
     let field = |kind: u8| {
         let field = body.split(|b| *b == 0).find(|f| f.first() == Some(&kind))?;
--- a/testkit/src/closing_stream.rs
+++ b/testkit/src/closing_stream.rs
@@ -1,22 +1,22 @@
-//! A TCP connection that is closed when it is dropped, whoever holds a copy of its descriptor.
+//! A TCP connection that is shut down on drop, even if another process holds a duplicate of its descriptor.
 //!
-//! Between the start of a child process and its exec the child holds a copy of every descriptor of its parent.
-//! Dropping a plain stream meanwhile closes nothing that its peer can see. Tests that start processes therefore
-//! shut the socket down first.
+//! Between `fork` and `exec`, a child process holds a duplicate of every descriptor of its parent. If the
+//! parent drops a plain `TcpStream` in that time, its peer does not see the connection end. Tests that start
+//! processes therefore use this type, which shuts the socket down first.
 
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::ops::{Deref, DerefMut};
 
-/// A connection that ends for its peer when this is dropped.
+/// A `TcpStream` that is shut down in both directions on drop.
 #[derive(Debug)]
 pub struct ClosingStream(TcpStream);
 
 impl ClosingStream {
-    /// Connects to an address.
+    /// Connects to `address`.
     ///
     /// # Errors
     ///
-    /// Those of the system.
+    /// Returns the I/O error of the connection attempt.
     pub fn connect(address: SocketAddr) -> std::io::Result<Self> {
         TcpStream::connect(address).map(Self)
     }
@@ -44,7 +44,7 @@
 
 impl Drop for ClosingStream {
     fn drop(&mut self) {
-        // The peer may have closed it already.
+        // Fails if the peer has closed the connection already.
         let _ = self.0.shutdown(Shutdown::Both);
     }
 }
--- a/testkit/src/discovery_server.rs
+++ b/testkit/src/discovery_server.rs
@@ -1,8 +1,7 @@
-//! A discovery service for any number of watchers: the endpoint list over HTTP/1.1, with changes that a test may
-//! delay or withhold.
+//! Discovery service for any number of watchers. It serves the endpoint list over HTTP/1.1, and a test can
+//! delay or withhold changes.
 //!
-//! Owns the endpoints and their revisions. Each watcher gets the complete list first and then each change once, in
-//! the order of revisions.
+//! Each watcher receives the complete list first and then each change once, in the order of revisions.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -12,30 +11,30 @@
 
 use crate::scripted_discovery::{full_list, list_change};
 
-/// Time after which an empty line shows that a watch is alive.
+/// Interval of the empty lines that keep an idle watch alive.
 pub(crate) const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Head of the response to a watch.
+/// Status line and headers of the response to a watch request.
 pub(crate) const CHUNKED_RESPONSE_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// Shortest wait for a change that is not due yet.
+/// Minimum wait for a change that is not due yet.
 const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// An entry of the endpoint list, in the terms of the wire.
+/// An entry of the endpoint list, with the field values of the discovery protocol.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointEntry<'a> {
-    /// Its name.
+    /// Name of the data server.
     pub uid: &'a str,
-    /// Where the server listens.
+    /// Address on which the data server listens.
     pub address: SocketAddr,
-    /// The replica set that it belongs to.
+    /// Number of the replica set that the data server belongs to.
     pub group: u64,
-    /// `Ready`, `Terminating` or `Gone`.
+    /// State of the data server: `Ready`, `Terminating` or `Gone`.
     pub state: &'a str,
-    /// `read-write` or `read-only`.
+    /// Role of the data server: `read-write` for the primary, `read-only` for a replica.
     pub mode: &'a str,
 }
 
 impl EndpointEntry<'_> {
-    /// The entry as JSON.
+    /// Returns the entry as JSON.
     pub fn to_json(self) -> String {
         let Self { uid, address, group, state, mode } = self;
         format!(
@@ -47,20 +46,20 @@
 /// An endpoint as the discovery service stores it.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// Its name.
+    /// Name of the data server.
     pub uid: String,
-    /// Where the server listens.
+    /// Address on which the data server listens.
     pub address: SocketAddr,
-    /// The replica set that it belongs to.
+    /// Number of the replica set that the data server belongs to.
     pub group: u64,
-    /// `Ready` or `Terminating`.
+    /// State of the data server: `Ready` or `Terminating`.
     pub state: &'static str,
-    /// Whether the list names it as the primary.
+    /// Whether the list names the data server as the primary.
     pub is_primary: bool,
 }
 
 impl Endpoint {
-    /// Its entry as JSON.
+    /// Returns the endpoint's list entry as JSON.
     pub fn to_json(&self) -> String {
         let mode = if self.is_primary { "read-write" } else { "read-only" };
         let Self { uid, address, group, state, .. } = self;
@@ -68,9 +67,9 @@
     }
 }
 
-/// A change of one endpoint.
+/// A change of one endpoint, as one revision of the list.
 struct Change {
-    /// When watchers may get it.
+    /// Time from which the service sends the change to watchers.
     due: Instant,
     endpoint_json: String,
 }
@@ -83,11 +82,11 @@
     stopped: bool,
 }
 
-/// The next line for a watcher.
+/// The next line to send on a watch.
 struct PendingLine {
     due: Instant,
     text: String,
-    /// Changes that the watcher knows once it has the line.
+    /// Number of changes that the watcher has received once it has read the line.
     known_changes: usize,
 }
 
@@ -97,39 +96,40 @@
     changed: Condvar,
 }
 
-/// The service. Dropping it ends its watches.
+/// A running discovery service. Dropping it ends its watches and its listener.
 pub struct DiscoveryServer {
-    /// Where it listens.
+    /// Address on which the service listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl DiscoveryServer {
-    /// Starts a service with these endpoints.
+    /// Starts a service on a free loopback port with these endpoints.
     pub fn start(endpoints: Vec<Endpoint>) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?;
         let state = Mutex::new(State { endpoints, ..State::default() });
         let shared = Arc::new(Shared { state, changed: Condvar::new() });
-        let served = shared.clone();
+        let service = shared.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let served = served.clone();
-                if served.lock().stopped {
+                let service = service.clone();
+                if service.lock().stopped {
                     return;
                 }
-                thread::spawn(move || drop(served.serve_watch(stream)));
+                thread::spawn(move || drop(service.serve_watch(stream)));
             }
         });
         Ok(Self { address, shared })
     }
 
-    /// The complete list, in the form of the configuration's `known`.
+    /// Returns the complete list as JSON, in the format of the configuration key `known`.
     pub fn full_list(&self) -> String {
         self.shared.lock().full_list()
     }
 
-    /// Changes an endpoint; watchers are notified after `delay`.
+    /// Changes an endpoint and sends the change to watchers after `delay`. Does nothing if `uid` is not
+    /// listed.
     pub fn update(&self, uid: &str, delay: Duration, change: impl FnOnce(&mut Endpoint)) {
         let mut state = self.shared.lock();
         let Some(endpoint) = state.endpoints.iter_mut().find(|e| e.uid == uid) else { return };
@@ -140,12 +140,12 @@
         self.shared.changed.notify_all();
     }
 
-    /// Sends nothing more to any watcher, until [`resume`](Self::resume).
+    /// Stops all output to watchers, keep-alive lines included, until [`resume`](Self::resume).
     pub fn silence(&self) {
         self.set_silent(true);
     }
 
-    /// Ends a silence: watchers get what they missed.
+    /// Resumes output to watchers, starting with the changes that they missed.
     pub fn resume(&self) {
         self.set_silent(false);
     }
@@ -160,7 +160,7 @@
     fn drop(&mut self) {
         self.shared.lock().stopped = true;
         self.shared.changed.notify_all();
-        let _ = TcpStream::connect(self.address); // wakes the listener, which then ends
+        let _ = TcpStream::connect(self.address); // unblocks `accept`, so that the listener thread ends
     }
 }
 
@@ -170,7 +170,8 @@
         full_list(self.changes.len() as u32 + 1, &endpoints)
     }
 
-    /// The next line for a watcher that knows so many changes, or nothing yet.
+    /// Returns the next line for a watcher that has received `known_changes` changes, or no list yet if
+    /// `None`. Returns `None` if there is no further change.
     fn next_line(&self, known_changes: Option<usize>) -> Option<PendingLine> {
         let Some(known) = known_changes else {
             let known_changes = self.changes.len();
@@ -184,12 +185,12 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no thread of the service panics")
+        self.state.lock().expect("the lock is not poisoned")
     }
 
     fn serve_watch(&self, mut stream: TcpStream) -> io::Result<()> {
-        let mut head = BufReader::new(stream.try_clone()?).lines();
-        while head.next().transpose()?.is_some_and(|line| !line.is_empty()) {}
+        let mut header_lines = BufReader::new(stream.try_clone()?).lines();
+        while header_lines.next().transpose()?.is_some_and(|line| !line.is_empty()) {}
         stream.write_all(CHUNKED_RESPONSE_HEAD)?;
         let mut known_changes = None;
         while let Some(line) = self.wait_for_line(&mut known_changes) {
@@ -198,7 +199,8 @@
         Ok(())
     }
 
-    /// Waits for the next line of a watch, empty as a keep-alive; none once the service has stopped.
+    /// Waits for the next line of a watch. Returns an empty line as a keep-alive, and `None` once the service
+    /// has stopped.
     fn wait_for_line(&self, known_changes: &mut Option<usize>) -> Option<String> {
         let mut state = self.lock();
         let keep_alive_due = Instant::now() + KEEP_ALIVE_INTERVAL;
@@ -218,7 +220,7 @@
                     None => keep_alive_due.saturating_duration_since(now).max(MIN_WAIT),
                 }
             };
-            state = self.changed.wait_timeout(state, wait).expect("no thread of the service panics").0;
+            state = self.changed.wait_timeout(state, wait).expect("the lock is not poisoned").0;
         }
         None
     }
--- a/testkit/src/lib.rs
+++ b/testkit/src/lib.rs
@@ -1,6 +1,7 @@
-//! Test kit of pipittack: stand-ins for data servers and discovery, a client, a checker of writes, and trials.
+//! Test kit of pipittack: stand-ins for data servers and the discovery service, a client, a checker of
+//! writes, and trials.
 //!
-//! Everything runs on loopback with plain threads and blocking sockets. The program never depends on this crate.
+//! The stand-ins and the client run on loopback addresses. The proxy never depends on this crate.
 #![forbid(unsafe_code)]
 
 pub mod client;
--- a/testkit/src/proxy_process.rs
+++ b/testkit/src/proxy_process.rs
@@ -1,7 +1,5 @@
-//! The built program, or an earlier build of it, as a child process: started with a configuration, upgraded while
-//! it runs, terminated and restarted.
-//!
-//! Owns the child process and its folder. Dropping it kills the process.
+//! Runs a build of the proxy as a child process: start_count it with a configuration, upgrades it by hot
+//! restart, terminates it and restarts it. Dropping a [`ProxyProcess`] kills the child process.
 
 use std::fs::File;
 use std::io::{self, Read, Write};
@@ -11,30 +9,30 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time within which a process must become ready, and within which a terminated one must exit.
+/// Timeout for a process to become ready, for a terminated process to exit, and for calls of the admin API.
 const PROCESS_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time between two looks at a process.
+/// Interval at which a process is polled until it is ready or has exited.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Starts that may fail because another process took an address first.
+/// Maximum number of attempts to start a process if other processes take its addresses first.
 const MAX_START_ATTEMPTS: u32 = 5;
 
-/// Why a process could not be started or ended.
+/// Error of starting or ending a proxy process.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessError {
-    /// It exited during its start; most often because another process took one of its addresses.
-    #[error("the program ended before it was ready")]
+    /// The process exited before it was ready, usually because another process took one of its addresses.
+    #[error("proxy process exited before it was ready")]
     ExitedBeforeReady,
-    /// It runs and does not become ready.
-    #[error("the program did not become ready")]
+    /// The process still runs but did not become ready within the timeout.
+    #[error("proxy process did not become ready in time")]
     ReadyTimeout,
-    /// It was terminated and still runs.
-    #[error("the program did not exit in time")]
+    /// The process still runs after the timeout for its exit.
+    #[error("proxy process did not exit in time")]
     ExitTimeout,
-    /// No process took the signal.
-    #[error("the program could not be sent a signal")]
+    /// The `kill` command failed to deliver a signal.
+    #[error("failed to send a signal to the proxy process")]
     Signal,
-    /// The admin API answered with something other than HTTP.
-    #[error("the admin API's response is not HTTP")]
+    /// The admin API's response has no HTTP/1.1 status line.
+    #[error("response of the admin API has no HTTP/1.1 status line")]
     MalformedResponse,
     /// A system call failed.
     #[error(transparent)]
@@ -51,27 +49,28 @@
     }
 }
 
-/// A running proxy, its files and its addresses.
+/// A running proxy process with its files and addresses.
 pub struct ProxyProcess {
     program: PathBuf,
     config: PathBuf,
     folder: PathBuf,
     child: Child,
-    /// Where clients connect.
+    /// Address on which the proxy accepts clients.
     pub address: SocketAddr,
     admin_address: SocketAddr,
-    /// Processes started so far; numbers the log files.
-    starts: u32,
+    /// Number of processes started so far, which numbers the log files.
+    start_count: u32,
 }
 
-/// An address on loopback that nobody listens at. Another process may take it before it is used.
+/// Returns a loopback address on which no process listens. Another process may take the address before it is
+/// used.
 pub fn free_address() -> io::Result<SocketAddr> {
     TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
 
 impl ProxyProcess {
-    /// Starts a program in a folder of its own, and waits until it is ready. `config` is the JSON text with
-    /// `LISTEN` in place of its address.
+    /// Starts the program at path `program` and waits until it is ready. `config` is the JSON configuration
+    /// with `LISTEN` in place of the listen address. The configuration and the logs are written to `folder`.
     pub fn start(program: &Path, folder: &Path, config: &str) -> Result<Self, ProcessError> {
         std::fs::create_dir_all(folder)?;
         let config_path = folder.join("config.json");
@@ -87,14 +86,15 @@
                 child,
                 address,
                 admin_address,
-                starts: 1,
+                start_count: 1,
             };
             process.wait_until_ready()?;
             Ok(process)
         })
     }
 
-    /// Starts a second process beside the first, and terminates the first once the second is ready.
+    /// Upgrades the proxy by hot restart: start_count a successor, waits until it is ready, then terminates
+    /// the predecessor and waits for its exit.
     pub fn upgrade(&mut self) -> Result<(), ProcessError> {
         let admin_address = free_address()?;
         let successor = self.spawn_next(admin_address)?;
@@ -108,18 +108,18 @@
         result
     }
 
-    /// Sends the process SIGTERM.
+    /// Sends SIGTERM to the process.
     pub fn terminate(&self) -> Result<(), ProcessError> {
         send_signal(&self.child, "TERM")
     }
 
-    /// Waits until the process has exited; whether with success.
+    /// Waits until the process has exited. Returns whether its exit status was success.
     pub fn wait_for_exit(&mut self) -> Result<bool, ProcessError> {
         wait_for_exit(&mut self.child)?;
         Ok(self.child.wait()?.success())
     }
 
-    /// Starts the program again at its address, after it has exited.
+    /// Starts the program again with the same configuration, after the previous process has exited.
     pub fn restart(&mut self) -> Result<(), ProcessError> {
         retry_address_conflicts(|| {
             let admin_address = free_address()?;
@@ -128,25 +128,25 @@
         })
     }
 
-    /// Whether the serving process still runs.
+    /// Returns whether the current process still runs.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
     fn spawn_next(&mut self, admin_address: SocketAddr) -> Result<Child, ProcessError> {
-        let child = spawn(&self.program, &self.config, &self.folder, admin_address, self.starts)?;
+        let child = spawn(&self.program, &self.config, &self.folder, admin_address, self.start_count)?;
         self.admin_address = admin_address;
-        self.starts += 1;
+        self.start_count += 1;
         Ok(child)
     }
 
     fn wait_until_ready(&mut self) -> Result<(), ProcessError> {
-        let since = Instant::now();
+        let started_at = Instant::now();
         while !matches!(request_status(self.admin_address, "GET /control/ready"), Ok(200)) {
             if self.child.try_wait()?.is_some() {
                 return Err(ProcessError::ExitedBeforeReady);
             }
-            if since.elapsed() > PROCESS_TIMEOUT {
+            if started_at.elapsed() > PROCESS_TIMEOUT {
                 return Err(ProcessError::ReadyTimeout);
             }
             thread::sleep(POLL_INTERVAL);
@@ -162,7 +162,7 @@
     }
 }
 
-/// Repeats a start where another process took its address first.
+/// Retries `start` while it fails because another process took an address.
 fn retry_address_conflicts<T>(mut start: impl FnMut() -> Result<T, ProcessError>) -> Result<T, ProcessError> {
     let mut attempts = 1;
     loop {
@@ -173,10 +173,16 @@
     }
 }
 
-fn spawn(program: &Path, config: &Path, folder: &Path, admin: SocketAddr, number: u32) -> io::Result<Child> {
-    let log = File::create(folder.join(format!("log-{number}.txt")))?;
+fn spawn(
+    program: &Path,
+    config: &Path,
+    folder: &Path,
+    admin_address: SocketAddr,
+    log_number: u32,
+) -> io::Result<Child> {
+    let log = File::create(folder.join(format!("log-{log_number}.txt")))?;
     Command::new(program)
-        .args(["serve", "--ops", &admin.to_string()])
+        .args(["serve", "--ops", &admin_address.to_string()])
         .env("GW_CONFIG", config)
         .env("TMPDIR", folder)
         .stdin(Stdio::null())
@@ -185,15 +191,15 @@
         .spawn()
 }
 
-fn send_signal(child: &Child, name: &str) -> Result<(), ProcessError> {
-    let status = Command::new("kill").args([&format!("-{name}"), &child.id().to_string()]).status()?;
+fn send_signal(child: &Child, signal: &str) -> Result<(), ProcessError> {
+    let status = Command::new("kill").args([&format!("-{signal}"), &child.id().to_string()]).status()?;
     status.success().then_some(()).ok_or(ProcessError::Signal)
 }
 
 fn wait_for_exit(child: &mut Child) -> Result<(), ProcessError> {
-    let since = Instant::now();
+    let started_at = Instant::now();
     while child.try_wait()?.is_none() {
-        if since.elapsed() > PROCESS_TIMEOUT {
+        if started_at.elapsed() > PROCESS_TIMEOUT {
             return Err(ProcessError::ExitTimeout);
         }
         thread::sleep(POLL_INTERVAL);
@@ -201,9 +207,9 @@
     Ok(())
 }
 
-/// The status with which the admin API answers a request without a body.
-fn request_status(admin: SocketAddr, request_line: &str) -> Result<u16, ProcessError> {
-    let mut stream = TcpStream::connect_timeout(&admin, PROCESS_TIMEOUT)?;
+/// Sends a request without a body to the admin API and returns the response's status code.
+fn request_status(admin_address: SocketAddr, request_line: &str) -> Result<u16, ProcessError> {
+    let mut stream = TcpStream::connect_timeout(&admin_address, PROCESS_TIMEOUT)?;
     stream.set_read_timeout(Some(PROCESS_TIMEOUT))?;
     stream.write_all(format!("{request_line} HTTP/1.1\r\nHost: proxy\r\n\r\n").as_bytes())?;
     let mut response = String::new();
--- a/testkit/src/replica_set/connection.rs
+++ b/testkit/src/replica_set/connection.rs
@@ -1,4 +1,4 @@
-//! The protocol side of a replica set's member: its listener and its connections.
+//! Listener and client connections of a replica set's member.
 
 use std::io::{self, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
@@ -11,7 +11,7 @@
 use super::{unix_ms, MemberState};
 use crate::wire::{load_report, read_message, read_startup, ready_for_query, startup_response};
 
-/// What a statement asks for, as its comment says.
+/// A statement, with the fields of its comment.
 pub(super) struct Statement {
     pub(super) is_write: bool,
     pub(super) id: Arc<str>,
@@ -19,7 +19,8 @@
 }
 
 impl Statement {
-    /// Reads a statement that came in just now.
+    /// Parses a statement that has just arrived; its deadline counts from now. Returns `None` if the
+    /// statement or its comment is malformed.
     fn parse(text: &str) -> Option<Self> {
         let value = |name: &str| {
             let comment = text.rsplit_once("/*")?.1;
@@ -32,7 +33,7 @@
     }
 }
 
-/// Accepts a member's connections until the set stops.
+/// Accepts connections to a member until the replica set stops.
 pub(super) fn accept_connections(listener: &TcpListener, shared: &Arc<Shared>, index: usize) {
     for stream in listener.incoming().flatten() {
         let mut state = shared.lock();
@@ -43,43 +44,43 @@
         if member.state == MemberState::Crashed {
             continue; // closes the connection at once
         }
-        let process = Incarnation { member: index, number: member.incarnation };
+        let incarnation = Incarnation { member: index, number: member.incarnation };
         member.streams.extend(stream.try_clone());
         drop(state);
         let shared = shared.clone();
         thread::spawn(move || {
-            let _ = serve_connection(&stream, &shared, process);
+            let _ = serve_connection(&stream, &shared, incarnation);
             let _ = stream.shutdown(Shutdown::Both);
-            forget_connection(&stream, &shared, index);
+            remove_connection(&stream, &shared, index);
         });
     }
 }
 
-/// Drops a member's clone of a connection, and those of others that have ended.
-fn forget_connection(stream: &TcpStream, shared: &Shared, index: usize) {
-    let own_peer = stream.peer_addr().ok();
-    let is_open = |other: &TcpStream| other.peer_addr().is_ok() && other.peer_addr().ok() != own_peer;
+/// Removes a member's clone of this connection, and clones of other connections that have ended.
+fn remove_connection(stream: &TcpStream, shared: &Shared, index: usize) {
+    let own_peer_address = stream.peer_addr().ok();
+    let is_open = |other: &TcpStream| other.peer_addr().is_ok() && other.peer_addr().ok() != own_peer_address;
     shared.lock().members[index].streams.retain(is_open);
 }
 
-fn serve_connection(mut stream: &TcpStream, shared: &Shared, process: Incarnation) -> io::Result<()> {
-    let ended = || io::Error::from(io::ErrorKind::ConnectionAborted);
+fn serve_connection(mut stream: &TcpStream, shared: &Shared, incarnation: Incarnation) -> io::Result<()> {
+    let aborted = || io::Error::from(io::ErrorKind::ConnectionAborted);
     stream.set_nodelay(true)?;
     read_startup(&mut stream)?;
-    drop(shared.wait_until_running(process).ok_or_else(ended)?);
+    drop(shared.wait_until_running(incarnation).ok_or_else(aborted)?);
     stream.write_all(&startup_response())?;
     while let Some((b'Q', body)) = read_message(&mut stream) {
         let text = String::from_utf8_lossy(body.strip_suffix(&[0]).unwrap_or(&body)).into_owned();
         let statement = Statement::parse(&text);
-        // A request reaches a paused member once it goes on, and a partitioned one never.
-        drop(shared.wait_until_running(process).ok_or_else(ended)?);
+        // A paused member receives the request when it resumes; a partitioned member never receives it.
+        drop(shared.wait_until_running(incarnation).ok_or_else(aborted)?);
         let response = match statement {
-            Some(statement) => execute(shared, process, &statement).ok_or_else(ended)?,
+            Some(statement) => execute(shared, incarnation, &statement).ok_or_else(aborted)?,
             None => error_response("08P01"),
         };
-        let state = shared.wait_until_running(process).ok_or_else(ended)?;
-        let member = &state.members[process.member];
-        let is_primary = member.claims_primary();
+        let state = shared.wait_until_running(incarnation).ok_or_else(aborted)?;
+        let member = &state.members[incarnation.member];
+        let is_primary = member.reports_primary();
         let position_ms = if is_primary { unix_ms() } else { member.position_unix_ms };
         drop(state);
         let report = load_report(is_primary, position_ms as i64);
--- a/testkit/src/replica_set/execution.rs
+++ b/testkit/src/replica_set/execution.rs
@@ -1,4 +1,4 @@
-//! The execution of one request on a member: admission, work, and the commit of a write.
+//! Execution of a request on a member: admission, work, and the commit of a write.
 
 use std::thread;
 use std::time::Instant;
@@ -9,70 +9,71 @@
 use super::{unix_ms, MemberState, Role};
 use crate::wire::{message, row};
 
-/// SQLSTATE of a write at a server that is no primary.
+/// SQLSTATE of a write at a member that is not the primary.
 const READ_ONLY: &str = "25006";
 /// SQLSTATE of a request that is rejected before its execution.
 const OVERLOADED: &str = "53300";
 /// SQLSTATE of a write whose outcome is unknown.
 const OUTCOME_UNKNOWN: &str = "XX000";
 
-/// An ErrorResponse of this SQLSTATE.
+/// Returns an ErrorResponse with this SQLSTATE.
 pub(super) fn error_response(code: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0VERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
-/// The SQLSTATE with which a member rejects a statement, if it does.
-fn rejection(member: &Member, statement: &Statement) -> Option<&'static str> {
+/// Returns the SQLSTATE with which a member rejects a statement, or `None` if it accepts the statement.
+fn rejection_code(member: &Member, statement: &Statement) -> Option<&'static str> {
     if statement.is_write && (member.role == Role::Replica || member.is_handing_over) {
         return Some(READ_ONLY);
     }
     member.is_draining.then_some(OVERLOADED)
 }
 
-/// Executes one request and gives its response; none if the process ends before.
-pub(super) fn execute(shared: &Shared, process: Incarnation, statement: &Statement) -> Option<Vec<u8>> {
+/// Executes a request and returns its response, or `None` if the member's incarnation ends first.
+pub(super) fn execute(shared: &Shared, incarnation: Incarnation, statement: &Statement) -> Option<Vec<u8>> {
     let state = shared.lock();
-    if let Some(code) = rejection(&state.members[process.member], statement) {
+    if let Some(code) = rejection_code(&state.members[incarnation.member], statement) {
         return Some(error_response(code));
     }
-    let mut state = shared.wait_until(state, process, |_, member| {
-        member.state == MemberState::Running && member.running < shared.config.max_concurrency
+    let mut state = shared.wait_until(state, incarnation, |_, member| {
+        member.state == MemberState::Running && member.active_requests < shared.config.max_concurrency
     })?;
     if Instant::now() > statement.deadline {
-        return Some(error_response(OVERLOADED)); // not begun
+        return Some(error_response(OVERLOADED)); // the deadline passed before the execution began
     }
-    let member = &mut state.members[process.member];
-    if let Some(code) = rejection(member, statement) {
+    let member = &mut state.members[incarnation.member];
+    if let Some(code) = rejection_code(member, statement) {
         return Some(error_response(code));
     }
-    member.running += 1;
+    member.active_requests += 1;
     if statement.is_write && member.role == Role::Primary {
         member.first_write_at.get_or_insert_with(Instant::now);
     }
     drop(state);
     thread::sleep(shared.config.execution_time);
-    let response = complete(shared, process, statement);
+    let response = complete(shared, incarnation, statement);
     let mut state = shared.lock();
-    let member = &mut state.members[process.member];
-    if member.incarnation == process.number {
-        member.running = member.running.saturating_sub(1);
+    let member = &mut state.members[incarnation.member];
+    if member.incarnation == incarnation.number {
+        member.active_requests = member.active_requests.saturating_sub(1);
     }
     drop(state);
     shared.changed.notify_all();
     response
 }
 
-/// Completes a request after its work. A partitioned member completes it too; only its response does not go out.
-fn complete(shared: &Shared, process: Incarnation, statement: &Statement) -> Option<Vec<u8>> {
-    let mut state = shared.wait_until(shared.lock(), process, |_, member| {
+/// Completes a request after its execution time. A partitioned member also completes the request, but cannot
+/// send the response.
+fn complete(shared: &Shared, incarnation: Incarnation, statement: &Statement) -> Option<Vec<u8>> {
+    let mut state = shared.wait_until(shared.lock(), incarnation, |_, member| {
         matches!(member.state, MemberState::Running | MemberState::Partitioned)
     })?;
     if !statement.is_write {
         return Some(row(b"v"));
     }
-    let member = &mut state.members[process.member];
+    let member = &mut state.members[incarnation.member];
     if member.role == Role::Replica {
-        return Some(error_response(OUTCOME_UNKNOWN)); // replaced while it worked
+        return Some(error_response(OUTCOME_UNKNOWN)); // demoted during the execution
     }
     *member.executions.entry(statement.id.clone()).or_default() += 1;
     member.log.push(LogEntry { id: statement.id.clone(), written_unix_ms: unix_ms() });
@@ -80,18 +81,18 @@
     if !shared.config.synchronous {
         return Some(row(b"v"));
     }
-    // Waits until a replica has the write, or until the member is replaced.
-    let state = shared.wait_until(state, process, |state, member| {
-        let has_write = |follower: &Member| {
+    // Wait until a replica has received the write or the member is demoted.
+    let state = shared.wait_until(state, incarnation, |state, member| {
+        let has_received_write = |follower: &Member| {
             follower.role == Role::Replica
                 && follower.state == MemberState::Running
                 && follower.log.len() >= log_length
         };
-        let is_followed = member.role == Role::Primary && member.state == MemberState::Running;
-        member.role == Role::Replica || (is_followed && state.members.iter().any(has_write))
+        let can_replicate = member.role == Role::Primary && member.state == MemberState::Running;
+        member.role == Role::Replica || (can_replicate && state.members.iter().any(has_received_write))
     })?;
-    // The write may be in the new primary's log, but a member that was replaced cannot tell.
-    if state.members[process.member].role == Role::Replica {
+    // The new primary's log may contain the write, but the demoted member cannot know that.
+    if state.members[incarnation.member].role == Role::Replica {
         return Some(error_response(OUTCOME_UNKNOWN));
     }
     Some(row(b"v"))
--- a/testkit/src/replica_set/member.rs
+++ b/testkit/src/replica_set/member.rs
@@ -1,4 +1,4 @@
-//! The state of a replica set: its members, their logs and their counts.
+//! State of a replica set: its members with their logs and execution counts.
 
 use std::collections::HashMap;
 use std::net::{Shutdown, TcpStream};
@@ -7,39 +7,39 @@
 
 use super::{unix_ms, MemberState, Role};
 
-/// A write in a log.
+/// An entry of a member's log.
 #[derive(Debug, Clone)]
 pub(super) struct LogEntry {
     pub(super) id: Arc<str>,
     pub(super) written_unix_ms: u64,
 }
 
-/// A member of the set.
+/// A member of the replica set.
 pub(super) struct Member {
     pub(super) state: MemberState,
     pub(super) role: Role,
-    /// It takes no more writes.
+    /// Whether the member rejects writes because of a handover.
     pub(super) is_handing_over: bool,
-    /// It rejects new requests of any kind.
+    /// Whether the member rejects all new requests.
     pub(super) is_draining: bool,
     pub(super) log: Vec<LogEntry>,
-    /// Time up to which it has all commits.
+    /// Replication position: time up to which the member has all commits.
     pub(super) position_unix_ms: u64,
-    /// Replication lag on top of the usual delay.
+    /// Replication lag in addition to the configured delay.
     pub(super) lag: Duration,
-    /// Requests that it executes.
-    pub(super) running: usize,
-    /// How often its process was started. Work of an earlier incarnation is dropped.
+    /// Number of requests that the member is executing.
+    pub(super) active_requests: usize,
+    /// Number of the current process of the member. Requests of an earlier incarnation are discarded.
     pub(super) incarnation: u32,
     pub(super) streams: Vec<TcpStream>,
-    /// How often it executed each write.
+    /// Number of executions of each write on this member.
     pub(super) executions: HashMap<Arc<str>, u32>,
-    /// When it began its first write after its promotion.
+    /// Time at which the member began its first write as primary since its last promotion.
     pub(super) first_write_at: Option<Instant>,
     pub(super) promoted_at: Option<Instant>,
 }
 
-/// All members.
+/// State of a replica set, guarded by the lock in `Shared`.
 pub(super) struct SetState {
     pub(super) members: Vec<Member>,
     pub(super) is_stopped: bool,
@@ -55,7 +55,7 @@
             log: Vec::new(),
             position_unix_ms: unix_ms(),
             lag: Duration::ZERO,
-            running: 0,
+            active_requests: 0,
             incarnation: 0,
             streams: Vec::new(),
             executions: HashMap::new(),
@@ -64,37 +64,37 @@
         }
     }
 
-    /// Ends all connections, and with them the requests that are executed for them.
+    /// Ends all connections of the member and the requests that arrived on them.
     pub(super) fn end_incarnation(&mut self) {
         self.incarnation += 1;
-        self.running = 0;
+        self.active_requests = 0;
         for stream in self.streams.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Whether it reports that it is the primary.
-    pub(super) fn claims_primary(&self) -> bool {
+    /// Returns whether the member reports that it is the primary.
+    pub(super) fn reports_primary(&self) -> bool {
         self.role != Role::Replica && !self.is_handing_over
     }
 
     pub(super) fn describe(&self) -> String {
-        let Self { state, role, running, .. } = self;
+        let Self { state, role, active_requests, .. } = self;
         let log_length = self.log.len();
         let connections = self.streams.len();
         format!(
-            "{state:?} {role:?}: {log_length} writes in its log, {running} requests running, {connections} connections"
+            "{state:?} {role:?}: {log_length} writes in its log, {active_requests} active requests, {connections} connections"
         )
     }
 }
 
 impl SetState {
-    /// The member that replicas follow.
+    /// Returns the member whose role is primary, or `None` if there is none.
     pub(super) fn primary(&self) -> Option<usize> {
         self.members.iter().position(|member| member.role == Role::Primary)
     }
 
-    /// Cuts a replica's log back to what it shares with the primary's.
+    /// Truncates a replica's log to the prefix that it shares with the primary's log.
     pub(super) fn truncate_to_primary(&mut self, index: usize) {
         let Some(primary) = self.primary() else { return };
         if self.members[index].role != Role::Replica {
--- a/testkit/src/replica_set/mod.rs
+++ b/testkit/src/replica_set/mod.rs
@@ -1,9 +1,9 @@
-//! A stand-in replica set on loopback: a primary and its replicas, with a log, synchronous or asynchronous
-//! replication, replication lag, and failovers of every kind.
+//! Stand-in for a replica set on loopback addresses: a primary and its replicas with a write log, synchronous
+//! or asynchronous replication, replication lag, and failures.
 //!
-//! Owns the members' logs and, for each member, a count of the executions of each write. The count stays complete
-//! when a member's log is cut back. The failures are those that PostgreSQL's documentation of streaming replication
-//! and failover describes, and none happens unless a test orders it.
+//! Each member has a log of writes and a count of the executions of each write. Truncating a member's log
+//! does not change the count. The failures are those that PostgreSQL's documentation of streaming replication
+//! and failover describes. A failure occurs only when a test injects it.
 
 mod connection;
 mod execution;
@@ -20,56 +20,57 @@
 use member::{Member, SetState};
 use shared::Shared;
 
-/// Time between two rounds of replication.
+/// Interval of replication from the primary to its replicas.
 const REPLICATION_INTERVAL: Duration = Duration::from_millis(2);
 
-/// How a set replicates and how fast it works.
+/// Replication mode and performance of a replica set.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplicaSetConfig {
-    /// A write is acknowledged only once a replica has it too.
+    /// Whether the primary acknowledges a write only once a replica has received it.
     pub synchronous: bool,
-    /// Requests that one member executes at a time.
+    /// Maximum number of requests that a member executes concurrently.
     pub max_concurrency: usize,
-    /// Execution time of a request.
+    /// Time that a member takes to execute a request.
     pub execution_time: Duration,
-    /// Time after which a replica has what its primary wrote.
+    /// Time from a write at the primary until a replica has received and applied it.
     pub replication_delay: Duration,
 }
 
-/// What a member's process and network do.
+/// State of a member's process and network.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// It works.
+    /// The member executes requests and replicates.
     Running,
-    /// Its process is paused, with all its connections open.
+    /// The member's process is paused, with all its connections open.
     Paused,
-    /// Nothing comes in or goes out, while its work goes on.
+    /// The member receives and sends nothing, but continues to execute the requests that it has begun.
     Partitioned,
-    /// Its process does not exist.
+    /// The member's process has exited; new connections are closed at once.
     Crashed,
 }
 
-/// What a member takes itself to be.
+/// Role of a member as the member itself sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It takes writes, and replicas follow it.
+    /// The member takes writes, and replicas replicate from it.
     Primary,
-    /// It follows the primary.
+    /// The member replicates from the primary.
     Replica,
-    /// It was replaced and does not know: it reports that it is the primary, and nobody follows it.
+    /// The member was replaced as the primary without learning of it: it still reports that it is the primary
+    /// and takes writes, but no replica replicates from it.
     StalePrimary,
 }
 
-/// What all members together executed, and what is in the log of the present primary.
+/// Executions and commits of each write, by the id of the request.
 #[derive(Debug, Default, Clone)]
 pub struct WriteLog {
-    /// How often each write was executed, over all members.
+    /// Number of executions of each write, over all members.
     pub executions: HashMap<String, u32>,
-    /// How often each write is in the log of the present primary.
+    /// Number of entries of each write in the log of the current primary.
     pub committed: HashMap<String, u32>,
 }
 
-/// The set. Dropping it ends its threads.
+/// A running replica set. Dropping it ends its threads and connections.
 pub struct ReplicaSet {
     shared: Arc<Shared>,
     addresses: Vec<SocketAddr>,
@@ -80,7 +81,7 @@
 }
 
 impl ReplicaSet {
-    /// Starts a set of so many members, the first of which is the primary.
+    /// Starts a replica set of `member_count` members on free loopback ports. Member 0 is the primary.
     pub fn start(member_count: usize, config: ReplicaSetConfig) -> io::Result<Self> {
         let role = |index| if index == 0 { Role::Primary } else { Role::Replica };
         let members = (0..member_count).map(|index| Member::new(role(index))).collect();
@@ -92,27 +93,27 @@
             let shared = shared.clone();
             thread::spawn(move || connection::accept_connections(&listener, &shared, index));
         }
-        let replication = shared.clone();
+        let replication_shared = shared.clone();
         thread::spawn(move || {
-            while !replication.is_stopped() {
-                replication.replicate();
+            while !replication_shared.is_stopped() {
+                replication_shared.replicate();
                 thread::sleep(REPLICATION_INTERVAL);
             }
         });
         Ok(Self { shared, addresses })
     }
 
-    /// Where the members listen.
+    /// Returns the addresses on which the members listen, by member.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// The member that replicas follow, if there is one.
+    /// Returns the member whose role is primary, or `None` if there is none.
     pub fn primary(&self) -> Option<usize> {
         self.shared.lock().primary()
     }
 
-    /// Pauses a member, cuts it off, or kills its process, which resets its connections.
+    /// Sets the state of a member's process and network. A crash ends the member's connections and requests.
     pub fn set_member_state(&self, member: usize, member_state: MemberState) {
         self.update(|state| {
             let member = &mut state.members[member];
@@ -123,7 +124,9 @@
         });
     }
 
-    /// Lets a member work again, in this role. The connections of one that was partitioned or crashed end.
+    /// Makes a member run again in this role, no longer draining or handing over. If the member was
+    /// partitioned, its connections and requests end. The log of a replica is truncated to what it shares
+    /// with the primary.
     pub fn recover(&self, index: usize, role: Role) {
         self.update(|state| {
             let member = &mut state.members[index];
@@ -140,7 +143,7 @@
         });
     }
 
-    /// Makes a stale primary a replica.
+    /// Makes a stale primary a replica and truncates its log to what it shares with the primary.
     pub fn demote(&self, index: usize) {
         self.update(|state| {
             state.members[index].role = Role::Replica;
@@ -148,18 +151,18 @@
         });
     }
 
-    /// Promotes the running replica with the longest log. A previous primary that does not run becomes a stale
-    /// primary. Gives the new primary; none where no replica runs.
+    /// Promotes the running replica with the longest log. The previous primary becomes a replica if it is
+    /// running, and a stale primary otherwise. Returns the new primary, or `None` if no replica is running.
     pub fn promote(&self) -> Option<usize> {
         self.update(SetState::promote)
     }
 
-    /// The primary takes no more writes, because it hands over.
+    /// Begins a handover at the primary, which then rejects writes and reports that it is a replica.
     pub fn begin_handover(&self, member: usize) {
         self.update(|state| state.members[member].is_handing_over = true);
     }
 
-    /// The primary takes no new requests at all, and hands over.
+    /// Begins draining and a handover at the primary, which then rejects all new requests.
     pub fn begin_draining(&self, member: usize) {
         self.update(|state| {
             state.members[member].is_handing_over = true;
@@ -167,7 +170,7 @@
         });
     }
 
-    /// Whether some running replica has all that a member wrote.
+    /// Returns whether another running member has all writes of this member, by the length of their logs.
     pub fn is_replicated(&self, index: usize) -> bool {
         let state = self.shared.lock();
         let length = state.members[index].log.len();
@@ -175,26 +178,27 @@
         state.members.iter().enumerate().any(|(i, member)| i != index && has_all(member))
     }
 
-    /// Sets how much later than usual a replica has what its primary wrote.
+    /// Sets a replica's replication lag in addition to the configured `replication_delay`.
     pub fn set_replication_lag(&self, member: usize, lag: Duration) {
         self.update(|state| state.members[member].lag = lag);
     }
 
-    /// The time between a member's promotion and the start of its first write since.
+    /// Returns the time from a member's promotion until it began its first write, or `None` if either has not
+    /// occurred.
     pub fn time_to_first_write(&self, member: usize) -> Option<Duration> {
         let state = self.shared.lock();
         let member = &state.members[member];
         Some(member.first_write_at?.saturating_duration_since(member.promoted_at?))
     }
 
-    /// A summary of each member, for debugging.
+    /// Returns a one-line summary of all members for debugging.
     pub fn describe(&self) -> String {
         let state = self.shared.lock();
         let members: Vec<_> = state.members.iter().map(Member::describe).collect();
         members.join("; ")
     }
 
-    /// What the members executed and committed so far.
+    /// Returns the writes that the members have executed and committed so far.
     pub fn write_log(&self) -> WriteLog {
         let state = self.shared.lock();
         let mut log = WriteLog::default();
@@ -222,7 +226,7 @@
             state.members.iter_mut().for_each(Member::end_incarnation);
         });
         for address in &self.addresses {
-            let _ = TcpStream::connect(address); // wakes the listener, which then ends
+            let _ = TcpStream::connect(address); // unblocks `accept`, so that the listener thread ends
         }
     }
 }
@@ -244,7 +248,7 @@
         promoted.is_handing_over = false;
         promoted.first_write_at = None;
         promoted.promoted_at = Some(Instant::now());
-        // Running replicas have the whole log before the new primary takes writes.
+        // All running replicas receive the complete log before the new primary takes writes.
         let log = promoted.log.clone();
         for member in self.members.iter_mut().filter(|member| is_eligible(member)) {
             member.log.clone_from(&log);
--- a/testkit/src/replica_set/shared.rs
+++ b/testkit/src/replica_set/shared.rs
@@ -1,18 +1,18 @@
-//! What the threads of a replica set share: the locked state, waits for a change of it, and replication.
+//! State that the threads of a replica set share, waits for changes of that state, and replication.
 
 use std::sync::{Condvar, Mutex, MutexGuard};
 
 use super::member::{Member, SetState};
 use super::{unix_ms, MemberState, ReplicaSetConfig, Role};
 
-/// The shared part of a set.
+/// Configuration and locked state of a replica set.
 pub(super) struct Shared {
     pub(super) config: ReplicaSetConfig,
     pub(super) changed: Condvar,
     state: Mutex<SetState>,
 }
 
-/// A member's process as a connection or a request knows it.
+/// One run of a member's process. Connections and requests belong to the incarnation that accepted them.
 #[derive(Clone, Copy)]
 pub(super) struct Incarnation {
     pub(super) member: usize,
@@ -26,39 +26,42 @@
     }
 
     pub(super) fn lock(&self) -> MutexGuard<'_, SetState> {
-        self.state.lock().expect("no thread of the set panics")
+        self.state.lock().expect("the lock is not poisoned")
     }
 
     pub(super) fn is_stopped(&self) -> bool {
         self.lock().is_stopped
     }
 
-    /// Waits until the member runs; none if the incarnation has ended.
-    pub(super) fn wait_until_running(&self, process: Incarnation) -> Option<MutexGuard<'_, SetState>> {
+    /// Waits until the member runs. Returns `None` if the incarnation has ended or the replica set has
+    /// stopped.
+    pub(super) fn wait_until_running(&self, incarnation: Incarnation) -> Option<MutexGuard<'_, SetState>> {
         let is_running = |_: &SetState, member: &Member| member.state == MemberState::Running;
-        self.wait_until(self.lock(), process, is_running)
+        self.wait_until(self.lock(), incarnation, is_running)
     }
 
-    /// Waits until a condition on the member holds; none if the incarnation has ended.
+    /// Waits until a condition on the member holds. Returns `None` if the incarnation has ended or the
+    /// replica set has stopped.
     pub(super) fn wait_until<'s>(
         &'s self,
         mut state: MutexGuard<'s, SetState>,
-        process: Incarnation,
+        incarnation: Incarnation,
         condition: impl Fn(&SetState, &Member) -> bool,
     ) -> Option<MutexGuard<'s, SetState>> {
         loop {
-            let member = &state.members[process.member];
-            if state.is_stopped || member.incarnation != process.number {
+            let member = &state.members[incarnation.member];
+            if state.is_stopped || member.incarnation != incarnation.number {
                 return None;
             }
             if condition(&state, member) {
                 return Some(state);
             }
-            state = self.changed.wait(state).expect("no thread of the set panics");
+            state = self.changed.wait(state).expect("the lock is not poisoned");
         }
     }
 
-    /// Running replicas receive and apply what their primary has written, if the primary can be reached.
+    /// Copies the primary's log to the running replicas, up to each replica's delay. Does nothing unless the
+    /// primary is running.
     pub(super) fn replicate(&self) {
         let mut state = self.lock();
         let Some(primary) = state.primary() else { return };
--- a/testkit/src/scripted_discovery.rs
+++ b/testkit/src/scripted_discovery.rs
@@ -1,7 +1,6 @@
-//! A discovery service for one watcher, driven by a test line by line.
+//! Discovery service for one watcher, for which a test supplies each line.
 //!
-//! Owns the first list and the queue of changes. It serves one connection at a time, and each watch begins with
-//! the first list.
+//! The service handles one connection at a time. Each watch begins with the list that was given at the start.
 
 use std::io::{self, BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,33 +10,32 @@
 
 use crate::discovery_server::{CHUNKED_RESPONSE_HEAD, KEEP_ALIVE_INTERVAL};
 
-/// A discovery service. A text sent to `changes` goes out on the open watch; an empty text ends the watch. Dropping the
-/// service ends its listener.
+/// A running discovery service. Dropping it ends its listener.
 pub struct ScriptedDiscovery {
-    /// Where it listens.
+    /// Address on which the service listens.
     pub address: SocketAddr,
-    /// Changes to go out on the watch.
+    /// Sends lines on the open watch; an empty string ends the watch.
     pub changes: mpsc::Sender<String>,
-    /// The request lines that came in, in order.
+    /// Receives the HTTP request line of each watch, in order of arrival.
     pub request_lines: mpsc::Receiver<String>,
     stopped: Arc<AtomicBool>,
 }
 
-/// The complete endpoint list of a revision, as JSON.
+/// Returns the complete endpoint list at a revision, as JSON.
 pub fn full_list(revision: u32, endpoints: &[String]) -> String {
     format!(r#"{{"rev":{revision},"all":true,"targets":[{}]}}"#, endpoints.join(","))
 }
 
-/// The endpoints that changed in a revision, as JSON.
+/// Returns the endpoints that changed in a revision, as JSON.
 pub fn list_change(revision: u32, endpoints: &[String]) -> String {
     format!(r#"{{"rev":{revision},"all":false,"targets":[{}]}}"#, endpoints.join(","))
 }
 
 impl ScriptedDiscovery {
-    /// Starts a service whose watches begin with this list.
+    /// Starts a service on a free loopback port whose watches begin with `list`.
     pub fn start(list: String) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-        let address = listener.local_addr().expect("bound");
+        let address = listener.local_addr().expect("the listener is bound");
         let (changes, queued_changes) = mpsc::channel::<String>();
         let (request_sender, request_lines) = mpsc::channel();
         let stopped = Arc::new(AtomicBool::new(false));
@@ -57,7 +55,7 @@
 impl Drop for ScriptedDiscovery {
     fn drop(&mut self) {
         self.stopped.store(true, Ordering::Relaxed);
-        let _ = TcpStream::connect(self.address); // wakes the listener, which then ends
+        let _ = TcpStream::connect(self.address); // unblocks `accept`, so that the listener thread ends
     }
 }
 
@@ -67,12 +65,13 @@
     queued_changes: &mpsc::Receiver<String>,
     request_sender: &mpsc::Sender<String>,
 ) -> io::Result<()> {
-    let mut head = BufReader::new(stream.try_clone()?).lines();
-    let request_line = head.next().transpose()?.unwrap_or_default();
-    while head.next().transpose()?.is_some_and(|line| !line.is_empty()) {}
+    let mut header_lines = BufReader::new(stream.try_clone()?).lines();
+    let request_line = header_lines.next().transpose()?.unwrap_or_default();
+    while header_lines.next().transpose()?.is_some_and(|line| !line.is_empty()) {}
     let _ = request_sender.send(request_line);
     stream.write_all(CHUNKED_RESPONSE_HEAD)?;
     let mut line = list.to_owned();
+    // A lone newline is a keep-alive; an empty string ends the watch.
     while !line.trim().is_empty() || line.ends_with('\n') {
         let text = format!("{}\n", line.trim());
         stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())?;
--- a/testkit/src/wire.rs
+++ b/testkit/src/wire.rs
@@ -1,17 +1,17 @@
-//! Messages of PostgreSQL's wire protocol, as far as the stand-ins and the test clients need them.
+//! The messages of PostgreSQL's wire protocol that the stand-ins and the test clients use.
 
 use std::io::{self, Read};
 
-/// Longest startup packet that a stand-in reads.
+/// Maximum number of bytes of a startup packet's body that a stand-in reads.
 const MAX_STARTUP_BYTES: usize = 10_000;
 
-/// A message as it stands on the wire.
+/// Returns the encoding of a message: its kind, its length and its body.
 pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
     let length = (body.len() as u32 + 4).to_be_bytes();
     [&[kind][..], &length, body].concat()
 }
 
-/// A result of one row with this value, from RowDescription to CommandComplete.
+/// Returns a result of one row with this value: RowDescription, DataRow and CommandComplete.
 pub fn row(value: &[u8]) -> Vec<u8> {
     let column = (value.len() as u32).to_be_bytes();
     let description = b"\0\x01body\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01";
@@ -19,39 +19,40 @@
     [message(b'T', description), message(b'D', &data), message(b'C', b"SELECT 1\0")].concat()
 }
 
-/// A simple query message.
+/// Returns a simple query message.
 pub fn query(text: &str) -> Vec<u8> {
     message(b'Q', &[text.as_bytes(), &[0]].concat())
 }
 
-/// A startup packet.
+/// Returns a startup packet of protocol version 3.0.
 pub fn startup() -> Vec<u8> {
     let body = [&196_608u32.to_be_bytes()[..], b"user\0worker\0database\0catalog\0\0"].concat();
     message(0, &body).split_off(1)
 }
 
-/// AuthenticationOk and ReadyForQuery: the response to a startup packet.
+/// Returns the response to a startup packet: AuthenticationOk and ReadyForQuery.
 pub fn startup_response() -> Vec<u8> {
     [message(b'R', &[0; 4]), ready_for_query()].concat()
 }
 
-/// ReadyForQuery, outside a transaction.
+/// Returns ReadyForQuery with the status `I` (not in a transaction).
 pub fn ready_for_query() -> Vec<u8> {
     message(b'Z', b"I")
 }
 
-/// ParameterStatus.
+/// Returns a ParameterStatus message.
 pub fn parameter_status(name: &str, value: &str) -> Vec<u8> {
     message(b'S', format!("{name}\0{value}\0").as_bytes())
 }
 
-/// The parameters with which a data server reports its role and its replication position.
+/// Returns the ParameterStatus messages in which a data server reports its role and its replication position,
+/// in milliseconds since the Unix epoch.
 pub fn load_report(is_primary: bool, position_unix_ms: i64) -> Vec<u8> {
     let mode = if is_primary { "read-write" } else { "read-only" };
     [parameter_status("mode", mode), parameter_status("wal_time", &position_unix_ms.to_string())].concat()
 }
 
-/// Reads one message; none at the end of the stream.
+/// Reads one message. Returns its kind and its body, or `None` at the end of the stream or on an error.
 pub fn read_message(stream: &mut impl Read) -> Option<(u8, Vec<u8>)> {
     let mut header = [0; 5];
     stream.read_exact(&mut header).ok()?;
@@ -61,7 +62,7 @@
     Some((header[0], body))
 }
 
-/// Reads a startup packet and ignores what it says.
+/// Reads a startup packet and discards its contents.
 pub fn read_startup(stream: &mut impl Read) -> io::Result<()> {
     let mut length = [0; 4];
     stream.read_exact(&mut length)?;
--- a/testkit/src/write_checker.rs
+++ b/testkit/src/write_checker.rs
@@ -1,4 +1,5 @@
-//! Checks the rules on writes: compares the responses that clients got with what the data servers executed.
+//! Checks the rules on writes by comparing the responses that clients received with the writes that the data
+//! servers executed.
 
 use std::collections::HashMap;
 
@@ -8,21 +9,21 @@
 #[cfg(test)]
 mod tests;
 
-/// Violated rules, each by the ids of the requests. All empty: no rule was violated.
+/// Ids of the requests that violate a rule, by rule.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct Violations {
-    /// Executed more than once.
+    /// Writes that were executed more than once.
     pub duplicates: Vec<String>,
-    /// Served, but executed nowhere or not in the log of the present primary.
+    /// Writes that were served, but not executed or not in the log of the current primary.
     pub lost_writes: Vec<String>,
-    /// Rejected as not executed, and yet it was.
+    /// Writes that were rejected as not executed, but were executed.
     pub false_rejections: Vec<String>,
-    /// No final response in time.
+    /// Requests, reads included, that got no final response in time.
     pub unanswered: Vec<String>,
 }
 
 impl Violations {
-    /// Whether there are none.
+    /// Returns whether no rule was violated.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
@@ -36,7 +37,7 @@
     }
 }
 
-/// Checks the requests of one replica set against what its members executed.
+/// Checks the requests to one replica set against the write log of its members.
 pub fn check_writes(records: &[RequestRecord], log: &WriteLog) -> Violations {
     let mut violations = Violations::default();
     let count = |counts: &HashMap<String, u32>, id: &str| counts.get(id).copied().unwrap_or(0);
--- a/testkit/src/write_checker/tests.rs
+++ b/testkit/src/write_checker/tests.rs
@@ -17,9 +17,9 @@
     WriteLog { executions: counts(executions), committed: counts(committed) }
 }
 
-/// One violation of each kind, and none where there is none.
+/// Checks one case for each kind of violation, and cases without a violation.
 #[test]
-fn each_violation_is_reported_and_nothing_else() {
+fn each_kind_of_violation_is_reported_and_valid_outcomes_are_not() {
     let id = |text: &str| vec![text.to_owned()];
     let rejected = || Response::Rejected(None);
     let failed = || Response::Failed("40003".into());
