--- a/deploy/operators.lisp
+++ b/deploy/operators.lisp
@@ -1,5 +1,6 @@
-; The operators' own settings, with their defaults, which also apply without this file. docs/failover.md describes each.
-; The file is read where `--operators` or GW_OPERATORS names it, at the start and at SIGHUP, all of it or nothing.
+; The operators' settings with their defaults, which also apply without this file. docs/failover.md describes
+; each. The proxy reads the file that `--operators` or GW_OPERATORS names at its start and at SIGHUP. If the
+; file has an error, none of it is applied.
 (failover
   (hold-count 2048)       ; most buffered writes, over all replica sets
   (hold-bytes 33554432)   ; most bytes of their statements
--- a/testkit/scenarios/herd.scm
+++ b/testkit/scenarios/herd.scm
@@ -1,4 +1,5 @@
-; A release: seven in ten proxies are killed at once under load, and come back with the list that they had.
+; Thundering herd after a release: 70 % of the proxies are killed at once under load and restart with their
+; cached endpoint lists.
 (fleet (proxies 200) (sets 8) (members 3) (load 0.5))
 (list (rate 15))
 (length 70)
--- a/testkit/scenarios/list-down.scm
+++ b/testkit/scenarios/list-down.scm
@@ -1,4 +1,4 @@
-; All start with no list while the service is down, and it stays so for 20 s.
+; All proxies start without a cached endpoint list, and discovery is down for the first 20 s.
 (fleet (proxies 200) (sets 8) (members 3) (load 0.5))
 (start (within 0.1) (remembered nothing))
 (list (rate 15))
--- a/testkit/scenarios/sessions.scm
+++ b/testkit/scenarios/sessions.scm
@@ -1,5 +1,5 @@
-; Sessions that write and read without a pause, with replicas that are behind, while their proxies are replaced and restarted,
-; fifty times each.
+; Sessions write and read continuously while replication is slow and the proxies are upgraded and restarted:
+; 50 upgrades and 50 restarts in total.
 (fleet (proxies 25) (sets 3) (members 3) (load 0.4))
 (sessions (marks kept))
 (clients (follows 0.9) (gap 0.1))
--- a/testkit/scenarios/upgrades-stalled.scm
+++ b/testkit/scenarios/upgrades-stalled.scm
@@ -1,5 +1,5 @@
-; Proxies are replaced while they run, and many stand still in the middle of it: before, while and after the door moves, and
-; for longer than a successor waits.
+; Hot restarts while many proxy processes are paused: before, during and after the handover of the listening
+; sockets, and for longer than the successor waits.
 (fleet (proxies 24) (sets 4) (members 3) (load 0.4))
 (sessions (marks kept))
 (clients (follows 0.8) (gap 0.15))
--- a/testkit/scenarios/upgrades.scm
+++ b/testkit/scenarios/upgrades.scm
@@ -1,4 +1,4 @@
-; Proxies are replaced while they run, one after another, under sessions that write and read.
+; Repeated hot restarts of all proxies, in sessions that write and read.
 (fleet (proxies 8) (sets 4) (members 3) (load 0.45))
 (sessions (marks kept))
 (clients (follows 0.8) (gap 0.15))
--- a/testkit/src/bin/failover-trial.rs
+++ b/testkit/src/bin/failover-trial.rs
@@ -1,4 +1,4 @@
-//! Runs the failover trial against the built program and prints its report.
+//! Runs the failover trial against a build of the proxy and prints the report.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -7,43 +7,43 @@
 use clap::Parser;
 use pipittack_testkit::failover_trial::{run, FaultKind, FaultTally, Plan, Report};
 
-/// Inject failovers under load, and check what became of every write
+/// Inject faults into replica sets under load and check the outcome of every write
 #[derive(Parser)]
 #[command(
     after_help = "Example: failover-trial --rounds 300 --seed 7 --program target/release/pipittack --json"
 )]
 struct Cli {
-    /// Rounds to run; each injects one fault
+    /// Number of rounds over all replica sets; each round injects one fault
     #[arg(long, default_value_t = 20)]
     rounds: usize,
-    /// Replica sets that run side by side
+    /// Number of replica sets that run concurrently
     #[arg(long, default_value_t = 8)]
     sets: usize,
-    /// Seed of the faults and the load
+    /// Seed of the random faults and load
     #[arg(long, default_value_t = 7)]
     seed: u64,
-    /// Factor on all times of the platform
+    /// Factor by which all times of the platform are multiplied
     #[arg(long, default_value_t = 0.5)]
     scale: f64,
-    /// The program; an earlier build gets the same faults
+    /// Path of the proxy program, which may be an earlier build
     #[arg(long, default_value = "target/release/pipittack")]
     program: PathBuf,
-    /// Another build that gets the same faults afterwards, for comparison
+    /// Path of another build to run with the same faults afterwards, for comparison
     #[arg(long)]
     beside: Option<PathBuf>,
-    /// Milliseconds past a request's wait after which it counts as unanswered
+    /// Time after a request's deadline at which it counts as unanswered, in milliseconds
     #[arg(long, default_value_t = 100)]
     slack_ms: u64,
-    /// Only one kind of fault, such as hang or false_primary
+    /// Inject only this kind of fault, such as hang or false_primary
     #[arg(long)]
     only: Option<FaultKind>,
-    /// Folder of the program's log and configuration
+    /// Folder for the proxy's logs and configuration
     #[arg(long)]
     folder: Option<PathBuf>,
-    /// Print the state of each set after each round
+    /// Print the state of the replica set after each round
     #[arg(long)]
     verbose: bool,
-    /// Print no table, only the line of JSON
+    /// Print only the report as a line of JSON, without the table
     #[arg(long)]
     json: bool,
 }
@@ -78,11 +78,11 @@
     if !cli.json {
         print_table(&report);
         if let Some(comparison) = &report.comparison {
-            println!("beside it:");
+            println!("comparison:");
             print_table(comparison);
         }
     }
-    println!("{}", serde_json::to_string(&report).expect("plain figures"));
+    println!("{}", serde_json::to_string(&report).expect("the report is serializable"));
     if report.is_clean() {
         ExitCode::SUCCESS
     } else {
@@ -100,7 +100,7 @@
         println!("{kind:<16} {rounds:>6} {writes:>7} {served:>7} {rejected:>7} {failed:>7}");
     }
     println!(
-        "worth kept {:.3}, of writes {:.3}; first write {:.1} ms after a takeover; held {:.0} ms",
+        "served value ratio {:.3}, of writes {:.3}; medians: first write {:.1} ms, buffered write {:.0} ms",
         report.served_value_ratio,
         report.write_served_value_ratio,
         report.time_to_first_write_p50_ms,
--- a/testkit/src/bin/fleet-trial.rs
+++ b/testkit/src/bin/fleet-trial.rs
@@ -1,5 +1,5 @@
-//! Runs a scenario against many proxies, as processes of a built program or as a simulation, and prints the
-//! figures.
+//! Runs a scenario against a fleet of proxies, either as processes of a build of the proxy or as a
+//! simulation, and prints the report.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -12,46 +12,46 @@
 use pipittack_testkit::fleet::simulation::Simulation;
 use serde_json::json;
 
-/// Number of violations that are printed in full.
+/// Maximum number of violations that are printed.
 const MAX_PRINTED_VIOLATIONS: usize = 10;
 
-/// Run a scenario against a fleet
+/// Run a scenario against a fleet of proxies
 #[derive(Parser)]
 #[command(name = "fleet-trial", version, about)]
 struct Cli {
-    /// The script
+    /// Path of the scenario file
     scenario: PathBuf,
-    /// The program; by default the release build of this workspace
+    /// Path of the proxy program; by default the release build of this workspace
     #[arg(long, value_name = "PATH", default_value = "target/release/pipittack")]
     program: PathBuf,
-    /// Simulate the proxies in this process on virtual time, with no program and no sockets
+    /// Simulate the proxies in this process in virtual time, without the proxy program and without sockets
     #[arg(long)]
     stepped: bool,
-    /// Proxies, in place of the script's number
+    /// Number of proxies, overriding the scenario
     #[arg(long, visible_alias = "processes", value_name = "N")]
     proxies: Option<usize>,
-    /// Data servers, in place of the script's number
+    /// Number of data servers, overriding the scenario
     #[arg(long, value_name = "N")]
     servers: Option<usize>,
-    /// Seed of all random draws; several are run one after another
+    /// Seeds of the random numbers; the scenario is run once for each seed
     #[arg(long, value_name = "N", value_delimiter = ',', default_value = "1")]
     seed: Vec<u64>,
-    /// Where processes write; kept after a violation
+    /// Folder for the files of the processes, always kept; the default folder is kept only after a violation
     #[arg(long, value_name = "DIR")]
     folder: Option<PathBuf>,
-    /// One JSON line for each seed, and nothing else, on standard output
+    /// Print only one line of JSON for each seed to standard output
     #[arg(long)]
     json: bool,
 }
 
-/// Why a trial could not run.
+/// Error that prevents a trial from running.
 #[derive(Debug, thiserror::Error)]
 enum TrialError {
     #[error("{path}: {source}")]
     Read { path: PathBuf, source: std::io::Error },
     #[error("{path}:{source}")]
     Scenario { path: PathBuf, source: ScenarioError },
-    #[error("the trial: {0}")]
+    #[error("trial failed: {0}")]
     Run(std::io::Error),
 }
 
@@ -67,7 +67,7 @@
     }
 }
 
-/// Runs the trials of all seeds; whether there was no violation.
+/// Runs the trials of all seeds. Returns whether no rule was violated.
 fn run(cli: &Cli) -> Result<bool, TrialError> {
     let path = &cli.scenario;
     let text = std::fs::read_to_string(path).map_err(|source| read_error(path, source))?;
@@ -103,7 +103,7 @@
     if report.violations.is_empty() && cli.folder.is_none() {
         let _ = std::fs::remove_dir_all(&folder);
     } else {
-        eprintln!("the logs are in {}", folder.display());
+        eprintln!("logs kept in {}", folder.display());
     }
     Ok(report)
 }
--- a/testkit/src/client.rs
+++ b/testkit/src/client.rs
@@ -50,13 +50,13 @@
 pub struct Request<'a> {
     /// Id of the request; unique among all requests of a test.
     pub id: &'a str,
-    /// Name of the request class; must be a class of writes exactly if `is_write` is set.
+    /// Name of the request class; a class of writes if and only if `is_write` is set.
     pub class: &'a str,
     /// Whether the request is an `INSERT`; otherwise it is a `SELECT`.
     pub is_write: bool,
     /// Number of the replica set.
     pub group: u64,
-    /// Deadline of the request, relative to its arrival, that the statement carries.
+    /// Time until the request's deadline; the statement's comment carries it in milliseconds.
     pub max_wait: Duration,
     /// Time after `max_wait` for which the client still waits for a response.
     pub response_slack: Duration,
--- a/testkit/src/failover_trial/load.rs
+++ b/testkit/src/failover_trial/load.rs
@@ -1,4 +1,4 @@
-//! The load of a failover trial: clients that send requests at a constant rate and retry rejected ones.
+//! Load of a failover trial: clients that send requests at a constant rate and retry rejected requests.
 
 use std::net::SocketAddr;
 use std::ops::Range;
@@ -13,28 +13,29 @@
 use super::Trial;
 use crate::client::{Client, Request, RequestRecord, Response};
 
-/// Writers of each set, and the requests that they send together.
-const WRITERS: usize = 40;
+/// Number of writing clients of each replica set, and their total request rate.
+const WRITERS_PER_SET: usize = 40;
 const WRITES_PER_SECOND: f64 = 25.0;
-/// Readers of each set, and the requests that they send together.
-const READERS: usize = 20;
+/// Number of reading clients of each replica set, and their total request rate.
+const READERS_PER_SET: usize = 20;
 const READS_PER_SECOND: f64 = 60.0;
-/// One of so many readers sends causal reads. Their session has written nothing, so that any replica will do.
-const SESSION_READER_INTERVAL: usize = 5;
-/// Share of writes whose client closes its connection before the response.
+/// One in this many readers sends causal reads. Their sessions have written nothing, so any replica can serve
+/// these reads.
+const READERS_PER_SESSION_READER: usize = 5;
+/// Probability that the client of a write closes its connection before the response.
 const ABANDONED_SHARE: f64 = 0.02;
-/// When such a client closes its connection, in platform milliseconds.
+/// Time from sending an abandoned write until its client closes the connection, in platform milliseconds.
 const ABANDON_MS: Range<f64> = 20.0..600.0;
-/// Retries of a rejected request.
+/// Maximum number of retries of a rejected request.
 const MAX_RETRIES: u32 = 2;
-/// Wait before a retry where the rejection names none.
+/// Delay before a retry if the rejection gives none.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Least time left for which a request is still sent.
-const MIN_WAIT: Duration = Duration::from_millis(20);
-/// Longest time between two looks at the end of the trial.
-const MAX_SLEEP: Duration = Duration::from_millis(100);
+/// Minimum time left until the deadline for a request to be sent.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
+/// Maximum sleep between two checks of whether the trial has stopped.
+const MAX_STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Value of requests, by their class and their latency. Retries of a request count as one.
+/// Total value of requests by class and latency. A request and its retries count as one.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct ServedValue {
     pub(super) offered: f64,
@@ -52,45 +53,45 @@
     }
 }
 
-/// What a client observed.
+/// Requests of one client and their value.
 #[derive(Default)]
 pub(super) struct LoadResult {
-    /// Every request that was sent, retries included.
+    /// All requests that the client sent, retries included.
     pub(super) records: Vec<RequestRecord>,
     pub(super) value: ServedValue,
 }
 
-/// A request class as its clients see it.
+/// Name, value and times of a request class.
 struct RequestClass {
     name: &'static str,
     value: f64,
-    /// Share of the value of a response past the latency objective.
+    /// Share of `value` that a response after the latency objective is worth.
     late_value_share: f64,
     times: ClassTimes,
 }
 
-/// A client that sends requests until the trial stops.
+/// A client that sends either reads or writes to one replica set.
 pub(super) struct LoadClient {
     client: Client,
     set: usize,
     number: usize,
     pub(super) is_write: bool,
-    /// Time before its first request.
+    /// Time from the start of the client until its first request.
     start_delay: Duration,
     interval: Duration,
     next_id: u32,
 }
 
 impl LoadClient {
-    /// All clients of a set.
+    /// Returns all clients of a replica set.
     pub(super) fn of_set(set: usize, proxy: SocketAddr) -> Vec<Self> {
-        let writers = Self::group(set, proxy, true, WRITERS, WRITES_PER_SECOND);
-        let readers = Self::group(set, proxy, false, READERS, READS_PER_SECOND);
+        let writers = Self::evenly_spaced(set, proxy, true, WRITERS_PER_SET, WRITES_PER_SECOND);
+        let readers = Self::evenly_spaced(set, proxy, false, READERS_PER_SET, READS_PER_SECOND);
         writers.chain(readers).collect()
     }
 
-    /// Clients that send requests of one kind at evenly spaced times.
-    fn group(
+    /// Returns `count` clients that send either reads or writes, at evenly spaced times.
+    fn evenly_spaced(
         set: usize,
         proxy: SocketAddr,
         is_write: bool,
@@ -109,41 +110,45 @@
         })
     }
 
-    /// Sends requests until the trial stops.
+    /// Sends requests until the trial stops. Skips the requests whose time passes while another request is
+    /// open.
     pub(super) fn run(mut self, trial: &Trial) -> LoadResult {
         let client_seed = ((self.set * 1000 + self.number) as u64) << 20;
         let kind_seed = u64::from(self.is_write) << 50;
         let mut rng = Pcg64Mcg::seed_from_u64(trial.plan.seed ^ client_seed ^ kind_seed);
         let mut result = LoadResult::default();
-        let mut due = Instant::now() + self.start_delay;
+        let mut next_request_at = Instant::now() + self.start_delay;
         loop {
-            while Instant::now() < due && !trial.stop.load(Ordering::Relaxed) {
-                thread::sleep(due.saturating_duration_since(Instant::now()).min(MAX_SLEEP));
+            while Instant::now() < next_request_at && !trial.stop.load(Ordering::Relaxed) {
+                thread::sleep(
+                    next_request_at.saturating_duration_since(Instant::now()).min(MAX_STOP_CHECK_INTERVAL),
+                );
             }
             if trial.stop.load(Ordering::Relaxed) {
                 return result;
             }
-            while due <= Instant::now() {
-                due += self.interval;
+            while next_request_at <= Instant::now() {
+                next_request_at += self.interval;
             }
             self.send_with_retries(trial, &mut rng, &mut result);
         }
     }
 
-    /// Sends one request, and again where it is rejected and time is left.
+    /// Sends one request and retries it while it is rejected and time is left. An abandoned request is not
+    /// retried and has no value.
     fn send_with_retries(&mut self, trial: &Trial, rng: &mut Pcg64Mcg, result: &mut LoadResult) {
-        let started = Instant::now();
+        let started_at = Instant::now();
         let class = self.class();
         let objective = trial.plan.scaled(class.times.objective_ms);
         let max_wait = trial.plan.scaled(class.times.max_wait_ms);
         let is_abandoned = self.is_write && rng.random_bool(ABANDONED_SHARE);
-        let patience = is_abandoned.then(|| trial.plan.draw(rng, ABANDON_MS));
+        let abandon_after = is_abandoned.then(|| trial.plan.random_duration(rng, ABANDON_MS));
         if !is_abandoned {
             result.value.offered += class.value;
         }
         for _ in 0..=MAX_RETRIES {
-            let wait_left = max_wait.saturating_sub(started.elapsed());
-            if wait_left < MIN_WAIT {
+            let time_left = max_wait.saturating_sub(started_at.elapsed());
+            if time_left < MIN_TIME_LEFT {
                 return;
             }
             let id = self.new_id();
@@ -152,19 +157,20 @@
                 class: class.name,
                 is_write: self.is_write,
                 group: self.set as u64,
-                max_wait: wait_left,
+                max_wait: time_left,
                 response_slack: trial.plan.response_slack,
             };
-            let record = match patience {
-                Some(patience) => self.client.send_and_abandon(&request, patience),
+            let record = match abandon_after {
+                Some(abandon_after) => self.client.send_and_abandon(&request, abandon_after),
                 None => self.client.send(&request),
             };
             let response = record.response.clone();
             result.records.push(record);
             match response {
                 Response::Served if !is_abandoned => {
-                    let in_time = started.elapsed() <= objective;
-                    result.value.served += class.value * if in_time { 1.0 } else { class.late_value_share };
+                    let within_objective = started_at.elapsed() <= objective;
+                    result.value.served +=
+                        class.value * if within_objective { 1.0 } else { class.late_value_share };
                     return;
                 }
                 Response::Rejected(retry_after) if !is_abandoned => {
@@ -185,7 +191,7 @@
     fn class(&self) -> RequestClass {
         if self.is_write {
             RequestClass { name: "usage-write", value: 4.0, late_value_share: 0.5, times: WRITE_TIMES }
-        } else if self.number.is_multiple_of(SESSION_READER_INTERVAL) {
+        } else if self.number.is_multiple_of(READERS_PER_SESSION_READER) {
             RequestClass { name: "own-changes", value: 2.0, late_value_share: 0.2, times: SESSION_READ_TIMES }
         } else {
             RequestClass { name: "font-lookup", value: 1.0, late_value_share: 0.0, times: READ_TIMES }
--- a/testkit/src/failover_trial/mod.rs
+++ b/testkit/src/failover_trial/mod.rs
@@ -1,7 +1,9 @@
-//! The failover trial: injects faults of every kind into replica sets under load, runs a program between them and
-//! its clients, and counts what clients were answered and what the data servers executed.
+//! Failover trial: runs the proxy between clients and stand-in replica sets, injects faults into the replica
+//! sets under load, and compares the responses that clients received with the writes that the data servers
+//! executed.
 //!
-//! Faults and load are drawn from a seed. The verdict follows from the records of the clients and the stand-ins only.
+//! A seed determines the faults and the load. The result is based only on the records of the clients and of
+//! the stand-ins.
 
 mod fault;
 mod load;
@@ -26,55 +28,56 @@
 use load::{LoadClient, LoadResult, ServedValue};
 use round::Round;
 
-/// Members of each set.
+/// Number of members of each replica set.
 const MEMBERS_PER_SET: usize = 3;
-/// Time without faults after a start and after each round, in platform milliseconds.
+/// Time without faults before the first round and after each round, in platform milliseconds.
 const SETTLE_MS: f64 = 800.0;
-/// Execution time of a request, in platform milliseconds.
+/// Time that a data server takes to execute a request, in platform milliseconds.
 const EXECUTION_MS: f64 = 86.0;
 
-/// Why a trial could not be run.
+/// Error that prevents a trial from completing.
 #[derive(Debug, thiserror::Error)]
 pub enum TrialError {
-    /// A stand-in could not be started.
+    /// A stand-in failed to start.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The program could not be started.
+    /// The proxy failed to start.
     #[error(transparent)]
     Process(#[from] ProcessError),
-    /// A client or a script panicked.
-    #[error("a thread of the trial panicked")]
+    /// The thread of a client or of a replica set's rounds panicked.
+    #[error("a thread of the failover trial panicked")]
     ThreadPanicked,
 }
 
-/// What the threads of a trial share.
+/// State that the threads of a trial share.
 struct Trial {
     plan: Plan,
     sets: Vec<ReplicaSet>,
     discovery: DiscoveryServer,
     proxy: Mutex<ProxyProcess>,
-    /// Where the scripts of all sets meet before they inject a fault at the same time.
+    /// Synchronizes the threads of all replica sets before a round that injects a fault into all of them at
+    /// once.
     barrier: Barrier,
     stop: AtomicBool,
 }
 
-/// What a trial observed.
+/// Records of a completed trial.
 struct Observations {
-    /// Requests of each set.
+    /// Requests to each replica set.
     records: Vec<Vec<RequestRecord>>,
-    /// Rounds of each set.
+    /// Rounds of each replica set.
     rounds: Vec<Vec<Round>>,
     read_value: ServedValue,
     write_value: ServedValue,
     proxy_survived: bool,
 }
 
-/// The name of a member in the endpoint list.
+/// Returns the name of a member in the endpoint list.
 fn member_uid(set: usize, member: usize) -> String {
     format!("db-{set}-{member}")
 }
 
-/// Runs a trial to its end.
+/// Runs a trial and returns its report.
 pub fn run(plan: Plan) -> Result<Report, TrialError> {
     let trial = Arc::new(Trial::start(plan)?);
     let address = trial.proxy().address;
@@ -85,20 +88,21 @@
             clients.push((set, client.is_write, thread::spawn(move || client.run(&trial))));
         }
     }
-    let mut scripts = Vec::new();
+    let mut round_threads = Vec::new();
     for set in 0..trial.plan.sets {
         let trial = trial.clone();
-        scripts.push(thread::spawn(move || trial.run_rounds(set)));
+        round_threads.push(thread::spawn(move || trial.run_rounds(set)));
     }
-    let rounds = scripts.into_iter().map(join).collect::<Result<_, _>>()?;
-    // Open requests get their responses, and paused servers go on, before the records are compared.
+    let rounds = round_threads.into_iter().map(join).collect::<Result<_, _>>()?;
+    // Before the records are compared, joining the clients waits for the responses to open requests, and the
+    // sleep below lets servers that were paused complete their executions.
     trial.stop.store(true, Ordering::Relaxed);
     let mut records: Vec<Vec<RequestRecord>> = (0..trial.plan.sets).map(|_| Vec::new()).collect();
     let mut read_value = ServedValue::default();
     let mut write_value = ServedValue::default();
     for (set, is_write, client) in clients {
-        let LoadResult { records: own_records, value } = join(client)?;
-        records[set].extend(own_records);
+        let LoadResult { records: client_records, value } = join(client)?;
+        records[set].extend(client_records);
         let total = if is_write { &mut write_value } else { &mut read_value };
         total.add(value);
     }
@@ -113,7 +117,7 @@
 }
 
 impl Trial {
-    /// Starts the replica sets, discovery and the program.
+    /// Starts the replica sets, the discovery service and the proxy.
     fn start(plan: Plan) -> Result<Self, TrialError> {
         let config = ReplicaSetConfig {
             synchronous: true,
--- a/testkit/src/failover_trial/plan.rs
+++ b/testkit/src/failover_trial/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a failover trial: its options, the platform's times and the proxy's configuration.
+//! Plan of a failover trial: its options, the time scale and the proxy's configuration.
 
 use std::ops::Range;
 use std::path::PathBuf;
@@ -10,12 +10,12 @@
 use super::fault::FaultKind;
 use crate::discovery_server::DiscoveryServer;
 
-/// Time bounds of a request class, in platform milliseconds.
+/// Latency objective and deadline of a request class, in platform milliseconds (before scaling).
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ClassTimes {
-    /// Latency objective: a later response has less value.
+    /// Latency objective; a later response has less value or none.
     pub(super) objective_ms: f64,
-    /// How long clients wait.
+    /// Deadline: time that a client waits for a response, retries included.
     pub(super) max_wait_ms: f64,
 }
 
@@ -23,43 +23,43 @@
 pub(super) const READ_TIMES: ClassTimes = ClassTimes { objective_ms: 500.0, max_wait_ms: 1200.0 };
 pub(super) const SESSION_READ_TIMES: ClassTimes = ClassTimes { objective_ms: 500.0, max_wait_ms: 1500.0 };
 
-/// What to run.
+/// Options of a failover trial.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The program.
+    /// Path of the proxy program.
     pub program: PathBuf,
-    /// Where it may write.
+    /// Folder for the proxy's configuration, logs and temporary files.
     pub folder: PathBuf,
-    /// Rounds to run, over all sets. A round injects one fault.
+    /// Number of rounds over all replica sets. A round injects one fault.
     pub rounds: usize,
-    /// Replica sets that run side by side.
+    /// Number of replica sets that run concurrently.
     pub sets: usize,
-    /// Seed of everything that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Factor on all times of the platform.
+    /// Factor by which all times of the platform are multiplied.
     pub scale: f64,
-    /// Time past a request's wait after which it counts as unanswered.
+    /// Time after a request's deadline at which the request counts as unanswered.
     pub response_slack: Duration,
-    /// Injects only this fault.
+    /// The only kind of fault to inject, or `None` for all kinds.
     pub only: Option<FaultKind>,
-    /// Prints the state of each set to standard error after each round.
+    /// Whether to print the state of the replica set to standard error after each round.
     pub verbose: bool,
 }
 
 impl Plan {
-    /// A time of the platform in the trial's scale.
+    /// Returns a time of the platform in the trial's scale.
     pub(super) fn scaled(&self, platform_ms: f64) -> Duration {
         Duration::from_secs_f64(platform_ms * self.scale / 1e3)
     }
 
-    /// Draws a time from a range of platform milliseconds.
-    pub(super) fn draw(&self, rng: &mut Pcg64Mcg, range_ms: Range<f64>) -> Duration {
+    /// Returns a random time from a range of platform milliseconds, in the trial's scale.
+    pub(super) fn random_duration(&self, rng: &mut Pcg64Mcg, range_ms: Range<f64>) -> Duration {
         self.scaled(rng.random_range(range_ms))
     }
 
-    /// The proxy's configuration, with `LISTEN` in place of its address.
+    /// Returns the proxy's configuration as JSON, with `LISTEN` in place of the listen address.
     pub(super) fn proxy_config(&self, discovery: &DiscoveryServer) -> String {
-        let ms = |platform_ms: f64| (platform_ms * self.scale).round();
+        let scaled_ms = |platform_ms: f64| (platform_ms * self.scale).round();
         let (read, session_read, write) = (READ_TIMES, SESSION_READ_TIMES, WRITE_TIMES);
         serde_json::json!({
             "name": "trial", "listen": "LISTEN", "discovery": discovery.address.to_string(),
@@ -67,23 +67,24 @@
             "known": serde_json::from_str::<serde_json::Value>(&discovery.full_list()).unwrap_or_default(),
             "settings": {
                 "Classes": [
-                    {"Name": "font-lookup", "Credit": 1, "OnTimeMs": ms(read.objective_ms),
-                        "DeadlineMs": ms(read.max_wait_ms), "Effect": "repeatable"},
-                    {"Name": "own-changes", "Credit": 2, "OnTimeMs": ms(session_read.objective_ms),
-                        "DeadlineMs": ms(session_read.max_wait_ms), "LateValue": 0.2, "Effect": "repeatable"},
-                    {"Name": "usage-write", "Credit": 4, "OnTimeMs": ms(write.objective_ms),
-                        "DeadlineMs": ms(write.max_wait_ms), "LateValue": 0.5, "Effect": "once"},
+                    {"Name": "font-lookup", "Credit": 1, "OnTimeMs": scaled_ms(read.objective_ms),
+                        "DeadlineMs": scaled_ms(read.max_wait_ms), "Effect": "repeatable"},
+                    {"Name": "own-changes", "Credit": 2, "OnTimeMs": scaled_ms(session_read.objective_ms),
+                        "DeadlineMs": scaled_ms(session_read.max_wait_ms), "LateValue": 0.2,
+                        "Effect": "repeatable"},
+                    {"Name": "usage-write", "Credit": 4, "OnTimeMs": scaled_ms(write.objective_ms),
+                        "DeadlineMs": scaled_ms(write.max_wait_ms), "LateValue": 0.5, "Effect": "once"},
                 ],
                 "Contract": {"AnswerSlackMs": 20, "AskEveryMs": 10000, "ColdShare": 0.27, "OverloadFactor": 2,
-                    "OverloadForMs": 1000, "StopSendingWithinMs": 2000, "WarmUpMs": ms(2000.0)},
+                    "OverloadForMs": 1000, "StopSendingWithinMs": 2000, "WarmUpMs": scaled_ms(2000.0)},
                 "Discovery": "subscribe",
                 "Domain": {"MaxAgeMs": [3000, 0, 0], "NeedsByClass": ["lag_bound", "causal", "mutate"],
                     "Positions": true, "ServerChecks": "silent", "SessionMarks": "brought",
                     "ShowsRole": "trailing"},
                 "GroupSize": 1,
-                "Limits": {"AttemptsCap": 6, "ConnIdleMs": 15000, "ConnectTimeoutMs": ms(250.0),
-                    "MaxRetryAfterMs": ms(1000.0), "MayCancel": true, "Probes": false, "RetryAfter": true,
-                    "SecondCopies": true, "StreamsPerConn": 1},
+                "Limits": {"AttemptsCap": 6, "ConnIdleMs": 15000, "ConnectTimeoutMs": scaled_ms(250.0),
+                    "MaxRetryAfterMs": scaled_ms(1000.0), "MayCancel": true, "Probes": false,
+                    "RetryAfter": true, "SecondCopies": true, "StreamsPerConn": 1},
                 "Report": {"Columns": [], "How": "silent"}, "TickMs": 5, "Zone": "north",
                 "Zones": ["north", "south"],
             },
--- a/testkit/src/failover_trial/report.rs
+++ b/testkit/src/failover_trial/report.rs
@@ -1,4 +1,5 @@
-//! The report of a failover trial: counts, latencies and violated rules. Serialized names are stable.
+//! Report of a failover trial: counts, latencies and violations of the rules on writes. The serialized names
+//! are stable.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,100 +12,100 @@
 use crate::client::{RequestRecord, Response};
 use crate::write_checker::{check_writes, Violations};
 
-/// Violations of one rule that are printed.
+/// Maximum number of violations of one rule that are printed.
 const MAX_PRINTED_VIOLATIONS: usize = 20;
-/// Significant digits of the histograms.
+/// Number of significant decimal digits that the histograms keep.
 const HISTOGRAM_DIGITS: u8 = 3;
 
-/// Writes sent during rounds of one kind.
+/// Counts of the rounds that injected one kind of fault, and of the writes sent during these rounds.
 #[derive(Debug, Default, Clone, Serialize)]
 pub struct FaultTally {
-    /// Rounds.
+    /// Number of rounds.
     pub rounds: u64,
-    /// Writes sent.
+    /// Number of writes sent, retries included.
     pub writes: u64,
-    /// Served.
+    /// Number of writes served.
     pub served: u64,
-    /// Rejected before execution.
+    /// Number of writes rejected before execution.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed: may have run.
+    /// Number of failed writes, which may have been executed.
     pub failed: u64,
 }
 
-/// The result of a trial.
+/// Result of a failover trial.
 #[derive(Debug, Default, Clone, Serialize)]
 pub struct Report {
-    /// Rounds run.
+    /// Number of rounds run.
     pub rounds: u64,
-    /// Seed of the plan.
+    /// Seed of the trial.
     pub seed: u64,
-    /// Writes sent, retries included.
+    /// Number of writes sent, retries included.
     pub writes: u64,
-    /// Served.
+    /// Number of writes served.
     pub served: u64,
-    /// Rejected before execution.
+    /// Number of writes rejected before execution.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Failed: may have run.
+    /// Number of failed writes, which may have been executed.
     pub failed: u64,
-    /// Writes whose client closed its connection before the response.
+    /// Number of writes whose client closed its connection before a response.
     #[serde(rename = "left")]
     pub abandoned: u64,
-    /// Writes that were executed twice.
+    /// Number of writes that were executed more than once.
     #[serde(rename = "doubles")]
     pub duplicates: u64,
-    /// Served, but not in the log of the present primary.
+    /// Number of writes that were served, but not executed or not in the log of the current primary.
     #[serde(rename = "silent_losses")]
     pub lost_writes: u64,
-    /// Rejected, but executed.
+    /// Number of writes that were rejected, but executed.
     #[serde(rename = "false_refusals")]
     pub false_rejections: u64,
-    /// Requests without a final response in time, reads included.
+    /// Number of requests without a final response in time, reads included.
     pub unanswered: u64,
-    /// Median latency of served writes that were sent during a failover.
+    /// Median latency, in milliseconds, of served writes that were sent in a round before its last promotion.
     #[serde(rename = "held_p50_ms")]
     pub buffered_p50_ms: f64,
-    /// 99th percentile of the same.
+    /// 99th percentile of the latency, in milliseconds, of the same writes.
     #[serde(rename = "held_p99_ms")]
     pub buffered_p99_ms: f64,
-    /// Median time from a promotion to the new primary's first write.
+    /// Median time, in milliseconds, from a promotion to the new primary's first write.
     #[serde(rename = "first_write_after_takeover_p50_ms")]
     pub time_to_first_write_p50_ms: f64,
-    /// 90th percentile of the same.
+    /// 90th percentile of the time, in milliseconds, from a promotion to the new primary's first write.
     #[serde(rename = "first_write_after_takeover_p90_ms")]
     pub time_to_first_write_p90_ms: f64,
-    /// Value served over value offered, retries of a request counted as one.
+    /// Ratio of served value to offered value over all requests; a request and its retries count as one.
     #[serde(rename = "worth_kept")]
     pub served_value_ratio: f64,
-    /// The same, for writes alone.
+    /// Ratio of served value to offered value over writes only.
     #[serde(rename = "write_worth_kept")]
     pub write_served_value_ratio: f64,
-    /// Whether the program ran to the end.
+    /// Whether the proxy was still running at the end of the trial.
     #[serde(rename = "survived")]
     pub proxy_survived: bool,
-    /// Writes by the fault during which they were sent.
+    /// Counts by the serialized name of the injected fault.
     #[serde(rename = "kinds")]
     pub by_fault: BTreeMap<String, FaultTally>,
-    /// The same trial with another build.
+    /// Report of the same trial with another build, or `None` without the flag `--beside`.
     #[serde(rename = "beside", skip_serializing_if = "Option::is_none")]
     pub comparison: Option<Box<Report>>,
 }
 
 impl Report {
-    /// Whether no rule was violated.
+    /// Returns whether no rule was violated and the proxy ran to the end.
     pub fn is_clean(&self) -> bool {
         let violations = self.duplicates + self.lost_writes + self.false_rejections + self.unanswered;
         self.proxy_survived && violations == 0
     }
 }
 
-/// Latencies in microseconds.
-struct Latencies(Histogram<u64>);
+/// Histogram of durations in microseconds.
+struct DurationHistogram(Histogram<u64>);
 
-impl Latencies {
+impl DurationHistogram {
     fn new() -> Self {
-        Self(Histogram::new(HISTOGRAM_DIGITS).expect("three digits are within its range"))
+        Self(Histogram::new(HISTOGRAM_DIGITS).expect("three significant digits are supported"))
     }
 
     fn record(&mut self, latency: Duration) {
@@ -116,13 +117,13 @@
     }
 }
 
-/// Builds the report and prints violations to standard error.
+/// Builds the report of a trial and prints violations to standard error.
 pub(super) fn build(trial: &Trial, observations: &Observations) -> Report {
     let mut report = Report { seed: trial.plan.seed, ..Report::default() };
     report.proxy_survived = observations.proxy_survived;
     let mut violations = Violations::default();
-    let mut buffered = Latencies::new();
-    let mut first_writes = Latencies::new();
+    let mut buffered_latencies = DurationHistogram::new();
+    let mut times_to_first_write = DurationHistogram::new();
     let by_set = observations.records.iter().zip(&observations.rounds).zip(&trial.sets);
     for ((records, rounds), replica_set) in by_set {
         violations.extend(check_writes(records, &replica_set.write_log()));
@@ -130,21 +131,21 @@
             report.count_round(round);
             let time_to_first_write = round.failover.as_ref().and_then(|f| f.time_to_first_write);
             if let Some(time) = time_to_first_write {
-                first_writes.record(time);
+                times_to_first_write.record(time);
             }
         }
         for record in records.iter().filter(|record| record.is_write) {
             let round = rounds.iter().rev().find(|round| round.contains(record.sent_at));
             report.count_write(record, round);
             if was_buffered(record, round) {
-                buffered.record(record.latency);
+                buffered_latencies.record(record.latency);
             }
         }
     }
-    report.buffered_p50_ms = buffered.quantile_ms(0.5);
-    report.buffered_p99_ms = buffered.quantile_ms(0.99);
-    report.time_to_first_write_p50_ms = first_writes.quantile_ms(0.5);
-    report.time_to_first_write_p90_ms = first_writes.quantile_ms(0.9);
+    report.buffered_p50_ms = buffered_latencies.quantile_ms(0.5);
+    report.buffered_p99_ms = buffered_latencies.quantile_ms(0.99);
+    report.time_to_first_write_p50_ms = times_to_first_write.quantile_ms(0.5);
+    report.time_to_first_write_p90_ms = times_to_first_write.quantile_ms(0.9);
     let mut total = ServedValue::default();
     total.add(observations.read_value);
     total.add(observations.write_value);
@@ -158,7 +159,7 @@
     report
 }
 
-/// Whether a write was served that was sent before the round's new primary was promoted.
+/// Returns whether the write was served and was sent before the last promotion of its round.
 fn was_buffered(record: &RequestRecord, round: Option<&Round>) -> bool {
     let failover = round.and_then(|round| round.failover.as_ref());
     record.response == Response::Served && failover.is_some_and(|f| record.sent_at < f.promoted_at)
@@ -199,9 +200,9 @@
 
 fn print_violations(violations: &Violations, observations: &Observations) {
     for (ids, rule) in [
-        (&violations.duplicates, "executed twice"),
-        (&violations.lost_writes, "served and lost"),
-        (&violations.false_rejections, "rejected and executed"),
+        (&violations.duplicates, "executed more than once"),
+        (&violations.lost_writes, "served but lost"),
+        (&violations.false_rejections, "rejected but executed"),
         (&violations.unanswered, "unanswered"),
     ] {
         for id in ids.iter().take(MAX_PRINTED_VIOLATIONS) {
@@ -211,7 +212,7 @@
                 rounds.find(|round| round.contains(record.sent_at)).map(|round| round.kind)
             });
             let response = record.map(|record| (&record.response, record.latency));
-            eprintln!("{rule}: {id} {response:?} in a round of {kind:?}");
+            eprintln!("violation: request {id} {rule}: response {response:?}, fault {kind:?}");
         }
     }
 }
--- a/testkit/src/failover_trial/round.rs
+++ b/testkit/src/failover_trial/round.rs
@@ -1,4 +1,4 @@
-//! The rounds of a failover trial: which fault each set suffers, and in which steps.
+//! Rounds of a failover trial: the choice of a fault for each round and the steps that inject it.
 
 use std::ops::Range;
 use std::thread;
@@ -12,7 +12,7 @@
 use super::{member_uid, Trial, SETTLE_MS};
 use crate::replica_set::{MemberState, ReplicaSet, Role};
 
-// Times of the platform, in milliseconds before they are scaled.
+// Ranges of the platform's random times, in milliseconds before scaling.
 const DETECTION_MS: Range<f64> = 1000.0..2400.0;
 const ELECTION_MS: Range<f64> = 1900.0..3800.0;
 const HANDOVER_MS: Range<f64> = 320.0..800.0;
@@ -25,53 +25,53 @@
 const RECOVERY_MS: Range<f64> = 600.0..1500.0;
 const STALE_PRIMARY_MS: Range<f64> = 300.0..900.0;
 const SUCCESSOR_UPTIME_MS: Range<f64> = 5.0..200.0;
-/// Time between two looks at the replicas during a handover.
+/// Interval at which the replicas are polled during a handover.
 const REPLICATION_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// One of so many rounds injects its fault into all sets at once.
+/// One in this many rounds injects its fault into all replica sets at once.
 const SIMULTANEOUS_ROUND_INTERVAL: usize = 10;
 
-/// A round that was run.
+/// A completed round.
 pub(super) struct Round {
     pub(super) kind: FaultKind,
     pub(super) started_at: Instant,
     pub(super) ended_at: Instant,
-    /// The last failover of the round.
+    /// Last failover of the round, or `None` if no replica was promoted.
     pub(super) failover: Option<Failover>,
 }
 
-/// A promotion of a new primary.
+/// Promotion of a new primary in a completed round.
 pub(super) struct Failover {
     pub(super) promoted_at: Instant,
-    /// Time from the promotion to the new primary's first write.
+    /// Time from the promotion to the new primary's first write, or `None` if no write came.
     pub(super) time_to_first_write: Option<Duration>,
 }
 
-/// A promotion in the round that runs.
+/// Promotion of a new primary in the active round.
 struct Promotion {
     at: Instant,
     member: usize,
 }
 
-/// The round that runs.
-struct RoundRun<'a> {
+/// A round in progress.
+struct ActiveRound<'a> {
     trial: &'a Trial,
     set: usize,
     replica_set: &'a ReplicaSet,
     rng: &'a mut Pcg64Mcg,
-    /// Time after which discovery announces a new primary.
+    /// Time from a promotion until discovery announces the new roles.
     discovery_delay: Duration,
     last_promotion: Option<Promotion>,
 }
 
 impl Round {
-    /// Whether a request sent at this time was sent during the round.
+    /// Returns whether `time` is within the round.
     pub(super) fn contains(&self, time: Instant) -> bool {
         self.started_at <= time && time < self.ended_at
     }
 }
 
 impl Trial {
-    /// Runs all rounds of a set.
+    /// Runs all rounds of a replica set.
     pub(super) fn run_rounds(&self, set: usize) -> Vec<Round> {
         let mut rng = Pcg64Mcg::seed_from_u64(self.plan.seed ^ (set as u64) << 40);
         let mut kinds: Vec<FaultKind> = match self.plan.only {
@@ -82,12 +82,13 @@
                 .collect(),
         };
         kinds.shuffle(&mut rng);
-        // The first sets run the rounds left over. Simultaneous rounds must be as many for each set.
+        // The first sets run the remaining rounds. The barrier requires the same number of simultaneous
+        // rounds for each set.
         let common_rounds = self.plan.rounds / self.plan.sets;
-        let own_rounds = common_rounds + usize::from(set < self.plan.rounds % self.plan.sets);
+        let set_rounds = common_rounds + usize::from(set < self.plan.rounds % self.plan.sets);
         let mut rounds = Vec::new();
         thread::sleep(self.plan.scaled(SETTLE_MS));
-        for number in 0..own_rounds {
+        for number in 0..set_rounds {
             let mut kind = kinds[number % kinds.len()];
             let is_last_of_interval = number % SIMULTANEOUS_ROUND_INTERVAL == SIMULTANEOUS_ROUND_INTERVAL - 1;
             if is_last_of_interval && number < common_rounds {
@@ -96,7 +97,7 @@
             }
             rounds.push(self.run_round(set, kind, &mut rng));
             if self.plan.verbose {
-                eprintln!("set {set} after {kind:?}: {}", self.sets[set].describe());
+                eprintln!("replica set {set} after {kind:?}: {}", self.sets[set].describe());
             }
         }
         rounds
@@ -105,11 +106,12 @@
     fn run_round(&self, set: usize, kind: FaultKind, rng: &mut Pcg64Mcg) -> Round {
         let replica_set = &self.sets[set];
         let started_at = Instant::now();
-        let primary = replica_set.primary().expect("each round ends with a primary");
-        let discovery_delay = self.plan.draw(rng, DISCOVERY_DELAY_MS);
-        let mut run = RoundRun { trial: self, set, replica_set, rng, discovery_delay, last_promotion: None };
-        run.inject(kind, primary);
-        let last_promotion = run.last_promotion;
+        let primary = replica_set.primary().expect("the previous round ended with a primary");
+        let discovery_delay = self.plan.random_duration(rng, DISCOVERY_DELAY_MS);
+        let mut round =
+            ActiveRound { trial: self, set, replica_set, rng, discovery_delay, last_promotion: None };
+        round.inject(kind, primary);
+        let last_promotion = round.last_promotion;
         thread::sleep(self.plan.scaled(SETTLE_MS));
         let failover = last_promotion.map(|promotion| Failover {
             promoted_at: promotion.at,
@@ -119,8 +121,8 @@
     }
 }
 
-impl RoundRun<'_> {
-    /// Injects a fault and repairs what it broke.
+impl ActiveRound<'_> {
+    /// Injects a fault and restores the replica set.
     fn inject(&mut self, kind: FaultKind, primary: usize) {
         match kind {
             FaultKind::ShortPause => self.pause_briefly(primary),
@@ -180,7 +182,7 @@
         self.announce_ready(primary);
     }
 
-    /// The primary fails, is replaced, and comes back as a replica.
+    /// Makes the primary fail, promotes a replica, and lets the former primary return as a replica.
     fn fail_over(&mut self, primary: usize, failure: MemberState) {
         self.replica_set.set_member_state(primary, failure);
         self.wait(DETECTION_MS);
@@ -190,11 +192,11 @@
     fn fail_over_during_upgrade(&mut self, primary: usize) {
         self.replica_set.set_member_state(primary, MemberState::Paused);
         self.wait(DETECTION_MS);
-        self.trial.proxy().upgrade().expect("the program can be upgraded");
+        self.trial.proxy().upgrade().expect("the proxy is upgraded by hot restart");
         self.elect_and_recover(primary);
     }
 
-    /// A primary that was found failed is replaced, and comes back as a replica.
+    /// Replaces a primary whose failure was detected, and lets it return as a replica.
     fn elect_and_recover(&mut self, primary: usize) {
         self.wait(ELECTION_MS);
         self.promote(primary);
@@ -202,7 +204,7 @@
         self.replica_set.recover(primary, Role::Replica);
     }
 
-    /// The primary becomes unreachable and is replaced.
+    /// Pauses or partitions the primary and promotes a replica.
     fn replace_unreachable(&mut self, primary: usize) {
         let is_paused = self.rng.random_bool(0.5);
         let failure = if is_paused { MemberState::Paused } else { MemberState::Partitioned };
@@ -212,7 +214,7 @@
         self.promote(primary);
     }
 
-    /// A primary that was replaced comes back, and learns of it after a while.
+    /// Lets a replaced primary return as a stale primary, and demotes it after a while.
     fn act_as_stale_primary(&mut self, member: usize) {
         self.replica_set.recover(member, Role::StalePrimary);
         self.wait(STALE_PRIMARY_MS);
@@ -223,18 +225,18 @@
         self.replica_set.set_member_state(primary, MemberState::Paused);
         self.wait(DETECTION_MS);
         self.wait(ELECTION_MS);
-        let successor = self.promote(primary).expect("two replicas are up");
+        let successor = self.promote(primary).expect("two replicas are running");
         self.wait(SUCCESSOR_UPTIME_MS);
         self.replica_set.set_member_state(successor, MemberState::Crashed);
         self.wait(DETECTION_MS);
-        self.replica_set.recover(primary, Role::Replica); // the remaining member needs a follower
+        self.replica_set.recover(primary, Role::Replica); // the remaining member needs a replica
         self.wait(ELECTION_MS);
         self.promote(successor);
         self.wait(PROCESS_RESTART_MS);
         self.replica_set.recover(successor, Role::Replica);
     }
 
-    /// Promotes a replica once one has all that the primary wrote.
+    /// Promotes a replica once a replica has all writes of the primary.
     fn hand_over(&mut self, primary: usize) {
         self.wait(HANDOVER_MS);
         while !self.replica_set.is_replicated(primary) {
@@ -243,7 +245,7 @@
         self.promote(primary);
     }
 
-    /// Promotes a replica, which discovery announces after its delay.
+    /// Promotes a replica. Discovery announces the new roles after `discovery_delay`.
     fn promote(&mut self, previous: usize) -> Option<usize> {
         let promoted = self.replica_set.promote();
         self.last_promotion = promoted.map(|member| Promotion { at: Instant::now(), member });
@@ -257,11 +259,11 @@
     fn announce_role(&self, member: usize, role: Role) {
         let is_primary = role == Role::Primary;
         let uid = member_uid(self.set, member);
-        self.trial.discovery.update(&uid, self.discovery_delay, |e| e.is_primary = is_primary);
+        self.trial.discovery.update(&uid, self.discovery_delay, |endpoint| endpoint.is_primary = is_primary);
     }
 
     fn announce_draining(&mut self, member: usize) {
-        let delay = self.trial.plan.draw(self.rng, DRAIN_NOTICE_DELAY_MS);
+        let delay = self.trial.plan.random_duration(self.rng, DRAIN_NOTICE_DELAY_MS);
         let uid = member_uid(self.set, member);
         self.trial.discovery.update(&uid, delay, |endpoint| endpoint.state = "Terminating");
     }
@@ -271,8 +273,8 @@
         self.trial.discovery.update(&uid, Duration::ZERO, |endpoint| endpoint.state = "Ready");
     }
 
-    /// Sleeps for a time drawn from a range of platform milliseconds.
+    /// Sleeps for a random time from a range of platform milliseconds.
     fn wait(&mut self, range_ms: Range<f64>) {
-        thread::sleep(self.trial.plan.draw(self.rng, range_ms));
+        thread::sleep(self.trial.plan.random_duration(self.rng, range_ms));
     }
 }
--- a/testkit/tests/replica_set.rs
+++ b/testkit/tests/replica_set.rs
@@ -1,4 +1,5 @@
-//! The stand-in replica set without a proxy: its behaviour in each failure, and the write checker on planted violations.
+//! Tests of the stand-in replica set without a proxy: its behaviour in failures, and the violations that the
+//! write checker reports.
 
 use std::time::Duration;
 
@@ -34,13 +35,13 @@
     let set = ReplicaSet::start(3, CONFIG).expect("free ports");
     let mut records = Vec::new();
     for round in 0..12 {
-        let old = set.primary().expect("there is one");
-        records.push(write(&set, old, &format!("before-{round}")));
-        set.set_member_state(old, MemberState::Crashed);
-        let new = set.promote().expect("two are up");
-        records.push(write(&set, new, &format!("meanwhile-{round}")));
-        set.recover(old, Role::Replica);
-        records.push(write(&set, new, &format!("after-{round}")));
+        let old_primary = set.primary().expect("there is a primary");
+        records.push(write(&set, old_primary, &format!("before-{round}")));
+        set.set_member_state(old_primary, MemberState::Crashed);
+        let new_primary = set.promote().expect("two replicas are running");
+        records.push(write(&set, new_primary, &format!("meanwhile-{round}")));
+        set.recover(old_primary, Role::Replica);
+        records.push(write(&set, new_primary, &format!("after-{round}")));
     }
     assert!(records.iter().all(|record| record.response == Response::Served), "{records:?}");
     assert!(check_writes(&records, &set.write_log()).is_empty());
@@ -53,13 +54,13 @@
     let shared = std::sync::Arc::new(set);
     let pending_set = shared.clone();
     let pending = std::thread::spawn(move || write(&pending_set, 0, "pending"));
-    let new = shared.promote().expect("two are up");
-    assert_ne!(new, 0);
-    assert_eq!(write(&shared, new, "next").response, Response::Served);
+    let new_primary = shared.promote().expect("two replicas are running");
+    assert_ne!(new_primary, 0);
+    assert_eq!(write(&shared, new_primary, "next").response, Response::Served);
     shared.recover(0, Role::StalePrimary);
     shared.demote(0);
-    let pending = pending.join().expect("no panic");
-    // The write came before or after the promotion; either way its response is an error.
+    let pending = pending.join().expect("the writing thread does not panic");
+    // The write reached the member before or after the demotion; its response is an error in both cases.
     assert!(
         matches!(&pending.response, Response::Failed(code) if code == "XX000" || code == "25006"),
         "{pending:?}"
@@ -80,10 +81,10 @@
     assert_eq!(write(&set, 0, "later").response, Response::Served);
 }
 
-/// A front that sends a write twice, one that reports a write as served that only a stale primary executed, and one that
-/// reports an executed write as rejected.
+/// Simulates three faulty proxies: one sends a write twice, one reports a write as served that only a stale
+/// primary executed, and one reports an executed write as rejected.
 #[test]
-fn planted_violations_are_reported() {
+fn the_write_checker_reports_each_simulated_violation() {
     let set = ReplicaSet::start(3, ReplicaSetConfig { synchronous: false, ..CONFIG }).expect("free ports");
     let twice = write(&set, 0, "twice");
     write(&set, 0, "twice");
@@ -92,13 +93,13 @@
         std::thread::yield_now();
     }
     set.set_member_state(0, MemberState::Paused);
-    set.promote().expect("two are up");
+    set.promote().expect("two replicas are running");
     set.recover(0, Role::StalePrimary);
     let lost = write(&set, 0, "lost");
     assert_eq!(
         lost.response,
         Response::Served,
-        "a stale primary without synchronous replication acknowledges it"
+        "a stale primary with asynchronous replication acknowledges the write"
     );
     set.demote(0);
     let violations = check_writes(&[twice, rejected, lost], &set.write_log());
--- a/testkit/tests/rules.rs
+++ b/testkit/tests/rules.rs
@@ -1,5 +1,5 @@
-//! Property test of the service rules: the settings are drawn from the whole range of the protocol, and
-//! faults of every kind happen at once.
+//! Property test of the service rules: proptest generates random settings and faults of many kinds, which may
+//! overlap.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     ]
 }
 
-/// A class and its load.
+/// Generates a request class and its load.
 fn class() -> impl Strategy<Value = (Class, ClassLoad)> {
     let times = (50u64..1500, 1.0..8.0f64, 0.0..1.0f64, 0.5..6.0f64);
     (consistency(), idempotency(), times, 0.2..1.0f64, 0.15..0.45f64, any::<bool>()).prop_map(
@@ -102,7 +102,7 @@
 }
 
 fn settings() -> impl Strategy<Value = (Settings, Vec<ClassLoad>)> {
-    // With the other policies, servers enforce the rule themselves.
+    // With the other policies, the data servers themselves decline reads that their data is too old for.
     let stale_read_policy = Just(StaleReadPolicy::AnswerStale);
     let session_tokens = prop_oneof![Just(SessionTokens::FromClient), Just(SessionTokens::Tracked)];
     let listed_role =
@@ -230,14 +230,14 @@
     }
 }
 
-/// The mean work of a request in s.
+/// Returns the mean work of a request, in seconds.
 fn mean_work(class_loads: &[ClassLoad]) -> f64 {
     let total_share: f64 = class_loads.iter().map(|load| load.share).sum();
     let total_work: f64 = class_loads.iter().map(|load| load.share * load.work_s).sum();
     total_work / total_share
 }
 
-/// The share of writes among all requests.
+/// Returns the share of writes among all requests.
 fn write_share(settings: &Settings, class_loads: &[ClassLoad]) -> f64 {
     let total: f64 = class_loads.iter().map(|load| load.share).sum();
     let classes = class_loads.iter().zip(&settings.classes);
@@ -245,7 +245,7 @@
     writes.map(|(load, _)| load.share / total).sum()
 }
 
-/// A fleet of a few proxies with faults.
+/// Generates a fleet of up to five proxies with up to seven faults.
 fn plan() -> impl Strategy<Value = Plan> {
     let site = (1usize..6, 1usize..4, 1usize..4, 2usize..5, 1usize..6);
     let replication = (1e-3..12e-3f64, 0.3..0.7f64, any::<bool>(), 0.2..1.2f64, 0.2..0.9f64);
@@ -322,7 +322,11 @@
         let report = Simulation::new(plan).run();
         let violations = &report.violations;
         let count = violations.len();
-        prop_assert!(violations.is_empty(), "{count} violations, the first: {:?}", violations.first());
+        prop_assert!(
+            violations.is_empty(),
+            "expected no violation, got {count}, the first: {:?}",
+            violations.first()
+        );
         prop_assert!(report.tries > 0);
         Ok(())
     });
