--- a/testkit/src/client.rs
+++ b/testkit/src/client.rs
@@ -14,7 +14,7 @@
 /// Timeout of each read while the proxy answers the startup packet.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Outcome of a request, as its final response states it.
+/// Outcome of a request, as the client observed it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Response {
     /// The request was executed and returned a row.
@@ -58,15 +58,16 @@
     pub group: u64,
     /// Time until the request's deadline; the statement's comment carries it in milliseconds.
     pub max_wait: Duration,
-    /// Time after `max_wait` for which the client still waits for a response.
+    /// Time after `max_wait` for which [`Client::send`] still waits for a response.
     pub response_slack: Duration,
 }
 
 impl Request<'_> {
+    /// Returns the SQL statement, which carries the request's fields in a comment.
     fn statement(&self) -> String {
         let Self { id, class, group, .. } = self;
-        let wait_ms = self.max_wait.as_millis();
-        let comment = format!("/* id={id},c={class},d={wait_ms},cluster={group} */");
+        let max_wait_ms = self.max_wait.as_millis();
+        let comment = format!("/* id={id},c={class},d={max_wait_ms},cluster={group} */");
         if self.is_write {
             format!(r"INSERT INTO objects (oid, body) VALUES ('k', '\x00') RETURNING body {comment}")
         } else {
--- a/testkit/src/discovery_server.rs
+++ b/testkit/src/discovery_server.rs
@@ -77,6 +77,7 @@
 #[derive(Default)]
 struct State {
     endpoints: Vec<Endpoint>,
+    /// All changes since the start. The index of a change determines its revision.
     changes: Vec<Change>,
     silent: bool,
     stopped: bool,
--- a/testkit/src/failover_trial/load.rs
+++ b/testkit/src/failover_trial/load.rs
@@ -13,11 +13,13 @@
 use super::Trial;
 use crate::client::{Client, Request, RequestRecord, Response};
 
-/// Number of writing clients of each replica set, and their total request rate.
+/// Number of writing clients of each replica set.
 const WRITERS_PER_SET: usize = 40;
+/// Total request rate of the writing clients of a replica set.
 const WRITES_PER_SECOND: f64 = 25.0;
-/// Number of reading clients of each replica set, and their total request rate.
+/// Number of reading clients of each replica set.
 const READERS_PER_SET: usize = 20;
+/// Total request rate of the reading clients of a replica set.
 const READS_PER_SECOND: f64 = 60.0;
 /// One in this many readers sends causal reads. Their sessions have written nothing, so any replica can serve
 /// these reads.
@@ -38,7 +40,9 @@
 /// Total value of requests by class and latency. A request and its retries count as one.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct ServedValue {
+    /// Value of all requests, if each had been served within its latency objective.
     pub(super) offered: f64,
+    /// Value of the served requests, reduced for those served after their latency objective.
     pub(super) served: f64,
 }
 
@@ -48,6 +52,7 @@
         self.served += other.served;
     }
 
+    /// Returns the ratio of served value to offered value.
     pub(super) fn ratio(self) -> f64 {
         self.served / self.offered.max(1e-9)
     }
@@ -73,11 +78,14 @@
 /// A client that sends either reads or writes to one replica set.
 pub(super) struct LoadClient {
     client: Client,
+    /// Index of the replica set.
     set: usize,
+    /// Index of the client among the writers or the readers of the replica set.
     number: usize,
     pub(super) is_write: bool,
     /// Time from the start of the client until its first request.
     start_delay: Duration,
+    /// Time between two requests.
     interval: Duration,
     next_id: u32,
 }
--- a/testkit/src/failover_trial/plan.rs
+++ b/testkit/src/failover_trial/plan.rs
@@ -1,4 +1,7 @@
 //! Plan of a failover trial: its options, the time scale and the proxy's configuration.
+//!
+//! The times of the platform, such as those of execution, failure detection, election and discovery, are
+//! defined in platform milliseconds. A trial multiplies them by [`Plan::scale`].
 
 use std::ops::Range;
 use std::path::PathBuf;
--- a/testkit/src/failover_trial/round.rs
+++ b/testkit/src/failover_trial/round.rs
@@ -49,12 +49,14 @@
 /// Promotion of a new primary in the active round.
 struct Promotion {
     at: Instant,
+    /// Index of the new primary.
     member: usize,
 }
 
 /// A round in progress.
 struct ActiveRound<'a> {
     trial: &'a Trial,
+    /// Index of the replica set.
     set: usize,
     replica_set: &'a ReplicaSet,
     rng: &'a mut Pcg64Mcg,
--- a/testkit/src/proxy_process.rs
+++ b/testkit/src/proxy_process.rs
@@ -1,4 +1,4 @@
-//! Runs a build of the proxy as a child process: start_count it with a configuration, upgrades it by hot
+//! Runs a build of the proxy as a child process: starts it with a configuration, upgrades it by hot
 //! restart, terminates it and restarts it. Dropping a [`ProxyProcess`] kills the child process.
 
 use std::fs::File;
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Upgrades the proxy by hot restart: start_count a successor, waits until it is ready, then terminates
+    /// Upgrades the proxy by hot restart: starts a successor, waits until it is ready, then terminates
     /// the predecessor and waits for its exit.
     pub fn upgrade(&mut self) -> Result<(), ProcessError> {
         let admin_address = free_address()?;
--- a/testkit/src/replica_set/member.rs
+++ b/testkit/src/replica_set/member.rs
@@ -29,13 +29,16 @@
     pub(super) lag: Duration,
     /// Number of requests that the member is executing.
     pub(super) active_requests: usize,
-    /// Number of the current process of the member. Requests of an earlier incarnation are discarded.
+    /// Number of incarnations that have ended. Requests of an earlier incarnation are discarded.
     pub(super) incarnation: u32,
+    /// Clones of the open connections, to shut them down when the incarnation ends.
     pub(super) streams: Vec<TcpStream>,
     /// Number of executions of each write on this member.
     pub(super) executions: HashMap<Arc<str>, u32>,
-    /// Time at which the member began its first write as primary since its last promotion.
+    /// Time at which the member began its first write as primary since its last promotion, or `None` if it
+    /// has begun none.
     pub(super) first_write_at: Option<Instant>,
+    /// Time of the member's last promotion, or `None` for a member that was never promoted.
     pub(super) promoted_at: Option<Instant>,
 }
 
--- a/testkit/src/replica_set/shared.rs
+++ b/testkit/src/replica_set/shared.rs
@@ -15,7 +15,9 @@
 /// One run of a member's process. Connections and requests belong to the incarnation that accepted them.
 #[derive(Clone, Copy)]
 pub(super) struct Incarnation {
+    /// Index of the member.
     pub(super) member: usize,
+    /// Value of `Member::incarnation` while this run lasts.
     pub(super) number: u32,
 }
 
