--- a/core/src/concurrency_limit.rs
+++ b/core/src/concurrency_limit.rs
@@ -50,8 +50,7 @@
     pub limit: f64,
     /// Highest number of attempts in flight in this period.
     pub peak_in_flight: f64,
-    /// Whether the fit may use this period. The caller clears this if the server was
-    /// silent, failing or warming up.
+    /// Whether the fit may use this period. The caller clears this if the server was down or warming up.
     pub is_period_valid: bool,
     /// `peak_in_flight` of the last periods, newest first.
     recent_peaks: Vec<f64>,
--- a/core/src/discovery_schedule.rs
+++ b/core/src/discovery_schedule.rs
@@ -160,9 +160,9 @@
         is_due
     }
 
-    /// Returns the window for the next call. After a call that `was_queued`, the window is not shortened: a
-    /// failed call still counts as a poll, so the next poll is required later, and a shorter window would
-    /// only cause more calls that fail and deliver no update.
+    /// Returns the window for the next call. `was_queued` says whether the last call failed after a wait in
+    /// the queue. The window is then not shortened: a failed call still counts as a poll, so the next poll is
+    /// required later, and a shorter window would only cause more calls that fail and deliver no update.
     fn window(&self, settings: &Settings, was_queued: bool) -> CallWindow {
         let spread_calls = (f64::from(settings.instance_count) - MAX_BURST_CALLS).max(0.0);
         let needed_secs = (spread_calls / self.rate).min(MAX_WINDOW_SECS);
--- a/core/src/failover/failover_duration.rs
+++ b/core/src/failover/failover_duration.rs
@@ -52,8 +52,8 @@
         if !duration_secs.is_finite() || duration_secs < 0.0 {
             return;
         }
-        let planned = kind == FailoverKind::Planned && duration_secs <= MAX_PLANNED_SECS;
-        let sample = if planned { &mut self.planned } else { &mut self.unplanned };
+        let is_planned = kind == FailoverKind::Planned && duration_secs <= MAX_PLANNED_SECS;
+        let sample = if is_planned { &mut self.planned } else { &mut self.unplanned };
         sample.push(duration_secs);
         let excess = sample.len().saturating_sub(MAX_SAMPLES);
         sample.drain(..excess);
--- a/core/src/failover/failure_detector.rs
+++ b/core/src/failover/failure_detector.rs
@@ -93,8 +93,8 @@
     }
 
     /// Returns the time at which the primary is suspected unless it responds earlier; `None` if no attempt is
-    /// unanswered. `last_response_at` is the time of its last response, `oldest_unanswered_at` the time at
-    /// which the oldest unanswered attempt was sent.
+    /// unanswered. `last_response_at` is the time of the primary's last response, `oldest_unanswered_at` the
+    /// time at which the oldest unanswered attempt was sent.
     pub fn suspects_at(
         &self,
         times: ResponseTimes,
--- a/core/src/failover/phase.rs
+++ b/core/src/failover/phase.rs
@@ -34,7 +34,8 @@
         /// drained before, the start of the drain.
         since: f64,
     },
-    /// A server has claimed to be the primary but has not served a write yet.
+    /// A server has claimed to be the primary, or the lost primary has responded again, but this server has
+    /// not served a write yet.
     TakingOver {
         /// Time at which the failover began.
         since: f64,
--- a/core/src/failover/primary_inquiry.rs
+++ b/core/src/failover/primary_inquiry.rs
@@ -87,14 +87,14 @@
         self.test_write_interval_secs = INITIAL_TEST_WRITE_INTERVAL_SECS;
     }
 
-    /// Records that a read was sent to the primary. It postpones the next test write, because a read tests
-    /// the primary as well as a write does and does no harm if its outcome is unknown.
+    /// Records that a read was sent to the primary, and postpones the next test read and test write. A read
+    /// tests the primary as well as a write does, and does no harm if its outcome is unknown.
     pub fn read_sent(&mut self, now: f64) {
         self.next_test_read_at = now + TEST_READ_INTERVAL_SECS;
         self.next_test_write_at = self.next_test_write_at.max(now + INITIAL_TEST_WRITE_INTERVAL_SECS);
     }
 
-    /// Records that a write was sent to the primary.
+    /// Records that a write was sent to the primary, and postpones the next test read.
     pub fn write_sent(&mut self, now: f64) {
         self.next_test_read_at = now + TEST_READ_INTERVAL_SECS;
     }
--- a/core/src/failover/primary_loss.rs
+++ b/core/src/failover/primary_loss.rs
@@ -13,9 +13,9 @@
 pub enum PrimaryLossCause {
     /// The primary's responses are overdue.
     Silent,
-    /// Connections to the primary failed or were closed.
+    /// Connections to the primary failed or broke, or a health check failed.
     Dead,
-    /// Several consecutive attempts at the primary timed out.
+    /// Attempts at the primary timed out.
     Unresponsive,
 }
 
--- a/core/src/failover/primary_tracker.rs
+++ b/core/src/failover/primary_tracker.rs
@@ -89,7 +89,7 @@
         self.claim.as_ref()
     }
 
-    /// Returns the number of claims accepted so far.
+    /// Returns the current epoch. It rises by 1 with each accepted claim; 0 before the first.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
@@ -130,8 +130,8 @@
     /// Records that the current primary repeated its claim.
     fn confirm(&mut self, report: RoleReport) {
         if let Some(claim) = &mut self.claim {
-            // A response that was in flight when the primary was lost does not show that the primary works
-            // again.
+            // A report of the time before the loss does not show that the primary works again, unless its
+            // attempt was sent after the loss.
             let is_fresh = claim.lost_at.is_none_or(|lost_at| {
                 report.sent_at.is_some_and(|sent_at| sent_at >= lost_at) || report.observed_at > lost_at
             });
--- a/core/src/failover/primary_tracker/tests.rs
+++ b/core/src/failover/primary_tracker/tests.rs
@@ -79,7 +79,7 @@
     assert_eq!(tracker.record_claim(claim(A, 12.0, Some(11.0))), ClaimVerdict::Confirmed);
     assert!(
         tracker.claim().is_some_and(|claim| claim.lost_at.is_some()),
-        "the response was in flight when A was lost"
+        "the claim is not newer than the loss"
     );
     assert_eq!(tracker.record_claim(claim(A, 12.5, Some(11.0))), ClaimVerdict::Confirmed);
     assert!(tracker.claim().is_some_and(|claim| claim.lost_at.is_none()));
--- a/core/src/failover/replica_set.rs
+++ b/core/src/failover/replica_set.rs
@@ -226,14 +226,14 @@
         self.primary().filter(|_| is_silent && self.search.is_test_read_due(now))
     }
 
-    /// Returns whether a write may be sent to a member now to find out whether the member is the primary.
+    /// Returns whether a search attempt may be sent to a member now: a write that shows whether the member is
+    /// the primary.
     pub fn may_search_for_primary(&self, now: f64) -> bool {
         !self.tracker.has_live_primary() && self.search.is_attempt_due(now)
     }
 
-    /// Returns the member to which the next write is sent to find out whether the member is the primary;
-    /// `None` if the write has to wait. Returns the lost primary if a test write to it is due. `candidates`
-    /// is sorted by server id.
+    /// Returns the member that receives the next search attempt, or the lost primary if a test write to it is
+    /// due; `None` if the write has to wait. `candidates` is sorted by server id.
     pub fn next_search_target(
         &mut self,
         candidates: &[PrimaryCandidate],
--- a/core/src/failover/replica_set/snapshot.rs
+++ b/core/src/failover/replica_set/snapshot.rs
@@ -24,8 +24,8 @@
             self.tracker.restore_deposed(server, now);
         }
         let Some((kind, elapsed_secs)) = snapshot.failover else { return };
-        let knows_better = self.phase != Phase::Steady || self.writable_primary().is_some();
-        if knows_better || !elapsed_secs.is_finite() {
+        let knows_failover_or_primary = self.phase != Phase::Steady || self.writable_primary().is_some();
+        if knows_failover_or_primary || !elapsed_secs.is_finite() {
             return;
         }
         let since = now - elapsed_secs.max(0.0);
--- a/core/src/graceful_shutdown.rs
+++ b/core/src/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Controls the graceful shutdown of a process: how long client connections, the
-//! listener and requests stay open.
+//! Controls the graceful shutdown of a process: how long client connections and the listener stay open, and
+//! the time limit of requests.
 //!
 //! This module owns the phases from the start of the shutdown to the end of the process, and the number of
 //! client connections. All times are on one clock. Three guarantees hold:
--- a/core/src/primary_read_admission/tests.rs
+++ b/core/src/primary_read_admission/tests.rs
@@ -105,7 +105,7 @@
 /// Guards against instances that start together and send all their reads to the
 /// primaries, which overloaded them.
 #[test]
-fn an_instance_of_a_large_fleet_sends_reads_to_primaries_once_one_has_responded_in_time() {
+fn an_instance_of_a_large_fleet_sends_reads_to_primaries_only_after_responses_in_time() {
     assert!(!admits_read(&large_fleet_after(&[])), "before any response, no read is admitted");
     assert!(admits_read(&large_fleet_after(&[(0.1, Outcome::Success); 2])));
     assert!(!admits_read(&large_fleet_after(&[(0.4, Outcome::Success); 2])));
--- a/core/src/session_tokens.rs
+++ b/core/src/session_tokens.rs
@@ -146,7 +146,7 @@
     }
 }
 
-/// Returns the size that counts for the token of a session, in bytes.
+/// Returns the assumed size of the token of a session, in bytes.
 fn token_bytes(session: &str) -> usize {
     session.len() + TOKEN_BYTES
 }
--- a/core/tests/failover.rs
+++ b/core/tests/failover.rs
@@ -45,30 +45,22 @@
 }
 
 #[test]
-fn a_canary_read_tests_a_silent_primary() {
+fn a_test_read_is_sent_to_a_silent_primary() {
     let mut harness = harness_with_steady_primary();
     harness.submit(UNIQUE_WRITE);
     advance(&mut harness, 250);
-    assert_eq!(
-        forwarded_to(&harness.submit(BOUNDED_READ)),
-        [1],
-        "a canary read is sent to the silent primary"
-    );
-    assert_ne!(
-        forwarded_to(&harness.submit(BOUNDED_READ)),
-        [1],
-        "only one canary read is in flight at a time"
-    );
+    assert_eq!(forwarded_to(&harness.submit(BOUNDED_READ)), [1], "a test read is sent to the silent primary");
+    assert_ne!(forwarded_to(&harness.submit(BOUNDED_READ)), [1], "the next test read is not due yet");
     let write = harness.submit(UNIQUE_WRITE);
     assert!(forwarded_to(&write).is_empty());
-    let canary = *harness
+    let test_read = *harness
         .in_flight
         .iter()
         .rev()
         .find(|attempt| attempt.server == ServerId(1))
-        .expect("the canary read is in flight at the primary");
-    harness.in_flight.retain(|attempt| attempt.request != canary.request);
-    let after = harness.end_attempt(canary, Outcome::Success, Some(true), ms(0));
+        .expect("the test read is in flight at the primary");
+    harness.in_flight.retain(|attempt| attempt.request != test_read.request);
+    let after = harness.end_attempt(test_read, Outcome::Success, Some(true), ms(0));
     assert_eq!(
         forwarded_to(&after),
         [1],
@@ -84,7 +76,8 @@
     for _ in 0..4 {
         harness.submit(UNIQUE_WRITE);
     }
-    // Drops the inquiry to a replica; the response to a read reports the replica's role below.
+    // Drops the search attempt at a replica. Below, the response to a read reports that the replica is the
+    // new primary.
     harness.in_flight.retain(|attempt| attempt.server == ServerId(1));
     harness.submit(EVENTUAL_READ);
     let after = match harness.in_flight.last() {
@@ -186,7 +179,7 @@
 }
 
 #[test]
-fn new_settings_do_not_affect_a_failover_in_progress() {
+fn writes_stay_buffered_when_the_settings_are_reloaded() {
     let mut harness = harness_with_steady_primary();
     harness.submit(UNIQUE_WRITE);
     advance(&mut harness, 250);
--- a/core/tests/fleet/reads.rs
+++ b/core/tests/fleet/reads.rs
@@ -43,7 +43,7 @@
     counts
 }
 
-/// Otherwise no replica would count as fresh, and the primary would get most reads.
+/// Guards against a fleet in which no replica counts as fresh, so that the primary gets most reads.
 #[test]
 fn reads_of_a_large_fleet_reach_replicas_although_each_instance_seldom_gets_reports() {
     let ReadCounts { reads, on_replicas, declined_writes } = count_reads_on_replicas(100, 20_000);
@@ -53,7 +53,7 @@
     assert!(on_replicas * 10 >= reads * 9, "{on_replicas} of {reads} on replicas");
     assert_eq!(
         declined_writes, 0,
-        "three instances get positions of all replicas with responses, so no write asks for one"
+        "three instances get the positions of all replicas with responses, so no write probes a replica"
     );
 }
 
--- a/core/tests/fleet/robustness.rs
+++ b/core/tests/fleet/robustness.rs
@@ -9,7 +9,7 @@
 
 /// Connections that a dead server refuses do not show that servers have reached their connection limits.
 #[test]
-fn connections_to_healthy_servers_stay_open_when_others_die() {
+fn connections_to_healthy_servers_stay_open_when_another_server_is_dead() {
     let mut harness = Harness::new(large_fleet_settings());
     harness.report_all(ms(10));
     let mut served = 0;
@@ -128,7 +128,11 @@
             let discovery = DiscoveryMode::Subscribe;
             let settings = Settings { instance_count: instances, discovery, ..settings() };
             let InstanceRun { open, has_opened_watch } = InstanceRun::run(settings, servers);
-            assert!(open.is_empty(), "{} open with {instances} instances, {servers} servers", open.len());
+            assert!(
+                open.is_empty(),
+                "{} requests open with {instances} instances, {servers} servers",
+                open.len()
+            );
             assert!(has_opened_watch, "no watch was opened with {instances} instances");
         }
     }
--- a/core/tests/fleet/warm_up.rs
+++ b/core/tests/fleet/warm_up.rs
@@ -62,7 +62,7 @@
             while let Some(attempt) = harness.in_flight.first().copied() {
                 let is_primary = attempt.server == primary_at(time_ms);
                 attempts[second] += usize::from(has_changed && attempt.server == NEW_PRIMARY);
-                // The first request to a replica is a write that asks for its position.
+                // The first request to a replica is a write that probes the replica's position.
                 let is_write = harness.classes.get(&attempt.request) == Some(&UNIQUE_WRITE);
                 let is_declined = is_write && !is_primary;
                 let outcome = if is_declined { Outcome::Misdirected } else { Outcome::Success };
@@ -87,14 +87,17 @@
             "{attempts} in second {second}, with capacity {capacity}"
         );
     }
-    let late_share: f64 = served_writes[5..].iter().sum::<f64>() / served_writes[5..].len() as f64;
-    assert!(late_share > 0.8, "{late_share} of the writes served after 5 s; {served_writes:?}, {attempts:?}");
+    let share_after_5_s: f64 = served_writes[5..].iter().sum::<f64>() / served_writes[5..].len() as f64;
+    assert!(
+        share_after_5_s > 0.8,
+        "{share_after_5_s} of the writes served after 5 s; {served_writes:?}, {attempts:?}"
+    );
     // Guards against instances that may accumulate a budget of only one request: the budget that some
     // instances don't use is then lost, while requests wait at others.
-    let early_share: f64 = served_writes[3..6].iter().sum::<f64>() / 3.0;
+    let share_3_to_6_s: f64 = served_writes[3..6].iter().sum::<f64>() / 3.0;
     assert!(
-        early_share > 0.85,
-        "{early_share} of the writes served in the fourth to sixth second; {served_writes:?}, {attempts:?}"
+        share_3_to_6_s > 0.85,
+        "{share_3_to_6_s} of the writes served in the fourth to sixth second; {served_writes:?}, {attempts:?}"
     );
 }
 
--- a/core/tests/graceful_shutdown.rs
+++ b/core/tests/graceful_shutdown.rs
@@ -224,7 +224,7 @@
     all
 }
 
-/// Returns clients that send their requests at all of these times.
+/// Returns clients that send their requests at all times of [`times_around_transitions`].
 fn clients_at_all_times() -> Vec<Client> {
     let mut clients = Vec::new();
     for connects_at in [0, SHUTDOWN_MS - 1, SHUTDOWN_MS + 1, SHUTDOWN_MS + 300] {
--- a/core/tests/routing/endpoints.rs
+++ b/core/tests/routing/endpoints.rs
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn gossip_changes_neither_the_primary_nor_a_down_state() {
+fn gossip_does_not_divert_a_write_from_the_primary() {
     let mut settings = large_fleet_settings();
     settings.limits.allow_gossip = true;
     let mut harness = Harness::new(settings);
--- a/core/tests/routing/outlier_detection.rs
+++ b/core/tests/routing/outlier_detection.rs
@@ -73,9 +73,9 @@
     }
 }
 
-/// In a large fleet, idle connections could exhaust the connection limits of the servers.
+/// The idle connections of a large fleet could exhaust the connection limits of the servers.
 #[test]
-fn idle_connections_are_closed_if_connections_are_refused() {
+fn in_a_large_fleet_idle_connections_are_closed_if_connections_are_refused() {
     let closes_idle = |settings: Settings| {
         let mut harness = Harness::new(settings);
         harness.report_all(ms(10));
--- a/core/tests/routing/queueing.rs
+++ b/core/tests/routing/queueing.rs
@@ -11,14 +11,14 @@
     harness.report_all(ms(10));
     while (0..5).any(|_| !forwarded_to(&harness.submit(BOUNDED_READ)).is_empty()) {}
     harness.advance(ms(600)); // the queued reads expire, so the group counts as congested
-    assert_eq!(forwarded_to(&harness.submit(BOUNDED_READ)), [1], "a canary read tests the silent primary");
+    assert_eq!(forwarded_to(&harness.submit(BOUNDED_READ)), [1], "a test read is sent to the silent primary");
     let short_lived = Request { time_left: ms(600), ..harness.new_request(BOUNDED_READ) };
     assert_eq!(rejection_count(&harness.step(vec![Event::Request(short_lived)])), 0);
     assert_eq!(rejection_count(&harness.advance(ms(240))), 0);
     assert_eq!(
         forwarded_to(&harness.submit(BOUNDED_READ)),
         [0; 0],
-        "the read waits until the next canary read may be sent"
+        "the read waits until the next test read is due"
     );
     assert_eq!(rejection_count(&harness.advance(ms(60))), 1);
 }
@@ -72,7 +72,7 @@
     assert_eq!(forwarded_to(&harness.submit(EVENTUAL_READ)).len(), 1);
 }
 
-/// In order of arrival, every queued read would be served just after its deadline.
+/// If reads were forwarded in order of arrival, every queued read would be served just after its deadline.
 #[test]
 fn the_youngest_read_of_a_congested_group_is_forwarded_first() {
     let mut harness = Harness::new(settings());
@@ -135,7 +135,7 @@
     assert!(rejected >= 28, "{rejected} of 40 rejected");
 }
 
-/// The client then has time to retry.
+/// A rejection at half of the time left leaves the client time to retry.
 #[test]
 fn a_write_without_a_primary_is_rejected_by_half_its_time_left_with_a_retry_after() {
     let mut harness = Harness::new(settings());
@@ -189,10 +189,10 @@
     assert_eq!(
         forwarded_to(&actions),
         [2],
-        "the write asks another member which server is the primary: {actions:?}"
+        "the write is sent to another member in search of the primary: {actions:?}"
     );
-    let inquiry = harness.in_flight.pop().expect("the inquiry is in flight");
-    let mut actions = harness.end_attempt(inquiry, Outcome::ConnectFailed, None, ms(0));
+    let search_attempt = harness.in_flight.pop().expect("the search attempt is in flight");
+    let mut actions = harness.end_attempt(search_attempt, Outcome::ConnectFailed, None, ms(0));
     actions.extend((0..3).flat_map(|_| harness.advance(ms(100))));
     assert_eq!((rejection_count(&actions), failure_count(&actions)), (1, 0), "{actions:?}");
 }
--- a/core/tests/routing/read_routing.rs
+++ b/core/tests/routing/read_routing.rs
@@ -69,8 +69,8 @@
     assert_ne!(forwarded_to(&without_write), [1]);
 }
 
-/// Otherwise a replica that returned to service would get hardly any reads, because it reports its position
-/// only in responses.
+/// Guards against a replica that gets hardly any reads after its return to service, because it reports its
+/// position only in responses.
 #[test]
 fn an_eventual_read_goes_to_a_replica_whose_position_is_unknown() {
     for returned in [2, 3] {
@@ -119,7 +119,7 @@
     assert!(chosen_servers.contains(&2) && chosen_servers.contains(&3), "{chosen_servers:?}");
 }
 
-/// Otherwise all reads with a staleness bound would go to the primary if the replicas respond rarely.
+/// Guards against reads with a staleness bound that all go to the primary because the replicas rarely respond.
 #[test]
 fn a_health_check_asks_a_replica_for_its_position_before_the_primary_serves_a_read() {
     let mut settings = large_fleet_settings();
@@ -151,7 +151,7 @@
     assert_eq!(forwarded_to(&first), [1], "the read must not wait for a health check");
 }
 
-/// The reads of all instances together would overload the primary.
+/// The reads of all instances together would overload a slow primary.
 #[test]
 fn in_a_large_fleet_no_read_goes_to_a_slow_primary() {
     let to_primary = |settings: Settings| {
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_session_token_is_stored_until_all_members_have_passed_it() {
+fn a_session_token_is_stored_while_replicas_are_behind_it() {
     let mut harness = Harness::new(Settings { session_tokens: SessionTokens::Tracked, ..settings() });
     harness.report_all(ms(3000));
     harness.submit(KEYED_WRITE);
@@ -185,7 +185,7 @@
     );
 }
 
-/// The other replicas then remain free for reads with a staleness bound.
+/// This choice keeps the other replicas free for reads with a staleness bound.
 #[test]
 fn an_eventual_read_goes_to_the_replica_that_lags_most() {
     let mut harness = Harness::new(settings());
--- a/core/tests/routing/retries.rs
+++ b/core/tests/routing/retries.rs
@@ -46,21 +46,21 @@
 }
 
 #[test]
-fn without_a_primary_a_write_asks_the_members_in_id_order_and_then_waits() {
+fn a_write_goes_to_the_listed_primary_first_and_waits_after_repeated_declines() {
     let mut harness = Harness::new(settings());
     harness.submit(KEYED_WRITE);
-    let mut asked = vec![harness.in_flight[0].server.0];
+    let mut tried_servers = vec![harness.in_flight[0].server.0];
     for _ in 0..3 {
         harness.now += ms(30);
         let next = harness.end_oldest(Outcome::Misdirected, Some(false), ms(0));
-        asked.extend(forwarded_to(&next));
+        tried_servers.extend(forwarded_to(&next));
         if harness.in_flight.is_empty() {
             break;
         }
     }
-    assert_eq!(asked[0], 1, "the listed primary is asked first");
+    assert_eq!(tried_servers[0], 1, "the write goes to the listed primary first");
     let soon: Vec<u32> = forwarded_to(&harness.advance(ms(1)));
-    assert!(soon.is_empty(), "the write waits after all members have declined it: {soon:?}");
+    assert!(soon.is_empty(), "the write is not forwarded at once after the declines: {soon:?}");
 }
 
 /// If only responses counted, the expected response time and with it the timeouts would
--- a/core/tests/snapshot.rs
+++ b/core/tests/snapshot.rs
@@ -89,32 +89,32 @@
     assert_ne!(read(&mut harness, "s"), 1);
 }
 
-/// Means by which a replica is asked for its position.
+/// Means by which the position of a replica is probed.
 #[derive(Clone, Copy, PartialEq)]
-enum PositionCheck {
+enum PositionProbe {
     HealthCheck,
     DeclinedWrite,
 }
 
-/// A replica that has reported no position serves no session read. The engine asks for the position with a
+/// A replica that has reported no position serves no session read. The engine probes the position with a
 /// health check if that returns a load report, otherwise with a write that the replica declines.
 #[rstest]
-#[case::by_a_health_check(PositionCheck::HealthCheck)]
-#[case::by_a_write(PositionCheck::DeclinedWrite)]
-fn a_replica_without_a_reported_position_is_asked_for_it(#[case] check: PositionCheck) {
-    let (settings, class) = match check {
-        PositionCheck::HealthCheck => (tracking_settings_with_health_checks(), SESSION_READ),
-        PositionCheck::DeclinedWrite => (tracking_settings(), UNIQUE_WRITE),
+#[case::by_a_health_check(PositionProbe::HealthCheck)]
+#[case::by_a_write(PositionProbe::DeclinedWrite)]
+fn a_replica_without_a_reported_position_is_probed(#[case] probe: PositionProbe) {
+    let (settings, class) = match probe {
+        PositionProbe::HealthCheck => (tracking_settings_with_health_checks(), SESSION_READ),
+        PositionProbe::DeclinedWrite => (tracking_settings(), UNIQUE_WRITE),
     };
     let mut harness = Harness::new(settings);
-    let mut asked = BTreeSet::new();
+    let mut probed = BTreeSet::new();
     for _ in 0..6 {
         harness.now += ms(300);
         let actions = harness.submit(class);
         for action in &actions {
             match action {
                 Action::HealthCheck { server } => {
-                    asked.insert(server.0);
+                    probed.insert(server.0);
                     let report = LoadReport {
                         position: Some(harness.now),
                         primary: Some(false),
@@ -125,9 +125,9 @@
                     harness.step(vec![checked]);
                 }
                 Action::Forward { server, .. }
-                    if *server != PRIMARY && check == PositionCheck::DeclinedWrite =>
+                    if *server != PRIMARY && probe == PositionProbe::DeclinedWrite =>
                 {
-                    asked.insert(server.0);
+                    probed.insert(server.0);
                     harness.end_oldest(Outcome::Misdirected, Some(false), ms(0));
                 }
                 _ => {}
@@ -137,7 +137,7 @@
             harness.end_oldest(Outcome::Success, Some(true), ms(0));
         }
     }
-    assert_eq!(asked.into_iter().collect::<Vec<_>>(), [2, 3]);
+    assert_eq!(probed.into_iter().collect::<Vec<_>>(), [2, 3]);
 }
 
 #[test]
