--- a/core/src/discovery_schedule.rs
+++ b/core/src/discovery_schedule.rs
@@ -48,11 +48,11 @@
 const INITIAL_BACKOFF_SECS: f64 = 0.5;
 /// Upper bound of the backoff, as a share of the poll interval.
 const MAX_BACKOFF_SHARE: f64 = 0.25;
-/// Time after the return of the discovery service by which an instance must have
-/// received an update, in seconds.
+/// Time within which an instance must receive an update after the discovery service has recovered from an
+/// outage, in seconds.
 const NOTIFICATION_DEADLINE_SECS: f64 = 6.0;
 /// Upper bound of the backoff, as a share of the notification deadline. Two calls with backoff and jitter
-/// must fit into the deadline, because the first call may fail just as the service returns.
+/// must fit into the deadline, because the first call may fail just as the service recovers.
 const MAX_BACKOFF_DEADLINE_SHARE: f64 = 0.25;
 /// Time after which a call without a result is repeated, as a share of the poll interval.
 const CALL_TIMEOUT_SHARE: f64 = 0.5;
--- a/core/src/discovery_schedule/tests.rs
+++ b/core/src/discovery_schedule/tests.rs
@@ -147,8 +147,9 @@
     }
 }
 
-/// An instance must receive an update within 6 s after the discovery service returns. One call may fail just
-/// before the return, and the next call may fail because the service is overloaded after its return.
+/// An instance must receive an update within 6 s after the discovery service has recovered from an outage.
+/// One call may fail just before the recovery, and the next call may fail because the service is overloaded
+/// afterwards.
 #[test]
 fn two_calls_fit_into_the_notification_deadline() {
     for poll_interval_ms in [2_000, 10_000, 60_000] {
@@ -167,7 +168,7 @@
             wait_for_call(&mut schedule, &mut now);
             schedule.call_failed(now, &settings, || 1.0);
         }
-        // The discovery service returns right after the last failure. The next call fails
+        // The discovery service recovers right after the last failure. The next call fails
         // after 0.4 s, and the call after that must still be within the deadline.
         let first_secs = wait_for_call(&mut schedule, &mut now);
         schedule.call_failed(now + 0.4, &settings, || 1.0);
--- a/core/src/failover/failure_detector.rs
+++ b/core/src/failover/failure_detector.rs
@@ -13,12 +13,12 @@
 const MAX_THRESHOLD_SECS: f64 = 0.8;
 /// Multiple of the mean deviation of the response time that is added to the mean.
 const DEVIATION_FACTOR: f64 = 3.0;
-/// Number of unanswered attempts from which on the threshold is not raised. With fewer attempts, the
+/// Minimum number of unanswered attempts at which the threshold is not raised. With fewer attempts, the
 /// threshold rises in inverse proportion, because one late response may be caused by the request itself. With
 /// exponentially distributed response times, n attempts all take longer than t with probability
 /// exp(-n * t / mean).
 const FULL_EVIDENCE_ATTEMPTS: f64 = 3.0;
-/// Number of responses from which on the estimate uses only the primary's own response times.
+/// Number of responses after which the estimate uses only the primary's own response times.
 const MIN_RESPONSES: f64 = 10.0;
 /// Weight of a new response time in the mean, as in RFC 6298.
 const MEAN_GAIN: f64 = 1.0 / 8.0;
@@ -81,7 +81,7 @@
 }
 
 impl SilenceThreshold {
-    /// Returns the silence in seconds from which on the primary is suspected.
+    /// Returns the silence, in seconds, after which the primary is suspected.
     pub fn threshold_secs(&self, times: ResponseTimes) -> f64 {
         let typical = self.typical_response_secs;
         let own_share = (times.response_count / MIN_RESPONSES).min(1.0);
@@ -95,7 +95,7 @@
     /// Returns the time at which the primary is suspected unless it responds earlier; `None` if no attempt is
     /// unanswered. `last_response_at` is the time of the primary's last response, `oldest_unanswered_at` the
     /// time at which the oldest unanswered attempt was sent.
-    pub fn suspects_at(
+    pub fn suspicion_time(
         &self,
         times: ResponseTimes,
         last_response_at: f64,
--- a/core/src/failover/failure_detector/tests.rs
+++ b/core/src/failover/failure_detector/tests.rs
@@ -14,16 +14,16 @@
 #[test]
 fn silence_is_suspicious_only_while_an_attempt_is_unanswered() {
     let times = steady(0.08);
-    assert_eq!(THRESHOLD.suspects_at(times, 5.0, None), None);
+    assert_eq!(THRESHOLD.suspicion_time(times, 5.0, None), None);
     let threshold = THRESHOLD.threshold_secs(times);
     assert!((threshold - 0.1).abs() < 1e-6, "{threshold}");
     assert_eq!(
-        THRESHOLD.suspects_at(times, 5.0, Some(4.0)),
+        THRESHOLD.suspicion_time(times, 5.0, Some(4.0)),
         Some(5.0 + threshold),
         "the primary responded after the attempt was sent"
     );
     assert_eq!(
-        THRESHOLD.suspects_at(times, 5.0, Some(6.0)),
+        THRESHOLD.suspicion_time(times, 5.0, Some(6.0)),
         Some(6.0 + threshold),
         "the primary was idle until the attempt was sent"
     );
--- a/core/src/failover/primary_inquiry.rs
+++ b/core/src/failover/primary_inquiry.rs
@@ -11,8 +11,8 @@
 use super::PrimaryTracker;
 use crate::api::ServerId;
 
-/// Silence from which on a member receives no search attempts or position probes, in seconds. A member that
-/// has left an attempt unanswered for this long might leave further attempts unanswered as well.
+/// Silence after which a member receives no search attempts or position probes, in seconds. A member that has
+/// left an attempt unanswered for this long might leave further attempts unanswered as well.
 pub(crate) const MAX_RESPONSIVE_SILENCE_SECS: f64 = 0.15;
 /// Time between two search attempts within a round, in seconds.
 const SEARCH_ATTEMPT_INTERVAL_SECS: f64 = 0.01;
--- a/core/src/failover/replica_set.rs
+++ b/core/src/failover/replica_set.rs
@@ -20,8 +20,7 @@
 };
 use crate::api::{FailoverKind, Outcome, ServerId};
 
-/// Number of a replica set's own failovers of one kind from which on its forecast uses only its own
-/// durations.
+/// Number of a replica set's own failovers of one kind after which its forecast uses only its own durations.
 const MIN_SET_SAMPLES: usize = 4;
 
 /// The primary before the current one.
--- a/core/src/failover/replica_set/observation.rs
+++ b/core/src/failover/replica_set/observation.rs
@@ -79,7 +79,8 @@
             None => observation.last_response_at,
         };
         let since = oldest_unanswered_at.map_or(last_response_at, |sent_at| sent_at.max(last_response_at));
-        let suspected_at = threshold.suspects_at(self.response_times, last_response_at, oldest_unanswered_at);
+        let suspected_at =
+            threshold.suspicion_time(self.response_times, last_response_at, oldest_unanswered_at);
         let max_pause_secs = MAX_PAUSE_LOWER_BOUND_SECS
             .max(MAX_PAUSE_THRESHOLD_FACTOR * threshold.threshold_secs(self.response_times));
         Silence {
--- a/core/src/failover/write_buffer.rs
+++ b/core/src/failover/write_buffer.rs
@@ -16,20 +16,20 @@
 /// Share of the time between a write's arrival and its deadline after which the probability of recovery has
 /// to reach the limit for late writes.
 const LATE_SHARE: f64 = 0.49;
-/// Lower bound of the retry hint, as a share of `max_retry_after`.
-const MIN_HINT_SHARE: f64 = 0.2;
-/// Upper bound of the retry hint for a rejected write, as a share of the time left until the write's
+/// Lower bound of the retry-after hint, as a share of `max_retry_after`.
+const MIN_RETRY_AFTER_SHARE: f64 = 0.2;
+/// Upper bound of the retry-after hint for a rejected write, as a share of the time left until the write's
 /// deadline.
 const MAX_RETRY_AFTER_SHARE: f64 = 0.15;
 /// Lower bound of the divisor in [`retry_after_hint`], in seconds. Avoids a division by zero if
 /// `max_retry_after` is zero.
-const MIN_HINT_DIVISOR_SECS: f64 = 1e-9;
+const MIN_RETRY_AFTER_DIVISOR_SECS: f64 = 1e-9;
 
 /// Returns the delay after which a client should retry: the expected time until recovery, but at most
 /// `max_retry_after` and at least a fixed share of it.
 pub fn retry_after_hint(recovery_secs: f64, max_retry_after: Duration) -> Duration {
-    let share = recovery_secs / max_retry_after.as_secs_f64().max(MIN_HINT_DIVISOR_SECS);
-    max_retry_after.mul_f64(if share.is_finite() { share.clamp(MIN_HINT_SHARE, 1.0) } else { 1.0 })
+    let share = recovery_secs / max_retry_after.as_secs_f64().max(MIN_RETRY_AFTER_DIVISOR_SECS);
+    max_retry_after.mul_f64(if share.is_finite() { share.clamp(MIN_RETRY_AFTER_SHARE, 1.0) } else { 1.0 })
 }
 
 /// Decision on a write whose replica set accepts no writes.
@@ -101,7 +101,7 @@
     }
 }
 
-/// Buffered writes of all replica sets. Counted anew in each step of the engine.
+/// Buffered writes of all replica sets. Recomputed in each step of the engine.
 #[derive(Debug, Default)]
 pub struct BufferUsage {
     total: Usage,
--- a/core/src/server_throughput.rs
+++ b/core/src/server_throughput.rs
@@ -66,11 +66,12 @@
         self.primaries.responses += f64::from(u8::from(is_primary));
     }
 
-    /// Decays the counts and adds `elapsed_secs`, in which the capacity of the warm servers was `warm`.
-    pub fn advance(&mut self, elapsed_secs: f64, warm: WarmCapacity, config: &EwmaConfig) {
+    /// Decays the counts and adds `elapsed_secs`. `warm_capacity` is the capacity of the warm servers in that
+    /// time.
+    pub fn advance(&mut self, elapsed_secs: f64, warm_capacity: WarmCapacity, config: &EwmaConfig) {
         let decay = (-elapsed_secs / config.decay_secs).exp();
-        self.all.advance(decay, elapsed_secs * warm.all);
-        self.primaries.advance(decay, elapsed_secs * warm.primaries);
+        self.all.advance(decay, elapsed_secs * warm_capacity.all);
+        self.primaries.advance(decay, elapsed_secs * warm_capacity.primaries);
     }
 
     /// Returns the responses a second that this proxy instance receives from a warm server with a relative
--- a/core/tests/fleet/discovery.rs
+++ b/core/tests/fleet/discovery.rs
@@ -20,29 +20,29 @@
 
 /// Result of a call.
 struct Answer {
-    due: Duration,
+    due_at: Duration,
     instance: usize,
     is_in_time: bool,
 }
 
 /// Discovery service with one queue. It also processes calls that have timed out.
 #[derive(Default)]
-struct DiscoveryServer {
+struct DiscoveryService {
     free_at: Duration,
     answers: Vec<Answer>,
 }
 
-impl DiscoveryServer {
+impl DiscoveryService {
     fn call(&mut self, now: Duration, instance: usize) {
         self.free_at = self.free_at.max(now) + CALL_WORK;
         let is_in_time = self.free_at <= now + CALL_TIMEOUT;
-        let due = if is_in_time { self.free_at } else { now + CALL_TIMEOUT };
-        self.answers.push(Answer { due, instance, is_in_time });
+        let due_at = if is_in_time { self.free_at } else { now + CALL_TIMEOUT };
+        self.answers.push(Answer { due_at, instance, is_in_time });
     }
 
     /// Removes and returns the answers that are due for an instance at `now`.
     fn take_due(&mut self, now: Duration, instance: usize) -> Vec<Answer> {
-        self.answers.extract_if(.., |answer| answer.due <= now && answer.instance == instance).collect()
+        self.answers.extract_if(.., |answer| answer.due_at <= now && answer.instance == instance).collect()
     }
 }
 
@@ -51,7 +51,7 @@
     /// Time until the last instance received its first update, in ms.
     first_ms: u64,
     /// Time from the break of all watches until the last instance received another update, in ms.
-    again_ms: u64,
+    recovery_ms: u64,
     failed_calls: usize,
 }
 
@@ -59,7 +59,7 @@
 fn simulate_watches(instances: u32) -> WatchResult {
     let settings = Settings { instance_count: instances, discovery: DiscoveryMode::Subscribe, ..settings() };
     let mut fleet = new_fleet(&settings);
-    let mut discovery = DiscoveryServer::default();
+    let mut discovery = DiscoveryService::default();
     let start = ms(100_000);
     let mut updated_ms = vec![[None; 2]; fleet.len()];
     let mut failed_calls = 0;
@@ -94,20 +94,20 @@
         let times = updated_ms.iter().map(|times| times[phase].expect("every instance gets an update"));
         times.max().unwrap_or(0)
     };
-    WatchResult { first_ms: last_ms(0), again_ms: last_ms(1) - BREAK_STEP * STEP_MS, failed_calls }
+    WatchResult { first_ms: last_ms(0), recovery_ms: last_ms(1) - BREAK_STEP * STEP_MS, failed_calls }
 }
 
 /// Guards against retries of timed-out calls that keep the queue of the discovery service long.
 #[test]
 fn a_fleet_that_starts_or_loses_its_watches_at_once_does_not_overload_discovery() {
-    let WatchResult { first_ms, again_ms, failed_calls } = simulate_watches(100);
+    let WatchResult { first_ms, recovery_ms, failed_calls } = simulate_watches(100);
     assert!(
-        first_ms < 9_000 && again_ms < 10_500 && failed_calls <= 10,
-        "{first_ms} ms until the first update, {again_ms} ms after the break, {failed_calls} calls failed"
+        first_ms < 9_000 && recovery_ms < 10_500 && failed_calls <= 10,
+        "{first_ms} ms until the first update, {recovery_ms} ms after the break, {failed_calls} calls failed"
     );
-    let WatchResult { first_ms, again_ms, failed_calls } = simulate_watches(4);
+    let WatchResult { first_ms, recovery_ms, failed_calls } = simulate_watches(4);
     assert!(
-        first_ms < 300 && again_ms < 1_100 && failed_calls == 0,
-        "{first_ms} ms until the first update, {again_ms} ms after the break, {failed_calls} calls failed"
+        first_ms < 300 && recovery_ms < 1_100 && failed_calls == 0,
+        "{first_ms} ms until the first update, {recovery_ms} ms after the break, {failed_calls} calls failed"
     );
 }
--- a/core/tests/fleet/reads.rs
+++ b/core/tests/fleet/reads.rs
@@ -24,9 +24,9 @@
     let mix = ClassMix { writes: 30, eventual_reads: 5 };
     let mut counts = ReadCounts::default();
     for n in 0..requests {
-        let caller = pseudo_random(2 * n, u64::from(instances)) as usize;
+        let receiving_instance = pseudo_random(2 * n, u64::from(instances)) as usize;
         fleet.iter_mut().for_each(|harness| harness.now += ms(10));
-        let harness = &mut fleet[caller];
+        let harness = &mut fleet[receiving_instance];
         let class = mix.class(2 * n + 1);
         let is_write = class == UNIQUE_WRITE;
         harness.submit(class);
@@ -144,12 +144,12 @@
     let mut sent = [0.0; 2];
     let mut in_time = [0.0; 2];
     for step in 0..2_500u64 {
-        let caller = pseudo_random(3 * step, 100) as usize;
+        let receiving_instance = pseudo_random(3 * step, 100) as usize;
         let class = if pseudo_random(3 * step + 1, 100) < 40 { UNIQUE_WRITE } else { BOUNDED_READ };
         for (instance, harness) in fleet.iter_mut().enumerate() {
             harness.now += ms(10);
             let now = harness.now;
-            if instance == caller {
+            if instance == receiving_instance {
                 sent[usize::from(class == UNIQUE_WRITE)] += one_if(step > 500);
                 harness.submit(class);
             } else {
--- a/core/tests/fleet/warm_up.rs
+++ b/core/tests/fleet/warm_up.rs
@@ -46,7 +46,7 @@
         let time_ms = step * 10;
         let has_changed = time_ms >= CHANGE_MS;
         let second = (time_ms.saturating_sub(CHANGE_MS) / 1000) as usize;
-        let caller = pseudo_random(3 * step, 100) as usize;
+        let receiving_instance = pseudo_random(3 * step, 100) as usize;
         let class = mix.class(3 * step + 1);
         for (index, harness) in fleet.iter_mut().enumerate() {
             harness.now += ms(10);
@@ -54,7 +54,7 @@
             if time_ms == CHANGE_MS {
                 events.push(primary_replacement(harness.now));
             }
-            if index == caller {
+            if index == receiving_instance {
                 events.push(Event::Request(harness.new_request(class)));
                 writes[second] += one_if(has_changed && class == UNIQUE_WRITE);
             }
@@ -134,26 +134,26 @@
         let (in_service, load) = (Vec::new(), BurstLoad::default());
         let mut simulation = Self { fleet: new_fleet(settings), in_service, load, random_index: 0 };
         for time_ms in (0..40_000u64).step_by(10) {
-            let calls = simulation.choose_callers(time_ms);
-            for (instance, calls) in calls.into_iter().enumerate() {
-                simulation.step_instance(instance, calls, time_ms);
+            let request_counts = simulation.choose_request_counts(time_ms);
+            for (instance, request_count) in request_counts.into_iter().enumerate() {
+                simulation.step_instance(instance, request_count, time_ms);
             }
         }
         simulation.load
     }
 
     /// Returns how many requests each instance gets in this step.
-    fn choose_callers(&mut self, time_ms: u64) -> Vec<usize> {
+    fn choose_request_counts(&mut self, time_ms: u64) -> Vec<usize> {
         let count = if Self::BURST_MS.contains(&time_ms) { 3 } else { (time_ms / 10 + 1) % 2 };
-        let mut calls = vec![0; self.fleet.len()];
+        let mut request_counts = vec![0; self.fleet.len()];
         for _ in 0..count {
             self.random_index += 1;
-            calls[pseudo_random(3 * self.random_index, self.fleet.len() as u64) as usize] += 1;
+            request_counts[pseudo_random(3 * self.random_index, self.fleet.len() as u64) as usize] += 1;
         }
-        calls
+        request_counts
     }
 
-    fn step_instance(&mut self, instance: usize, calls: usize, time_ms: u64) {
+    fn step_instance(&mut self, instance: usize, request_count: usize, time_ms: u64) {
         let harness = &mut self.fleet[instance];
         harness.now += ms(10);
         let mut events = Vec::new();
@@ -162,7 +162,7 @@
         }
         let is_busy = time_ms < CHANGE_MS || Self::BURST_MS.contains(&time_ms);
         let mix = ClassMix { writes: if is_busy { 70 } else { 3 }, eventual_reads: 20 };
-        for _ in 0..calls {
+        for _ in 0..request_count {
             self.random_index += 1;
             events.push(Event::Request(harness.new_request(mix.class(3 * self.random_index + 1))));
         }
--- a/core/tests/routing/read_routing.rs
+++ b/core/tests/routing/read_routing.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn staleness_is_checked_when_a_queued_read_is_forwarded() {
+fn a_queued_read_is_not_forwarded_to_a_replica_that_has_become_too_stale() {
     let mut harness = Harness::new(settings());
     harness.report_all(ms(10));
     // Both replicas reach their concurrency limits. Then their reported positions exceed the staleness bound.
--- a/core/tests/routing/retries.rs
+++ b/core/tests/routing/retries.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_write_goes_to_the_listed_primary_first_and_waits_after_repeated_declines() {
+fn a_write_goes_first_to_the_listed_primary_and_has_one_attempt_in_flight() {
     let mut harness = Harness::new(settings());
     harness.submit(KEYED_WRITE);
     let mut tried_servers = vec![harness.in_flight[0].server.0];
@@ -60,7 +60,7 @@
     }
     assert_eq!(tried_servers[0], 1, "the write goes to the listed primary first");
     let soon: Vec<u32> = forwarded_to(&harness.advance(ms(1)));
-    assert!(soon.is_empty(), "the write is not forwarded at once after the declines: {soon:?}");
+    assert!(soon.is_empty(), "the write has an attempt in flight, so it is not forwarded again: {soon:?}");
 }
 
 /// If only responses counted, the expected response time and with it the timeouts would
--- a/core/tests/routing/warm_up.rs
+++ b/core/tests/routing/warm_up.rs
@@ -72,10 +72,10 @@
         }
         sent
     };
-    let (few_up, all_up) = (sent_to_warming(true), sent_to_warming(false));
+    let (sent_with_five_down, sent_with_none_down) = (sent_to_warming(true), sent_to_warming(false));
     assert!(
-        all_up > 0 && few_up <= 2 * all_up,
-        "{few_up} attempts with five of eight down, {all_up} with none"
+        sent_with_none_down > 0 && sent_with_five_down <= 2 * sent_with_none_down,
+        "{sent_with_five_down} attempts with five of eight down, {sent_with_none_down} with none"
     );
 }
 
