--- a/core/src/discovery_schedule.rs
+++ b/core/src/discovery_schedule.rs
@@ -48,11 +48,11 @@
 const INITIAL_BACKOFF_SECS: f64 = 0.5;
 /// Upper bound of the backoff, as a share of the poll interval.
 const MAX_BACKOFF_SHARE: f64 = 0.25;
-/// Time after the return of the discovery service by which an instance must have
-/// received an update, in seconds.
+/// Time within which an instance must receive an update after the discovery service has recovered from an
+/// outage, in seconds.
 const NOTIFICATION_DEADLINE_SECS: f64 = 6.0;
 /// Upper bound of the backoff, as a share of the notification deadline. Two calls with backoff and jitter
-/// must fit into the deadline, because the first call may fail just as the service returns.
+/// must fit into the deadline, because the first call may fail just as the service recovers.
 const MAX_BACKOFF_DEADLINE_SHARE: f64 = 0.25;
 /// Time after which a call without a result is repeated, as a share of the poll interval.
 const CALL_TIMEOUT_SHARE: f64 = 0.5;
@@ -160,9 +160,9 @@
         is_due
     }
 
-    /// Returns the window for the next call. After a call that `was_queued`, the window is not shortened: a
-    /// failed call still counts as a poll, so the next poll is required later, and a shorter window would
-    /// only cause more calls that fail and deliver no update.
+    /// Returns the window for the next call. `was_queued` says whether the last call failed after a wait in
+    /// the queue. The window is then not shortened: a failed call still counts as a poll, so the next poll is
+    /// required later, and a shorter window would only cause more calls that fail and deliver no update.
     fn window(&self, settings: &Settings, was_queued: bool) -> CallWindow {
         let spread_calls = (f64::from(settings.instance_count) - MAX_BURST_CALLS).max(0.0);
         let needed_secs = (spread_calls / self.rate).min(MAX_WINDOW_SECS);
--- a/core/tests/fleet/reads.rs
+++ b/core/tests/fleet/reads.rs
@@ -24,9 +24,9 @@
     let mix = ClassMix { writes: 30, eventual_reads: 5 };
     let mut counts = ReadCounts::default();
     for n in 0..requests {
-        let caller = pseudo_random(2 * n, u64::from(instances)) as usize;
+        let receiving_instance = pseudo_random(2 * n, u64::from(instances)) as usize;
         fleet.iter_mut().for_each(|harness| harness.now += ms(10));
-        let harness = &mut fleet[caller];
+        let harness = &mut fleet[receiving_instance];
         let class = mix.class(2 * n + 1);
         let is_write = class == UNIQUE_WRITE;
         harness.submit(class);
@@ -43,7 +43,7 @@
     counts
 }
 
-/// Otherwise no replica would count as fresh, and the primary would get most reads.
+/// Guards against a fleet in which no replica counts as fresh, so that the primary gets most reads.
 #[test]
 fn reads_of_a_large_fleet_reach_replicas_although_each_instance_seldom_gets_reports() {
     let ReadCounts { reads, on_replicas, declined_writes } = count_reads_on_replicas(100, 20_000);
@@ -53,7 +53,7 @@
     assert!(on_replicas * 10 >= reads * 9, "{on_replicas} of {reads} on replicas");
     assert_eq!(
         declined_writes, 0,
-        "three instances get positions of all replicas with responses, so no write asks for one"
+        "three instances get the positions of all replicas with responses, so no write probes a replica"
     );
 }
 
@@ -144,12 +144,12 @@
     let mut sent = [0.0; 2];
     let mut in_time = [0.0; 2];
     for step in 0..2_500u64 {
-        let caller = pseudo_random(3 * step, 100) as usize;
+        let receiving_instance = pseudo_random(3 * step, 100) as usize;
         let class = if pseudo_random(3 * step + 1, 100) < 40 { UNIQUE_WRITE } else { BOUNDED_READ };
         for (instance, harness) in fleet.iter_mut().enumerate() {
             harness.now += ms(10);
             let now = harness.now;
-            if instance == caller {
+            if instance == receiving_instance {
                 sent[usize::from(class == UNIQUE_WRITE)] += one_if(step > 500);
                 harness.submit(class);
             } else {
--- a/core/tests/fleet/warm_up.rs
+++ b/core/tests/fleet/warm_up.rs
@@ -46,7 +46,7 @@
         let time_ms = step * 10;
         let has_changed = time_ms >= CHANGE_MS;
         let second = (time_ms.saturating_sub(CHANGE_MS) / 1000) as usize;
-        let caller = pseudo_random(3 * step, 100) as usize;
+        let receiving_instance = pseudo_random(3 * step, 100) as usize;
         let class = mix.class(3 * step + 1);
         for (index, harness) in fleet.iter_mut().enumerate() {
             harness.now += ms(10);
@@ -54,7 +54,7 @@
             if time_ms == CHANGE_MS {
                 events.push(primary_replacement(harness.now));
             }
-            if index == caller {
+            if index == receiving_instance {
                 events.push(Event::Request(harness.new_request(class)));
                 writes[second] += one_if(has_changed && class == UNIQUE_WRITE);
             }
@@ -62,7 +62,7 @@
             while let Some(attempt) = harness.in_flight.first().copied() {
                 let is_primary = attempt.server == primary_at(time_ms);
                 attempts[second] += usize::from(has_changed && attempt.server == NEW_PRIMARY);
-                // The first request to a replica is a write that asks for its position.
+                // The first request to a replica is a write that probes the replica's position.
                 let is_write = harness.classes.get(&attempt.request) == Some(&UNIQUE_WRITE);
                 let is_declined = is_write && !is_primary;
                 let outcome = if is_declined { Outcome::Misdirected } else { Outcome::Success };
@@ -87,14 +87,17 @@
             "{attempts} in second {second}, with capacity {capacity}"
         );
     }
-    let late_share: f64 = served_writes[5..].iter().sum::<f64>() / served_writes[5..].len() as f64;
-    assert!(late_share > 0.8, "{late_share} of the writes served after 5 s; {served_writes:?}, {attempts:?}");
+    let share_after_5_s: f64 = served_writes[5..].iter().sum::<f64>() / served_writes[5..].len() as f64;
+    assert!(
+        share_after_5_s > 0.8,
+        "{share_after_5_s} of the writes served after 5 s; {served_writes:?}, {attempts:?}"
+    );
     // Guards against instances that may accumulate a budget of only one request: the budget that some
     // instances don't use is then lost, while requests wait at others.
-    let early_share: f64 = served_writes[3..6].iter().sum::<f64>() / 3.0;
+    let share_3_to_6_s: f64 = served_writes[3..6].iter().sum::<f64>() / 3.0;
     assert!(
-        early_share > 0.85,
-        "{early_share} of the writes served in the fourth to sixth second; {served_writes:?}, {attempts:?}"
+        share_3_to_6_s > 0.85,
+        "{share_3_to_6_s} of the writes served in the fourth to sixth second; {served_writes:?}, {attempts:?}"
     );
 }
 
@@ -131,26 +134,26 @@
         let (in_service, load) = (Vec::new(), BurstLoad::default());
         let mut simulation = Self { fleet: new_fleet(settings), in_service, load, random_index: 0 };
         for time_ms in (0..40_000u64).step_by(10) {
-            let calls = simulation.choose_callers(time_ms);
-            for (instance, calls) in calls.into_iter().enumerate() {
-                simulation.step_instance(instance, calls, time_ms);
+            let request_counts = simulation.choose_request_counts(time_ms);
+            for (instance, request_count) in request_counts.into_iter().enumerate() {
+                simulation.step_instance(instance, request_count, time_ms);
             }
         }
         simulation.load
     }
 
     /// Returns how many requests each instance gets in this step.
-    fn choose_callers(&mut self, time_ms: u64) -> Vec<usize> {
+    fn choose_request_counts(&mut self, time_ms: u64) -> Vec<usize> {
         let count = if Self::BURST_MS.contains(&time_ms) { 3 } else { (time_ms / 10 + 1) % 2 };
-        let mut calls = vec![0; self.fleet.len()];
+        let mut request_counts = vec![0; self.fleet.len()];
         for _ in 0..count {
             self.random_index += 1;
-            calls[pseudo_random(3 * self.random_index, self.fleet.len() as u64) as usize] += 1;
+            request_counts[pseudo_random(3 * self.random_index, self.fleet.len() as u64) as usize] += 1;
         }
-        calls
+        request_counts
     }
 
-    fn step_instance(&mut self, instance: usize, calls: usize, time_ms: u64) {
+    fn step_instance(&mut self, instance: usize, request_count: usize, time_ms: u64) {
         let harness = &mut self.fleet[instance];
         harness.now += ms(10);
         let mut events = Vec::new();
@@ -159,7 +162,7 @@
         }
         let is_busy = time_ms < CHANGE_MS || Self::BURST_MS.contains(&time_ms);
         let mix = ClassMix { writes: if is_busy { 70 } else { 3 }, eventual_reads: 20 };
-        for _ in 0..calls {
+        for _ in 0..request_count {
             self.random_index += 1;
             events.push(Event::Request(harness.new_request(mix.class(3 * self.random_index + 1))));
         }
