--- a/core/src/api/action.rs
+++ b/core/src/api/action.rs
@@ -20,7 +20,7 @@
     Reject {
         /// Rejected request.
         request: RequestId,
-        /// Time after which the client should retry; `None` if the answer suggests none.
+        /// Time after which the client should retry; `None` if the client is given no time.
         retry_after: Option<Duration>,
     },
     /// Final answer: the request failed, and it may have been executed.
--- a/core/src/api/attempt.rs
+++ b/core/src/api/attempt.rs
@@ -50,7 +50,7 @@
     pub primary: Option<bool>,
 }
 
-/// Load report of a server. Its age depends on how the report was transported.
+/// Load report of a server. The report may be older than the response that carries it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LoadReport {
     /// Replication position when the report was made; `None` if not reported.
--- a/core/src/api/class.rs
+++ b/core/src/api/class.rs
@@ -11,8 +11,8 @@
     WithKey {
         /// Servers that recognize the key.
         scope: KeyScope,
-        /// How long servers remember the key, counted from when the first attempt that may have been executed
-        /// was sent.
+        /// Time for which servers remember the key, counted from when the first attempt that may have been
+        /// executed was sent.
         window: Duration,
     },
     /// The request must not be sent again once it may have been executed.
--- a/core/src/api/endpoint.rs
+++ b/core/src/api/endpoint.rs
@@ -32,7 +32,7 @@
     pub state: EndpointState,
     /// Capacity of the server relative to the other servers.
     pub relative_capacity: f64,
-    /// When the server's process last started; `None` if the start is unknown or long ago.
+    /// Time at which the server's process last started; `None` if the start is unknown or long ago.
     pub started_at: Option<Duration>,
 }
 
--- a/core/src/api/event.rs
+++ b/core/src/api/event.rs
@@ -44,8 +44,8 @@
     },
     /// The predecessor process of this proxy instance handed over its state.
     SnapshotReceived(Box<StateSnapshot>),
-    /// The peer process, which serves for the same proxy instance, sent a message, or the channel to it
-    /// changed state.
+    /// The peer process, which serves for the same proxy instance, sent a message, the channel to it changed
+    /// state, or this process was paused.
     PeerMessage(PeerMessage),
     /// A timer expired.
     Timer(TimerId),
--- a/core/src/api/failover_settings.rs
+++ b/core/src/api/failover_settings.rs
@@ -9,12 +9,14 @@
     pub max_buffered_bytes: u64,
     /// Share of both limits that one replica set may use.
     pub max_share_per_set: f64,
-    /// Multiple of a primary's mean response time that the threshold for suspecting a silent primary allows.
+    /// Multiple of a primary's mean response time that is included in the silence threshold, beyond which the
+    /// primary is suspected.
     pub suspicion_factor: f64,
     /// Minimum probability that the replica set takes writes again before a write's deadline; with a lower
     /// one the write is rejected at once.
     pub min_recovery_chance: f64,
-    /// Minimum probability that applies instead once about half of the write's time has passed.
+    /// Minimum probability that replaces `min_recovery_chance` once about half of the time from the write's
+    /// arrival to its deadline has passed.
     pub min_late_recovery_chance: f64,
 }
 
--- a/core/src/api/peer_message.rs
+++ b/core/src/api/peer_message.rs
@@ -4,7 +4,7 @@
 
 use super::ids::ServerId;
 
-/// A message from the peer process, or a change in the state of the channel to it.
+/// A message from the peer process, a change in the state of the channel to it, or a pause of this process.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PeerMessage {
     /// The peer received a server's acknowledgement of a session's write.
@@ -16,9 +16,10 @@
     },
     /// The endpoint list of the peer shows that a server drains or was removed.
     ServerWithdrawn(ServerId),
-    /// `true` if the peer serves and its acknowledged writes can't be received; `false` once that has ended.
+    /// `true` if the peer serves but can't be reached, so that its acknowledged writes are unknown here;
+    /// `false` once the peer no longer counts as unreachable.
     PeerUnreachable(bool),
-    /// This process was paused for this long. A peer that was started during the pause may serve unnoticed
-    /// for as long again from now.
+    /// This process was paused. A peer that was started during the pause may serve unnoticed for this long
+    /// from now.
     ProcessPaused(Duration),
 }
--- a/core/src/api/settings.rs
+++ b/core/src/api/settings.rs
@@ -12,7 +12,7 @@
 /// Shortest valid deadline of a class, in seconds.
 const MIN_DEADLINE_SECS: f64 = 1e-6;
 
-/// What a replica does with a read that its data is too old for.
+/// Reaction of a replica to a read that its data is too old for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StaleReadPolicy {
     /// The replica answers with the data that it has.
@@ -32,7 +32,7 @@
     Tracked,
 }
 
-/// How the role in the endpoint list follows the actual primary.
+/// Accuracy of the roles in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListedRole {
     /// The listed role follows the primary with a delay.
@@ -43,7 +43,7 @@
     Absent,
 }
 
-/// When servers send load reports.
+/// Occasions on which servers send load reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReports {
     /// Servers send a load report with every response and every health check.
@@ -54,7 +54,7 @@
     Never,
 }
 
-/// How updates of the endpoint list arrive.
+/// Delivery of updates of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryMode {
     /// Discovery pushes updates without a subscription.
@@ -99,10 +99,11 @@
     pub initial_capacity_share: f64,
     /// Time from the start of its process until a server has its full capacity.
     pub warm_up: Duration,
-    /// Multiple of the present capacity of a warming server; the server is overloaded if it receives that
-    /// rate for [`overload_duration`](Self::overload_duration).
+    /// Multiple of the present capacity of a warming server. The server counts as overloaded if it receives
+    /// requests at that rate for [`overload_duration`](Self::overload_duration).
     pub overload_factor: f64,
-    /// Time for which a warming server must receive that rate to count as overloaded.
+    /// Time for which a warming server must receive requests at the rate of
+    /// [`overload_factor`](Self::overload_factor) to count as overloaded.
     pub overload_duration: Duration,
     /// Time after a server starts to drain within which attempts to it must stop.
     pub drain_grace_period: Duration,
@@ -120,23 +121,25 @@
     }
 }
 
-/// Costs of the engine's optional measures, as shares of the value of the service.
+/// Prices of optional work and of failures, as shares of the value of the service. The price of an action is
+/// its cost if the action is taken once per request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Prices {
-    /// Cost of one attempt in another zone per request.
+    /// Price of an attempt in another zone.
     pub cross_zone: f64,
-    /// Cost of one health check per request. The engine validates it and does not use it.
+    /// Price of a health check. The engine validates it and does not use it.
     pub health_check: f64,
-    /// Cost of one gossip message of 256 bytes per request.
+    /// Price of a gossip message of 256 bytes.
     pub gossip: f64,
-    /// Cost of server work that leads to no response. The engine validates it and does not use it.
+    /// Price of server work that leads to no response. The engine validates it and does not use it.
     pub wasted_work: f64,
     /// Weight of requests that fail after their latency objective. The engine validates it and does not use
     /// it.
     pub late_failure: f64,
 }
 
-/// Settings of the engine.
+/// Settings of the engine of one proxy instance. [`Event::Settings`](super::Event::Settings) replaces them
+/// while the engine runs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Index of this proxy instance.
@@ -153,23 +156,23 @@
     pub tenants: Vec<Tenant>,
     /// Weight of a request over its tenant's quota, as a share of its class's weight.
     pub over_quota_weight: f64,
-    /// What a replica does with a read that its data is too old for.
+    /// Reaction of a replica to a read that its data is too old for.
     pub stale_read_policy: StaleReadPolicy,
     /// Whether every response carries a replication position.
     pub responses_carry_position: bool,
     /// Source of the session tokens.
     pub session_tokens: SessionTokens,
-    /// How the role in the endpoint list follows the actual primary.
+    /// Accuracy of the roles in the endpoint list.
     pub listed_role: ListedRole,
-    /// When servers send load reports.
+    /// Occasions on which servers send load reports.
     pub load_reports: LoadReports,
-    /// How updates of the endpoint list arrive.
+    /// Delivery of updates of the endpoint list.
     pub discovery: DiscoveryMode,
     /// Limits of the deployment.
     pub limits: Limits,
     /// Parameters of the service rules.
     pub rules: ServiceRules,
-    /// Costs of optional measures.
+    /// Prices of optional work and of failures.
     pub prices: Prices,
     /// Settings for failover and write buffering.
     pub failover: FailoverSettings,
@@ -214,7 +217,7 @@
         check_range("a class's priority weight", self.priority_weight, 0.0, f64::MAX)?;
         check_range("a class's late weight", self.late_weight, 0.0, 1.0)?;
         check_range(
-            "a class's latency objective stretch",
+            "a class's latency objective work factor",
             self.latency_objective_work_factor,
             0.0,
             f64::MAX,
--- a/core/src/api/snapshot.rs
+++ b/core/src/api/snapshot.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Kind of failover.
+/// Whether the former primary handed over its role or was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FailoverKind {
@@ -14,12 +14,13 @@
     Unplanned,
 }
 
-/// Failover state of a server's replica set.
+/// Failover state of a replica set. It is stored with each server of the set, because snapshots have no entry
+/// for the set itself.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct ReplicaSetSnapshot {
     /// Epoch of the replica set: the number of primaries that it has had.
     pub epoch: u64,
-    /// Whether the server was deposed and has not acknowledged it.
+    /// Whether the server was the primary and may not know of its deposition.
     pub deposed: bool,
     /// Kind of the failover in progress and its duration so far in seconds; `None` if there is none.
     #[serde(rename = "change")]
@@ -39,9 +40,10 @@
     pub last_response: f64,
     /// Whether the sender regards the server as the primary; `false` if the server never responded.
     pub primary: bool,
-    /// When the server reported that it is a replica; `None` if it has not, or has become the primary since.
+    /// Time at which the server last reported that it is a replica; `None` if it has not, or has become the
+    /// primary since.
     pub replica_at: Option<f64>,
-    /// When the server's process started; `None` if unknown.
+    /// Time at which the server's process started; `None` if unknown.
     pub started: Option<f64>,
     /// Remaining work, in average requests, that the server may be sent while it warms up.
     #[serde(rename = "budget")]
@@ -49,7 +51,7 @@
     /// Concurrency limit of the server, in attempts; `None` if the sender did not include it.
     #[serde(rename = "window")]
     pub concurrency_limit: Option<f64>,
-    /// Since when the server has been down, and whether its process was found dead; `None` if the server is
+    /// Time at which the server went down, and whether its process was found dead; `None` if the server is
     /// up.
     pub down: Option<(f64, bool)>,
     /// Failover state of the server's replica set.
@@ -57,7 +59,7 @@
     pub replica_set: ReplicaSetSnapshot,
 }
 
-/// State that the successor of a process needs.
+/// State that a process hands over to its successor. Times are seconds on the sender's clock.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct StateSnapshot {
