--- a/core/src/routing/arrival.rs
+++ b/core/src/routing/arrival.rs
@@ -1,8 +1,8 @@
 //! Admits requests or rejects them on arrival.
 //!
-//! A read is rejected at once if load shedding excludes it, or if only a primary without capacity could serve
-//! it. Values that depend only on the arrival are computed here, such as the replication position that a read
-//! must see.
+//! A read is rejected at once if load shedding excludes it and no lightly loaded replica can serve it. In a
+//! large fleet, a read is also rejected at once if only a primary without capacity could serve it. Values
+//! that depend only on the arrival are computed here, such as the replication position that a read must see.
 
 use rand::Rng;
 
--- a/core/src/routing/attempt_result.rs
+++ b/core/src/routing/attempt_result.rs
@@ -24,7 +24,7 @@
     /// Time at which the attempt was sent, in seconds on the engine's clock.
     pub sent_at: f64,
     /// Duration of the attempt in seconds, without the time for which this process was paused.
-    pub took_secs: f64,
+    pub duration_secs: f64,
     /// Mean response time of the class before this attempt, in seconds.
     pub mean_secs: f64,
     /// Whether the server or the tenant caused the outcome.
@@ -47,7 +47,7 @@
     /// Returns whether the duration counts as a response time. The duration of a timeout counts only if it is
     /// longer than the mean.
     pub fn shows_response_time(&self) -> bool {
-        self.is_success() || (self.outcome == Outcome::Timeout && self.took_secs > self.mean_secs)
+        self.is_success() || (self.outcome == Outcome::Timeout && self.duration_secs > self.mean_secs)
     }
 
     /// Returns whether the outcome counts in the server's error share.
--- a/core/src/routing/cluster/endpoints.rs
+++ b/core/src/routing/cluster/endpoints.rs
@@ -6,7 +6,7 @@
 use super::Cluster;
 use crate::routing::server::{RemovalRule, Server};
 
-/// Which entries of the endpoint list an update contains.
+/// Scope of an update of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::routing) enum UpdateScope {
     /// Only the entries that changed.
@@ -86,6 +86,6 @@
                 group.replica_set_mut().server_removed(*id, now);
             }
         }
-        self.groups.values_mut().for_each(|group| group.retain_members(now));
+        self.groups.values_mut().for_each(|group| group.discard_former_members(now));
     }
 }
--- a/core/src/routing/cluster/mod.rs
+++ b/core/src/routing/cluster/mod.rs
@@ -35,10 +35,10 @@
     pub server: ServerId,
     /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// When the attempt was sent.
+    /// Time at which the attempt was sent.
     pub sent_at: f64,
     /// Response time in seconds.
-    pub took_secs: f64,
+    pub response_secs: f64,
 }
 
 /// All servers and groups.
@@ -154,7 +154,12 @@
         }
         for group in self.groups.values_mut() {
             let set = group.replica_set_mut();
-            set.response_received(response.server, response.outcome, response.sent_at, response.took_secs);
+            set.response_received(
+                response.server,
+                response.outcome,
+                response.sent_at,
+                response.response_secs,
+            );
         }
     }
 
@@ -180,9 +185,9 @@
         self.record_status(id, status, now);
     }
 
-    /// Returns the member that a write is sent to next to find out which server is the primary; `None` if the
-    /// write has to wait.
-    pub fn next_member_to_ask(
+    /// Returns the member that a write is sent to next in the search for the primary; `None` if the write has
+    /// to wait.
+    pub fn next_search_target(
         &mut self,
         group: GroupId,
         members: &[PrimaryCandidate],
--- a/core/src/routing/cluster/upkeep.rs
+++ b/core/src/routing/cluster/upkeep.rs
@@ -1,4 +1,4 @@
-//! Periodic upkeep of all servers.
+//! Periodic maintenance of all servers.
 
 use crate::api::{Action, Settings};
 use crate::server_throughput::WarmCapacity;
--- a/core/src/routing/completion.rs
+++ b/core/src/routing/completion.rs
@@ -57,7 +57,7 @@
         // If the process was paused before this step, the pause is not part of the response time.
         let mean_secs = self.latencies.mean_secs(attempt.class);
         let elapsed_secs = self.now - attempt.sent_at;
-        let took_secs = (elapsed_secs - self.timer.pause_secs()).max(elapsed_secs.min(mean_secs));
+        let duration_secs = (elapsed_secs - self.timer.pause_secs()).max(elapsed_secs.min(mean_secs));
         let tenant = self.requests.get(&ended.request).and_then(|open_request| open_request.request().tenant);
         Completion {
             request: ended.request,
@@ -67,7 +67,7 @@
             consistency,
             outcome: ended.outcome,
             sent_at: attempt.sent_at,
-            took_secs,
+            duration_secs,
             mean_secs,
             error_source: self.tenants.attempt_ended(tenant, ended.outcome, self.now),
             is_primary,
@@ -108,21 +108,21 @@
         let is_steady_primary = self.cluster.is_steady_primary(completion.server);
         let is_watched_primary = is_large_fleet(&self.settings)
             && self.cluster.group_with_primary_mut(completion.server).is_some();
-        let primary_late_share = is_watched_primary.then(|| self.primary_reads.observed_late_share(now));
+        let primaries_late_share = is_watched_primary.then(|| self.primary_reads.observed_late_share(now));
         let Some(server) = self.cluster.server_mut(completion.server) else { return };
         // The server often still executes an abandoned attempt, so the attempt is assumed to occupy the
         // server for as long again.
         let is_abandoned = matches!(completion.outcome, Outcome::Timeout | Outcome::Cancelled);
         let expires_at =
-            if is_abandoned { now + completion.took_secs.min(MAX_RESERVATION_SECS) } else { now };
+            if is_abandoned { now + completion.duration_secs.min(MAX_RESERVATION_SECS) } else { now };
         server.attempt_ended(now, expires_at, expected_secs);
         if completion.shows_response_time() {
-            server.record_slowness(now, completion.took_secs / completion.mean_secs.max(MIN_MEAN_SECS));
+            server.record_slowness(now, completion.duration_secs / completion.mean_secs.max(MIN_MEAN_SECS));
             if server.is_up() {
-                self.latencies.record(completion.class, completion.took_secs);
+                self.latencies.record(completion.class, completion.duration_secs);
                 let objective_secs = secs(self.settings.classes[completion.class.0].latency_objective);
                 if completion.is_success()
-                    && completion.took_secs <= THROUGHPUT_OBJECTIVE_SHARE * objective_secs
+                    && completion.duration_secs <= THROUGHPUT_OBJECTIVE_SHARE * objective_secs
                 {
                     server.record_completion_in_time();
                 } else {
@@ -141,7 +141,7 @@
             settings: &self.settings,
             deviation_secs: self.latencies.deviation_secs(completion.class),
             is_steady_primary,
-            primary_late_share,
+            primaries_late_share,
         };
         self.outliers.attempt_ended(server, completion, &context, actions);
     }
@@ -150,7 +150,7 @@
         let Some(group) = self.cluster.group_with_primary_mut(completion.server) else { return };
         let class = &self.settings.classes[completion.class.0];
         let attempt =
-            PrimaryAttempt { class, elapsed_secs: completion.took_secs, outcome: completion.outcome };
+            PrimaryAttempt { class, elapsed_secs: completion.duration_secs, outcome: completion.outcome };
         self.primary_reads.record(group.primary_late_share_mut(), self.now, &attempt, &ATTEMPT_EWMA);
     }
 
@@ -170,7 +170,7 @@
             server: completion.server,
             outcome: completion.outcome,
             sent_at: completion.sent_at,
-            took_secs: completion.took_secs,
+            response_secs: completion.duration_secs,
         };
         self.cluster.response_received(response, self.now);
         // The commit position of a write is rounded up, and the server may not have reached the rounded
@@ -221,10 +221,10 @@
             return;
         }
         let objective_secs = secs(self.settings.classes[completion.class.0].latency_objective);
-        let is_in_time = completion.is_success() && completion.took_secs <= objective_secs;
+        let is_in_time = completion.is_success() && completion.duration_secs <= objective_secs;
         let message = GossipMessage {
             server: completion.server,
-            slowness_ratio: completion.took_secs / completion.mean_secs.max(MIN_GOSSIP_MEAN_SECS),
+            slowness_ratio: completion.duration_secs / completion.mean_secs.max(MIN_GOSSIP_MEAN_SECS),
             kind: if completion.is_write() { GossipKind::Write } else { GossipKind::Read },
             timeliness: if is_in_time { Timeliness::InTime } else { Timeliness::Late },
         };
@@ -250,8 +250,8 @@
         }
         let groups = self.cluster.groups_mut();
         match message.timeliness {
-            Timeliness::InTime => self.read_admission.read_in_time(group, groups, &self.settings, self.now),
-            Timeliness::Late => self.read_admission.read_late(group, groups, &self.settings, self.now),
+            Timeliness::InTime => self.read_admission.record_in_time(group, groups, &self.settings, self.now),
+            Timeliness::Late => self.read_admission.record_late(group, groups, &self.settings, self.now),
         }
     }
 }
--- a/core/src/routing/dispatch.rs
+++ b/core/src/routing/dispatch.rs
@@ -20,7 +20,7 @@
 /// Shortest timeout of an attempt in seconds.
 const MIN_ATTEMPT_TIMEOUT_SECS: f64 = 0.001;
 
-/// The requests that stay queued in one step, by group.
+/// Queue lengths by group, and use of the write buffer, by the requests that stay queued in one step.
 #[derive(Default)]
 struct QueueUsage {
     lengths: BTreeMap<GroupId, f64>,
@@ -46,11 +46,13 @@
         let group = open_request.request().group;
         let is_write = view.is_write(open_request);
         let buffering = if is_write { view.buffer_decision(open_request) } else { None };
-        let recovery_secs = buffering.and_then(BufferDecision::retry_after_secs);
-        if recovery_secs.is_some() || !view.may_send(open_request) || view.cannot_finish_in_time(open_request)
+        let retry_after_secs = buffering.and_then(BufferDecision::retry_after_secs);
+        if retry_after_secs.is_some()
+            || !view.may_send(open_request)
+            || view.cannot_finish_in_time(open_request)
         {
             self.cluster.groups_mut().get_or_create(group).request_dropped(self.now);
-            self.finish(id, recovery_secs, actions);
+            self.finish(id, retry_after_secs, actions);
             return;
         }
         let planned = if is_write { self.plan_write(id) } else { self.plan_read(id, actions) };
@@ -90,9 +92,9 @@
         match route_write(&self.view(), write) {
             WriteDecision::Wait => None,
             WriteDecision::Send(attempt) => Some(attempt),
-            WriteDecision::FindPrimary(query) => {
-                let server = self.cluster.next_member_to_ask(query.group, &query.members, self.now)?;
-                Some(PlannedAttempt { server, timeout_secs: query.timeout_secs })
+            WriteDecision::SearchForPrimary(plan) => {
+                let server = self.cluster.next_search_target(plan.group, &plan.members, self.now)?;
+                Some(PlannedAttempt { server, timeout_secs: plan.timeout_secs })
             }
         }
     }
@@ -107,10 +109,10 @@
                 down.trial_started(self.now, request_rate);
                 Some(attempt)
             }
-            ReadDecision::Route { attempt, position_check } => {
-                if let Some(server) = position_check {
-                    self.cluster.server_mut(server)?.position_check_sent(self.now);
-                    self.requests.get_mut(&id)?.position_check_sent();
+            ReadDecision::Route { attempt, position_probe } => {
+                if let Some(server) = position_probe {
+                    self.cluster.server_mut(server)?.position_probe_sent(self.now);
+                    self.requests.get_mut(&id)?.position_probe_sent();
                     actions.push(Action::HealthCheck { server });
                 }
                 attempt
@@ -147,11 +149,11 @@
         actions.push(Action::Forward { request: id, server: planned.server, timeout });
     }
 
-    /// Gives the final answer to a request. `recovery_secs` is the time after which the request's group is
-    /// expected to take writes again, if it takes none now.
-    pub(super) fn finish(&mut self, id: RequestId, recovery_secs: Option<f64>, actions: &mut Vec<Action>) {
+    /// Gives the final answer to a request. `retry_after_secs` is the delay in seconds after which the client
+    /// should retry a write that is not buffered; `None` for other requests.
+    pub(super) fn finish(&mut self, id: RequestId, retry_after_secs: Option<f64>, actions: &mut Vec<Action>) {
         if let Some(open_request) = self.requests.remove(&id) {
-            actions.push(final_answer(&open_request, recovery_secs, &self.settings));
+            actions.push(final_answer(&open_request, retry_after_secs, &self.settings));
         }
     }
 
--- a/core/src/routing/gossip.rs
+++ b/core/src/routing/gossip.rs
@@ -11,7 +11,7 @@
 
 use super::fleet::is_large_fleet;
 
-/// Upper bound of the cost of the messages about one attempt, as a share of the service.
+/// Upper bound of the cost of the messages about one attempt, as a share of the service's value.
 const MAX_COST_SHARE: f64 = 0.002;
 /// Largest number of messages about one attempt.
 const MAX_RECIPIENTS: f64 = 8.0;
@@ -26,7 +26,7 @@
 /// Flag of a message about an attempt that succeeded within its latency objective.
 const FLAG_IN_TIME: u8 = 2;
 
-/// Whether the attempt's request is a write or a read. Load shedding counts only reads.
+/// Kind of an attempt's request. Load shedding counts only reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum GossipKind {
     /// A write.
--- a/core/src/routing/group.rs
+++ b/core/src/routing/group.rs
@@ -47,12 +47,12 @@
         &mut self.replica_set
     }
 
-    /// Returns the load shedding of reads.
+    /// Returns the load shedding state of the group's reads.
     pub fn admission(&self) -> &GroupAdmission {
         &self.admission
     }
 
-    /// Returns a mutable reference to the load shedding of reads.
+    /// Returns a mutable reference to the load shedding state of the group's reads.
     pub fn admission_mut(&mut self) -> &mut GroupAdmission {
         &mut self.admission
     }
@@ -116,7 +116,7 @@
     }
 
     /// Discards the failover state of servers that are no longer members.
-    pub fn retain_members(&mut self, now: f64) {
+    pub fn discard_former_members(&mut self, now: f64) {
         let members = &self.members;
         self.replica_set.retain_members(now, |server| members.contains(&server));
     }
--- a/core/src/routing/latency_estimates.rs
+++ b/core/src/routing/latency_estimates.rs
@@ -61,10 +61,10 @@
     }
 
     /// Records the duration of an attempt in seconds.
-    pub fn record(&mut self, class: ClassId, took_secs: f64) {
+    pub fn record(&mut self, class: ClassId, duration_secs: f64) {
         let estimate = &mut self.classes[class.0];
         let mean = estimate.mean;
-        let counted = took_secs.min(MAX_RATIO_TO_MEAN * mean);
+        let counted = duration_secs.min(MAX_RATIO_TO_MEAN * mean);
         estimate.deviation += RESPONSE_WEIGHT * ((counted - mean).abs() - estimate.deviation);
         estimate.mean += RESPONSE_WEIGHT * (counted - mean);
     }
--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -67,7 +67,9 @@
 use timer::{Activity, MaintenanceSchedule, StepTimer};
 use view::RoutingView;
 
-/// Averages over at most 10 attempts with a time constant of 10 s. The prior weighs as much as 2 attempts.
+/// Weights of the moving averages over attempts: at most 10 attempts count, with a time constant of 10 s, and
+/// the prior weighs as much as 2 attempts. The response counts of [`ServerThroughput`] decay with the same
+/// time constant.
 const ATTEMPT_EWMA: EwmaConfig = EwmaConfig { max_weight: 10.0, decay_secs: 10.0, prior_weight: 2.0 };
 
 /// The routing engine of one proxy instance. It takes events as input and returns actions.
@@ -145,7 +147,7 @@
         self.timer.schedule(self.now, self.activity(), &self.settings, out);
     }
 
-    /// Returns the state that another process of this proxy instance needs.
+    /// Returns the state for the successor process of this proxy instance.
     pub fn snapshot(&self) -> StateSnapshot {
         snapshot::take(&self.cluster, &self.sessions, self.now)
     }
@@ -234,7 +236,7 @@
             PeerMessage::PeerUnreachable(unreachable) => {
                 self.sessions.set_peer_unreachable(unreachable, self.now);
             }
-            PeerMessage::ProcessPaused(pause) => self.sessions.raise_floor_to(self.now + secs(pause)),
+            PeerMessage::ProcessPaused(grace) => self.sessions.raise_floor_to(self.now + secs(grace)),
             PeerMessage::ServerWithdrawn(server) => self.cluster.withdraw(server, self.now),
         }
     }
@@ -275,10 +277,10 @@
         // A token that all servers have passed no longer restricts any read.
         self.sessions.evict_up_to(self.cluster.lowest_position());
         self.cluster.refresh_load(self.now, &self.in_flight);
-        let warm = self.cluster.warm_capacity(self.now, &self.settings);
-        self.throughput.advance(elapsed_secs, warm, &ATTEMPT_EWMA);
-        let rate = self.throughput.per_server();
-        self.cluster.maintain_servers(self.now, elapsed_secs, rate, &self.settings, actions);
+        let warm_capacity = self.cluster.warm_capacity(self.now, &self.settings);
+        self.throughput.advance(elapsed_secs, warm_capacity, &ATTEMPT_EWMA);
+        let warm_requests_per_s = self.throughput.per_server();
+        self.cluster.maintain_servers(self.now, elapsed_secs, warm_requests_per_s, &self.settings, actions);
     }
 
     fn observe_primaries(&mut self, actions: &mut Vec<Action>) {
--- a/core/src/routing/open_request.rs
+++ b/core/src/routing/open_request.rs
@@ -33,7 +33,7 @@
     declined_by: Vec<ServerId>,
     last_failed_server: Option<ServerId>,
     is_streaming: bool,
-    has_checked_position: bool,
+    has_probed_position: bool,
 }
 
 impl OpenRequest {
@@ -47,7 +47,7 @@
             declined_by: Vec::new(),
             last_failed_server: None,
             is_streaming: false,
-            has_checked_position: false,
+            has_probed_position: false,
         }
     }
 
@@ -122,14 +122,14 @@
         self.last_failed_server
     }
 
-    /// Returns whether a replica's position was checked for the request.
-    pub fn has_checked_position(&self) -> bool {
-        self.has_checked_position
+    /// Returns whether a replica was probed by a health check for the request.
+    pub fn has_probed_position(&self) -> bool {
+        self.has_probed_position
     }
 
-    /// Records that a replica's position is being checked for the request.
-    pub fn position_check_sent(&mut self) {
-        self.has_checked_position = true;
+    /// Records that a replica is probed by a health check for the request.
+    pub fn position_probe_sent(&mut self) {
+        self.has_probed_position = true;
     }
 
     /// Records that a part of the response was passed on to the client.
--- a/core/src/routing/outlier_detection.rs
+++ b/core/src/routing/outlier_detection.rs
@@ -49,7 +49,7 @@
     pub is_steady_primary: bool,
     /// Share of late responses of all primaries. `None` if the server is not a primary or the fleet is small:
     /// an instance of a small fleet sends each server enough requests to judge the server by itself.
-    pub primary_late_share: Option<f64>,
+    pub primaries_late_share: Option<f64>,
 }
 
 /// The evidence on which a server counts as down. Its [`fmt::Display`] form is a log line.
@@ -73,7 +73,7 @@
              in_flight={} steady_primary={}",
             completion.server.0,
             completion.outcome,
-            millis(completion.took_secs),
+            millis(completion.duration_secs),
             millis(completion.mean_secs),
             millis(context.deviation_secs),
             log_odds,
@@ -106,7 +106,7 @@
         let is_lost = match completion.outcome {
             Outcome::ConnectFailed | Outcome::Reset => true,
             Outcome::Timeout => {
-                completion.took_secs > completion.mean_secs + MIN_LOST_DEVIATIONS * context.deviation_secs
+                completion.duration_secs > completion.mean_secs + MIN_LOST_DEVIATIONS * context.deviation_secs
             }
             _ => false,
         };
@@ -128,7 +128,8 @@
         if is_short_of_connections || completion.outcome == Outcome::Rejected {
             server.back_off(now);
         } else if is_lost {
-            let lost_share = lost_share.max(late_share_of_primaries(completion, context)).min(MAX_LOST_SHARE);
+            let lost_share =
+                lost_share.max(primaries_late_share_for_timeout(completion, context)).min(MAX_LOST_SHARE);
             let log_odds = evidence_weight(server, completion, context) * (1.0 / lost_share).ln();
             let is_dead = completion.outcome != Outcome::Timeout;
             let cause = if is_dead { DownCause::Dead } else { DownCause::Unresponsive };
@@ -156,7 +157,9 @@
         if completion.outcome.is_response() {
             let was_short = server.refused_connection_within(now, MIN_RESTART_SECS);
             self.refused_share.record(now, f64::from(u8::from(was_short)), &ATTEMPT_EWMA);
-        } else if completion.outcome == Outcome::ConnectFailed && completion.took_secs < refused_within_secs {
+        } else if completion.outcome == Outcome::ConnectFailed
+            && completion.duration_secs < refused_within_secs
+        {
             server.connection_refused(now);
         }
         let is_idle = server.load().in_flight() < 1.0;
@@ -191,8 +194,8 @@
 /// Returns the share of late responses of all primaries for a timeout at a primary, else 0. If many primaries
 /// respond late, they are overloaded, and a timeout at one of them does not show that it is dead. A failed
 /// connection is not affected by this share.
-fn late_share_of_primaries(completion: &Completion, context: &CompletionContext) -> f64 {
-    let late_share = context.primary_late_share.filter(|_| completion.outcome == Outcome::Timeout);
+fn primaries_late_share_for_timeout(completion: &Completion, context: &CompletionContext) -> f64 {
+    let late_share = context.primaries_late_share.filter(|_| completion.outcome == Outcome::Timeout);
     late_share.unwrap_or(0.0)
 }
 
@@ -201,11 +204,11 @@
 /// is weak evidence as well: all instances send requests to that primary, and its silence is monitored
 /// separately.
 fn evidence_weight(server: &Server, completion: &Completion, context: &CompletionContext) -> f64 {
-    let is_loaded_primary = is_large_fleet(context.settings)
+    let is_primary_timeout = is_large_fleet(context.settings)
         && context.is_steady_primary
         && completion.outcome == Outcome::Timeout;
     let has_responded_since = server.replication().last_response_at() > completion.sent_at;
-    if completion.outcome == Outcome::Reset || has_responded_since || is_loaded_primary {
+    if completion.outcome == Outcome::Reset || has_responded_since || is_primary_timeout {
         WEAK_EVIDENCE_WEIGHT
     } else {
         1.0
--- a/core/src/routing/position_probe.rs
+++ b/core/src/routing/position_probe.rs
@@ -23,19 +23,20 @@
 const MIN_VALIDITY_SHARE: f64 = 0.6;
 /// Longest time in seconds for which a read of a large fleet waits for a replica's report.
 const MAX_REPORT_WAIT_SECS: f64 = 0.03;
-/// Least interval in seconds between two position checks of a replica. Load reports may be this old.
-const MIN_CHECK_INTERVAL_SECS: f64 = 0.25;
+/// Minimum interval in seconds between two probes of a replica by health checks. Load reports may be this
+/// old.
+const MIN_PROBE_INTERVAL_SECS: f64 = 0.25;
 
 /// Returns whether health checks report positions.
 fn health_checks_report(settings: &Settings) -> bool {
     settings.limits.allow_health_checks && settings.load_reports != LoadReports::Never
 }
 
-/// Which replicas a write may probe.
+/// Rule for the replicas that a write may probe.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct WriteProbePolicy {
-    /// Position that one replica must have reported for reads to be served by a replica; `None` outside of
-    /// large fleets.
+    /// Position that one replica must have reported for reads to be served by a replica; `None` in a small
+    /// fleet, or if no class has bounded staleness.
     sufficient_position: Option<f64>,
     /// Whether every replica without a reported position is probed.
     probes_unreported: bool,
@@ -90,7 +91,7 @@
     candidates.get(selector.checked_rem(candidates.len() as u64)? as usize).copied()
 }
 
-/// Whether a read probes a replica, and whether the read waits for the report.
+/// Decision whether a read probes a replica, and whether the read waits for the report.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum ProbeDecision {
     /// No probe is needed.
@@ -98,9 +99,9 @@
     /// A replica was probed a moment ago, and the read waits for its report.
     AwaitReport,
     /// This replica is probed, and the read does not wait for the report.
-    CheckAndProceed(ServerId),
+    ProbeAndProceed(ServerId),
     /// This replica is probed, and the read waits for its report.
-    CheckAndWait(ServerId),
+    ProbeAndWait(ServerId),
 }
 
 /// The data that decides whether a read probes a replica.
@@ -110,8 +111,8 @@
     pub settings: &'s Settings,
     /// Whether a replica with a sufficient position is known.
     pub has_fresh_replica: bool,
-    /// Whether a position was already checked for the read.
-    pub has_checked_position: bool,
+    /// Whether a replica was already probed for the read.
+    pub has_probed_position: bool,
     /// Position that reads of sessions without a token must see.
     pub session_floor: f64,
     /// Current time.
@@ -120,7 +121,7 @@
     pub selector: usize,
 }
 
-/// Decides whether a read checks the position of one of these replicas by a health check.
+/// Decides whether a read probes one of these replicas by a health check.
 pub(super) fn read_probe_decision<'c>(
     replicas: impl Iterator<Item = Member<'c>>,
     context: &ReadProbeContext,
@@ -135,20 +136,20 @@
     let available: Vec<_> = replicas.filter(can_probe).collect();
     let was_probed_recently = |server: &Server| {
         server.is_health_check_pending()
-            && server.secs_since_position_check(context.now) < MAX_REPORT_WAIT_SECS
+            && server.secs_since_position_probe(context.now) < MAX_REPORT_WAIT_SECS
     };
     if is_large && available.iter().any(|replica| was_probed_recently(replica.server)) {
         return ProbeDecision::AwaitReport;
     }
     let is_behind = |server: &Server| {
-        server.secs_since_position_check(context.now) >= MIN_CHECK_INTERVAL_SECS
+        server.secs_since_position_probe(context.now) >= MIN_PROBE_INTERVAL_SECS
             && server.replication().position() <= context.session_floor
     };
     let candidates: Vec<_> =
         available.into_iter().filter(|replica| is_large || is_behind(replica.server)).collect();
     match candidates.get(context.selector.checked_rem(candidates.len()).unwrap_or(0)) {
-        Some(replica) if !context.has_checked_position && is_large => ProbeDecision::CheckAndWait(replica.id),
-        Some(replica) if !context.has_checked_position => ProbeDecision::CheckAndProceed(replica.id),
+        Some(replica) if !context.has_probed_position && is_large => ProbeDecision::ProbeAndWait(replica.id),
+        Some(replica) if !context.has_probed_position => ProbeDecision::ProbeAndProceed(replica.id),
         _ => ProbeDecision::NotNeeded,
     }
 }
--- a/core/src/routing/queue.rs
+++ b/core/src/routing/queue.rs
@@ -94,8 +94,8 @@
             && self.now >= request.arrival().arrived_at + max_wait_secs
     }
 
-    /// Returns whether a write stays buffered. `None` if the write's group takes writes or its primary is
-    /// only suspected.
+    /// Decides whether a write stays buffered. Returns `None` if the write's group takes writes or the
+    /// primary of the group is only suspected.
     pub fn buffer_decision(&self, request: &OpenRequest) -> Option<BufferDecision> {
         let set = self.cluster.groups().get(request.request().group)?.replica_set();
         let forecast = set.recovery_forecast(self.now, self.cluster.failover_durations())?;
--- a/core/src/routing/read_admission.rs
+++ b/core/src/routing/read_admission.rs
@@ -98,12 +98,12 @@
     }
 
     /// Records a read that was served within its latency objective.
-    pub fn read_in_time(&mut self, group: GroupId, groups: &mut GroupTable, settings: &Settings, now: f64) {
+    pub fn record_in_time(&mut self, group: GroupId, groups: &mut GroupTable, settings: &Settings, now: f64) {
         self.record(group, 1.0, groups, settings, now);
     }
 
     /// Records a read that ended late or was rejected by its server.
-    pub fn read_late(&mut self, group: GroupId, groups: &mut GroupTable, settings: &Settings, now: f64) {
+    pub fn record_late(&mut self, group: GroupId, groups: &mut GroupTable, settings: &Settings, now: f64) {
         self.record(group, 0.0, groups, settings, now);
     }
 
--- a/core/src/routing/read_routing.rs
+++ b/core/src/routing/read_routing.rs
@@ -1,10 +1,10 @@
 //! Selects the server for a read: the better of two random replicas that are fresh enough, with these
 //! exceptions.
 //!
-//! A server that is down gets a read without earlier attempts as a trial. A suspected primary gets one read
-//! as a canary. An idle replica that has not reported its position, or a lagging one that responds well
-//! within the latency objective, is preferred for reads that it may serve. The primary serves a read that no
-//! replica can serve, or that the selected replica would serve far later.
+//! A server that is down gets a read without earlier attempts as a trial. A silent primary gets test reads at
+//! intervals. An idle replica that has not reported its position, or a lagging one that responds well within
+//! the latency objective, is preferred for reads that it may serve. The primary serves a read that no replica
+//! can serve, or that the selected replica would serve far later.
 
 use rand::Rng;
 
@@ -57,15 +57,15 @@
     Route {
         /// The attempt; `None` if the read stays queued.
         attempt: Option<PlannedAttempt>,
-        /// Replica whose position is checked by a health check; `None` for no check.
-        position_check: Option<ServerId>,
+        /// Replica that is probed by a health check; `None` for no probe.
+        position_probe: Option<ServerId>,
     },
 }
 
 /// Selects the server for a read.
 pub(super) fn route_read(view: &RoutingView, read: &OpenRequest, draws: ReadDraws) -> ReadDecision {
     let Some(group) = view.cluster.groups().get(read.request().group) else {
-        return ReadDecision::Route { attempt: None, position_check: None };
+        return ReadDecision::Route { attempt: None, position_probe: None };
     };
     let router = ReadRouter::new(view, read, group, draws);
     match router.trial() {
@@ -135,19 +135,19 @@
     fn route(&self) -> ReadDecision {
         let fresh: Vec<_> = self.replicas().filter(|member| self.is_fresh(member.server)).collect();
         let replica = self.choose_replica(&fresh);
-        let chosen = self.canary().or_else(|| self.primary_instead_of(replica)).or(replica);
+        let chosen = self.test_read_target().or_else(|| self.primary_instead_of(replica)).or(replica);
         let planned = chosen.map(|member| PlannedAttempt {
             server: member.id,
             timeout_secs: self.view.attempt_timeout_secs(self.read, member.server),
         });
-        match self.position_check(!fresh.is_empty()) {
-            ProbeDecision::NotNeeded => ReadDecision::Route { attempt: planned, position_check: None },
-            ProbeDecision::AwaitReport => ReadDecision::Route { attempt: None, position_check: None },
-            ProbeDecision::CheckAndProceed(server) => {
-                ReadDecision::Route { attempt: planned, position_check: Some(server) }
+        match self.probe_decision(!fresh.is_empty()) {
+            ProbeDecision::NotNeeded => ReadDecision::Route { attempt: planned, position_probe: None },
+            ProbeDecision::AwaitReport => ReadDecision::Route { attempt: None, position_probe: None },
+            ProbeDecision::ProbeAndProceed(server) => {
+                ReadDecision::Route { attempt: planned, position_probe: Some(server) }
             }
-            ProbeDecision::CheckAndWait(server) => {
-                ReadDecision::Route { attempt: None, position_check: Some(server) }
+            ProbeDecision::ProbeAndWait(server) => {
+                ReadDecision::Route { attempt: None, position_probe: Some(server) }
             }
         }
     }
@@ -184,9 +184,9 @@
         self.view.expected_response_secs(server, self.read)
     }
 
-    /// Returns the suspected primary if the read is to be sent there as a canary, which shows whether the
+    /// Returns the silent primary if the read is to be sent there as a test read, which shows whether the
     /// primary responds.
-    fn canary(&self) -> Option<Member<'v>> {
+    fn test_read_target(&self) -> Option<Member<'v>> {
         let target = self.group.replica_set().test_read_target(self.view.now)?;
         if self.class.idempotency != Idempotency::Idempotent || !self.read.is_unsent() {
             return None;
@@ -291,13 +291,13 @@
             && SLOW_SERVER_RATIO * self.expected_secs(primary) < self.expected_secs(replica)
     }
 
-    fn position_check(&self, has_fresh_replica: bool) -> ProbeDecision {
+    fn probe_decision(&self, has_fresh_replica: bool) -> ProbeDecision {
         let members = self.view.cluster.members(self.read.request().group);
         let replicas = members.filter(|member| self.is_replica_for_read(member) && self.has_capacity(member));
         let context = ReadProbeContext {
             settings: self.view.settings,
             has_fresh_replica,
-            has_checked_position: self.read.has_checked_position(),
+            has_probed_position: self.read.has_probed_position(),
             session_floor: self.view.session_floor,
             now: self.view.now,
             selector: self.draws.first,
--- a/core/src/routing/retry_budget.rs
+++ b/core/src/routing/retry_budget.rs
@@ -1,9 +1,10 @@
 //! Limits retries to a share of the requests, so that retries can't multiply an overload.
 //!
-//! Owns the token bucket: each request adds a fraction of a token, and each retry takes one token.
+//! Owns the token bucket: each request adds a fraction of a token, and each retry of a request that may have
+//! been executed takes one token.
 
 /// Tokens that one request adds to the budget.
-const RETRIES_PER_REQUEST: f64 = 0.2;
+const TOKENS_PER_REQUEST: f64 = 0.2;
 /// Upper bound of the budgets of all instances together, in retries. Each instance may hold at least one.
 const MAX_RETRY_BURST: f64 = 20.0;
 
@@ -20,7 +21,7 @@
 
     /// Adds the tokens of one request.
     pub fn request_arrived(&mut self, instance_count: u32) {
-        self.tokens = (self.tokens + RETRIES_PER_REQUEST).min(max_tokens(instance_count));
+        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(max_tokens(instance_count));
     }
 
     /// Returns whether one more retry is within the budget.
--- a/core/src/routing/server/faults.rs
+++ b/core/src/routing/server/faults.rs
@@ -3,9 +3,9 @@
 use super::{DownCause, DownState, Server, FIRST_TRIAL_DELAY_SECS};
 use crate::concurrency_limit::MIN_LIMIT;
 
-/// Minimum backoff in seconds after a rejection.
+/// Minimum backoff in seconds.
 const MIN_BACKOFF_SECS: f64 = 0.1;
-/// Maximum backoff in seconds after a rejection.
+/// Maximum backoff in seconds.
 const MAX_BACKOFF_SECS: f64 = 1.0;
 /// Suspicion, as log odds, above which a server counts as down.
 const MAX_SUSPICION: f64 = 2.0;
@@ -38,8 +38,8 @@
         now - self.replication.last_response_at() < RECENT_RESPONSE_SHARE * FIRST_TRIAL_DELAY_SECS
     }
 
-    /// Reacts to a rejected attempt: pauses attempts to the server for the backoff and lowers its concurrency
-    /// limit by one.
+    /// Reacts to a rejected attempt or a shortage of connections: pauses attempts to the server for the
+    /// backoff and lowers its concurrency limit by one.
     pub fn back_off(&mut self, now: f64) {
         let backoff = (MIN_BACKOFF_SECS / (1.0 - self.error_share(now))).min(MAX_BACKOFF_SECS);
         self.backoff_until = now + backoff;
@@ -71,7 +71,8 @@
         SuspicionChange::Down
     }
 
-    /// Restores the down state from the snapshot of another process, unless the server is already down.
+    /// Restores the down state from the snapshot of the predecessor process, unless the server is already
+    /// down.
     pub fn restore_down(&mut self, since: f64, now: f64, cause: DownCause) {
         self.down.get_or_insert_with(|| DownState::new(since, now, cause));
     }
@@ -81,9 +82,9 @@
         self.is_health_check_pending
     }
 
-    /// Returns the seconds since a health check was last sent to learn the server's position.
-    pub fn secs_since_position_check(&self, now: f64) -> f64 {
-        now - self.position_checked_at
+    /// Returns the seconds since a health check was last sent as a position probe.
+    pub fn secs_since_position_probe(&self, now: f64) -> f64 {
+        now - self.position_probed_at
     }
 
     /// Returns whether the server is down and a health check is due before the next trial.
@@ -100,10 +101,10 @@
         self.is_health_check_pending = true;
     }
 
-    /// Records that a health check is sent to learn the server's position.
-    pub fn position_check_sent(&mut self, now: f64) {
+    /// Records that a health check is sent as a position probe.
+    pub fn position_probe_sent(&mut self, now: f64) {
         self.is_health_check_pending = true;
-        self.position_checked_at = now;
+        self.position_probed_at = now;
     }
 
     /// Records that a health check succeeded.
--- a/core/src/routing/server/listing.rs
+++ b/core/src/routing/server/listing.rs
@@ -1,10 +1,10 @@
-//! Whether a server may be sent attempts, according to the endpoint list and the operators.
+//! Tracks whether the endpoint list and the operators permit attempts to a server.
 //!
 //! Owns the parts of the server's entry in the endpoint list that permit or forbid attempts or name a role.
 
 use crate::api::{Endpoint, EndpointState, Settings};
 
-/// Whether the removal of a server from the endpoint list forbids further attempts.
+/// Effect of a server's removal from the endpoint list on further attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::routing) enum RemovalRule {
     /// A removed server may still be used unless it was withdrawn before, for example by draining.
--- a/core/src/routing/server/mod.rs
+++ b/core/src/routing/server/mod.rs
@@ -47,10 +47,10 @@
     slowness: Ewma,
     errors: Ewma,
     backoff_until: f64,
-    /// When the server last refused a connection; 0 if never.
+    /// Time at which the server last refused a connection; 0 if never.
     connection_refused_at: f64,
     is_health_check_pending: bool,
-    position_checked_at: f64,
+    position_probed_at: f64,
     /// Evidence that the server does not respond, as log odds.
     suspicion: f64,
     down: Option<DownState>,
@@ -68,7 +68,7 @@
         self.zone
     }
 
-    /// Returns the replica set of the server.
+    /// Returns the group that the server belongs to.
     pub fn group(&self) -> GroupId {
         self.group
     }
@@ -78,12 +78,13 @@
         self.relative_capacity
     }
 
-    /// Returns the state of the server in the endpoint list and with the operators.
+    /// Returns the server's state in the endpoint list, and whether operators took it out of service.
     pub fn listing(&self) -> &Listing {
         &self.listing
     }
 
-    /// Returns the mutable state of the server in the endpoint list and with the operators.
+    /// Returns a mutable reference to the server's state in the endpoint list, and whether operators took it
+    /// out of service.
     pub fn listing_mut(&mut self) -> &mut Listing {
         &mut self.listing
     }
@@ -257,7 +258,7 @@
         self.concurrency_limit.end_period_if_due(now, self.load.in_flight(), queued as f64);
     }
 
-    /// Restores the concurrency limit from the snapshot of another process.
+    /// Restores the concurrency limit from the snapshot of the predecessor process.
     pub fn restore_concurrency_limit(&mut self, now: f64, limit: f64) {
         self.concurrency_limit = ConcurrencyLimit::with_limit(now, limit);
     }
--- a/core/src/routing/server/replication.rs
+++ b/core/src/routing/server/replication.rs
@@ -10,7 +10,8 @@
 pub(in crate::routing) struct StatusReport {
     /// Time at which the reported state was true.
     pub valid_at: f64,
-    /// When the attempt was sent whose response carried the report; `None` if no attempt did.
+    /// Time at which the attempt was sent whose response carried the report; `None` if the report arrived
+    /// otherwise.
     pub sent_at: Option<f64>,
     /// Replication position; `None` if not reported.
     pub position: Option<f64>,
@@ -23,7 +24,7 @@
 pub(in crate::routing) struct KnownRole {
     /// Whether the replica set regards the server as the primary.
     pub is_primary: bool,
-    /// Whether the server was deposed and has not acknowledged it.
+    /// Whether the server was the primary and may not know of its deposition.
     pub is_deposed: bool,
 }
 
--- a/core/src/routing/server/warm_up.rs
+++ b/core/src/routing/server/warm_up.rs
@@ -1,8 +1,8 @@
 //! Slow start: limits the work that a server receives after its process has started.
 //!
-//! Owns the start time and the budget, which is counted in average requests. The periodic upkeep refills the
-//! budget in proportion to the capacity that the service rules guarantee; each forwarded request consumes its
-//! cost.
+//! Owns the start time and the budget, which is counted in average requests. The periodic maintenance refills
+//! the budget in proportion to the capacity that the service rules guarantee; each forwarded request consumes
+//! its cost.
 
 use crate::api::ServiceRules;
 use crate::time::secs;
--- a/core/src/routing/snapshot.rs
+++ b/core/src/routing/snapshot.rs
@@ -1,4 +1,4 @@
-//! Takes and restores the state that is handed over between two processes of one proxy instance.
+//! Takes and restores the state that a process hands over to its successor.
 //!
 //! Times in a snapshot are seconds on the engine's clock. A restored time is used only if it is finite and
 //! lies in the past.
@@ -9,7 +9,7 @@
 use super::cluster::{Cluster, Member};
 use super::server::{DownCause, Server, StatusReport};
 
-/// Returns the state that another process of this proxy instance needs.
+/// Returns the state for the successor process of this proxy instance.
 pub(super) fn take(cluster: &Cluster, sessions: &SessionTokenStore, now: f64) -> StateSnapshot {
     let tokens = sessions.snapshot();
     StateSnapshot {
@@ -38,7 +38,7 @@
     }
 }
 
-/// Restores the state of another process.
+/// Restores the state of the predecessor process.
 pub(super) fn restore(
     snapshot: StateSnapshot,
     cluster: &mut Cluster,
--- a/core/src/routing/view.rs
+++ b/core/src/routing/view.rs
@@ -53,7 +53,7 @@
     pub costs: &'e RequestCosts,
     /// Budget of retries that may be sent.
     pub retry_budget: &'e RetryBudget,
-    /// Shares of late responses of the primaries, by which reads are admitted there.
+    /// Share of late responses over all primaries, which decides whether primaries admit reads.
     pub primary_reads: &'e PrimaryReadAdmission,
     /// Position that reads of sessions without a token must see.
     pub session_floor: f64,
--- a/core/src/routing/write_routing.rs
+++ b/core/src/routing/write_routing.rs
@@ -10,8 +10,9 @@
 use super::position_probe::{write_probe_target, WriteProbePolicy};
 use super::view::{PlannedAttempt, RoutingView};
 
-/// Attempts that a write must have left to be sent to a member that may decline it.
-const MIN_ATTEMPTS_FOR_INQUIRY: u32 = 2;
+/// Attempts that a write must have left for a search attempt: one that a member may decline, and one for the
+/// primary. A position probe requires one more.
+const MIN_ATTEMPTS_FOR_SEARCH: u32 = 2;
 
 /// Routing decision for a write.
 pub(super) enum WriteDecision {
@@ -19,12 +20,12 @@
     Wait,
     /// The write is sent to a server.
     Send(PlannedAttempt),
-    /// The write may be sent to one of the members to find the primary.
-    FindPrimary(PrimaryQuery),
+    /// The write may be sent to one of the members in the search for the primary.
+    SearchForPrimary(PrimarySearchPlan),
 }
 
-/// The data for sending a write to a member to find the primary.
-pub(super) struct PrimaryQuery {
+/// The data for sending a write to a member in the search for the primary.
+pub(super) struct PrimarySearchPlan {
     /// Group of the write.
     pub group: GroupId,
     /// Eligible members in the order of their ids.
@@ -40,7 +41,7 @@
     let primary = set.writable_primary().and_then(|id| Some(Member { id, server: view.cluster.server(id)? }));
     match primary {
         Some(primary) => route_to_primary(view, write, set, primary),
-        None => find_primary(view, write, set),
+        None => search_for_primary(view, write, set),
     }
 }
 
@@ -69,8 +70,8 @@
     set: &ReplicaSet,
     primary: ServerId,
 ) -> Option<ServerId> {
-    let has_attempts = write.is_unsent() && write.arrival().max_attempts > MIN_ATTEMPTS_FOR_INQUIRY;
-    if !has_attempts || set.phase() != Phase::Steady {
+    let has_attempts_left = write.is_unsent() && write.arrival().max_attempts > MIN_ATTEMPTS_FOR_SEARCH;
+    if !has_attempts_left || set.phase() != Phase::Steady {
         return None;
     }
     let policy = WriteProbePolicy::new(view.settings, view.now)?;
@@ -83,12 +84,12 @@
     write_probe_target(replicas, policy, view.now, may_send, write.request().id.0)
 }
 
-/// Decides whether the write is sent to a member to find the primary. One write at a time is sent to the
-/// members in the order of their ids. After a full round the next write waits for a pause.
-fn find_primary(view: &RoutingView, write: &OpenRequest, set: &ReplicaSet) -> WriteDecision {
+/// Decides whether the write is sent to a member in the search for the primary. One write at a time is sent
+/// to the members in the order of their ids. After a full round the next write waits for a pause.
+fn search_for_primary(view: &RoutingView, write: &OpenRequest, set: &ReplicaSet) -> WriteDecision {
     let max_attempts = write.arrival().max_attempts;
-    let has_attempts = write.attempts_sent() + MIN_ATTEMPTS_FOR_INQUIRY <= max_attempts;
-    if !set.may_search_for_primary(view.now) || !has_attempts {
+    let has_attempts_left = write.attempts_sent() + MIN_ATTEMPTS_FOR_SEARCH <= max_attempts;
+    if !set.may_search_for_primary(view.now) || !has_attempts_left {
         return WriteDecision::Wait;
     }
     let group = write.request().group;
@@ -101,5 +102,9 @@
         silence_secs: member.server.silence_secs(view.now),
     };
     let members = available.map(candidate).collect();
-    WriteDecision::FindPrimary(PrimaryQuery { group, members, timeout_secs: write.secs_left(view.now) })
+    WriteDecision::SearchForPrimary(PrimarySearchPlan {
+        group,
+        members,
+        timeout_secs: write.secs_left(view.now),
+    })
 }
