--- a/core/src/routing/arrival.rs
+++ b/core/src/routing/arrival.rs
@@ -21,7 +21,7 @@
             return;
         }
         let id = request.id;
-        let open_request = self.open_request(request);
+        let open_request = self.build_open_request(request);
         let is_read = !self.view().is_write(&open_request);
         let is_shed = is_read && !self.admits_read(&open_request.arrival().request);
         self.cluster.groups_mut().get_or_create(open_request.request().group);
@@ -34,7 +34,7 @@
         }
     }
 
-    fn open_request(&mut self, request: Request) -> OpenRequest {
+    fn build_open_request(&mut self, request: Request) -> OpenRequest {
         let now = self.now;
         let required_position = self.required_position(&request);
         let tenant = request.tenant;
--- a/core/src/routing/completion.rs
+++ b/core/src/routing/completion.rs
@@ -106,9 +106,10 @@
     fn update_server(&mut self, completion: &Completion, expected_secs: f64, actions: &mut Vec<Action>) {
         let now = self.now;
         let is_steady_primary = self.cluster.is_steady_primary(completion.server);
-        let is_watched_primary = is_large_fleet(&self.settings)
+        let is_large_fleet_primary = is_large_fleet(&self.settings)
             && self.cluster.group_with_primary_mut(completion.server).is_some();
-        let primaries_late_share = is_watched_primary.then(|| self.primary_reads.observed_late_share(now));
+        let primaries_late_share =
+            is_large_fleet_primary.then(|| self.primary_reads.observed_late_share(now));
         let Some(server) = self.cluster.server_mut(completion.server) else { return };
         // The server often still executes an abandoned attempt, so the attempt is assumed to occupy the
         // server for as long again.
--- a/core/src/routing/outlier_detection.rs
+++ b/core/src/routing/outlier_detection.rs
@@ -155,8 +155,8 @@
         let settings = context.settings;
         let refused_within_secs = REFUSAL_TIMEOUT_SHARE * secs(settings.limits.connect_timeout);
         if completion.outcome.is_response() {
-            let was_short = server.refused_connection_within(now, MIN_RESTART_SECS);
-            self.refused_share.record(now, f64::from(u8::from(was_short)), &ATTEMPT_EWMA);
+            let was_short_of_connections = server.refused_connection_within(now, MIN_RESTART_SECS);
+            self.refused_share.record(now, f64::from(u8::from(was_short_of_connections)), &ATTEMPT_EWMA);
         } else if completion.outcome == Outcome::ConnectFailed
             && completion.duration_secs < refused_within_secs
         {
--- a/core/src/routing/read_admission.rs
+++ b/core/src/routing/read_admission.rs
@@ -31,7 +31,7 @@
 /// Load shedding of one group's reads.
 #[derive(Default)]
 pub(super) struct GroupAdmission {
-    in_time: Ewma,
+    in_time_share: Ewma,
     rejected_share: f64,
 }
 
@@ -49,7 +49,7 @@
     /// Adjusts the admitted share by the group's in-time share. `prior` is the in-time share that is assumed
     /// as long as the group has few responses.
     fn adjust(&mut self, now: f64, prior: f64) {
-        let is_in_time = self.in_time.estimate(now, prior, &ATTEMPT_EWMA) >= MIN_IN_TIME_SHARE;
+        let is_in_time = self.in_time_share.estimate(now, prior, &ATTEMPT_EWMA) >= MIN_IN_TIME_SHARE;
         let factor = if is_in_time { ADMITTED_SHARE_INCREASE } else { ADMITTED_SHARE_DECREASE };
         self.rejected_share = 1.0 - ((1.0 - self.rejected_share) * factor).clamp(MIN_ADMITTED_SHARE, 1.0);
     }
@@ -57,7 +57,7 @@
 
 /// Load shedding of the reads of all groups.
 pub(super) struct ReadAdmission {
-    in_time: Ewma,
+    in_time_share: Ewma,
     /// Decaying count of recent reads by class.
     class_mix: Vec<f64>,
 }
@@ -65,7 +65,7 @@
 impl ReadAdmission {
     /// Creates a state that admits all reads. `class_count` is the number of classes in the settings.
     pub fn new(class_count: usize) -> Self {
-        Self { in_time: Ewma::default(), class_mix: vec![0.0; class_count] }
+        Self { in_time_share: Ewma::default(), class_mix: vec![0.0; class_count] }
     }
 
     /// Resets the count of an existing class, or adds a new class.
@@ -121,12 +121,12 @@
         // Without gossip, one instance gets too few responses of a single group. Each read then adjusts all
         // groups, each by its own in-time share and that of all groups.
         let is_pooled = !settings.limits.allow_gossip;
-        self.in_time.record(now, in_time, &ATTEMPT_EWMA);
-        let prior = if is_pooled { self.in_time.estimate(now, 1.0, &ATTEMPT_EWMA) } else { 1.0 };
+        self.in_time_share.record(now, in_time, &ATTEMPT_EWMA);
+        let prior = if is_pooled { self.in_time_share.estimate(now, 1.0, &ATTEMPT_EWMA) } else { 1.0 };
         for (id, entry) in groups.iter_mut().filter(|(id, _)| is_pooled || *id == group) {
             let admission = entry.admission_mut();
             if id == group {
-                admission.in_time.record(now, in_time, &ATTEMPT_EWMA);
+                admission.in_time_share.record(now, in_time, &ATTEMPT_EWMA);
             }
             admission.adjust(now, prior);
         }
--- a/core/src/routing/read_routing.rs
+++ b/core/src/routing/read_routing.rs
@@ -119,7 +119,8 @@
         }
         let now = self.view.now;
         let allow_health_checks = self.view.settings.limits.allow_health_checks;
-        let policy = if allow_health_checks { TrialPolicy::AfterHealthCheck } else { TrialPolicy::ReadsOnly };
+        let policy =
+            if allow_health_checks { TrialPolicy::AfterHealthCheck } else { TrialPolicy::WithoutHealthCheck };
         let is_due = |down: &DownState| {
             (self.read.is_unsent() && down.is_trial_due(now, policy))
                 || (self.up.is_empty() && down.is_last_resort_trial_due(now))
--- a/core/src/routing/server/down_state.rs
+++ b/core/src/routing/server/down_state.rs
@@ -27,8 +27,8 @@
 pub(in crate::routing) enum TrialPolicy {
     /// A health check must have succeeded since the last trial.
     AfterHealthCheck,
-    /// Health checks are not permitted, so reads are sent as trials without one.
-    ReadsOnly,
+    /// Health checks are not permitted, so a trial needs none.
+    WithoutHealthCheck,
 }
 
 /// State of a server that is down.
@@ -70,7 +70,7 @@
 
     /// Returns whether a read without earlier attempts may be sent as a trial.
     pub fn is_trial_due(&self, now: f64, policy: TrialPolicy) -> bool {
-        now >= self.next_trial_at && (self.health_check_passed || policy == TrialPolicy::ReadsOnly)
+        now >= self.next_trial_at && (self.health_check_passed || policy == TrialPolicy::WithoutHealthCheck)
     }
 
     /// Returns whether any read may be sent as a trial, without a health check, if no member of the group is
