--- a/core/src/routing/arrival.rs
+++ b/core/src/routing/arrival.rs
@@ -1,8 +1,8 @@
 //! Admits requests or rejects them on arrival.
 //!
-//! A read is rejected at once if load shedding excludes it, or if only a primary without capacity could serve
-//! it. Values that depend only on the arrival are computed here, such as the replication position that a read
-//! must see.
+//! A read is rejected at once if load shedding excludes it and no lightly loaded replica can serve it. In a
+//! large fleet, a read is also rejected at once if only a primary without capacity could serve it. Values
+//! that depend only on the arrival are computed here, such as the replication position that a read must see.
 
 use rand::Rng;
 
@@ -21,7 +21,7 @@
             return;
         }
         let id = request.id;
-        let open_request = self.open_request(request);
+        let open_request = self.build_open_request(request);
         let is_read = !self.view().is_write(&open_request);
         let is_shed = is_read && !self.admits_read(&open_request.arrival().request);
         self.cluster.groups_mut().get_or_create(open_request.request().group);
@@ -34,7 +34,7 @@
         }
     }
 
-    fn open_request(&mut self, request: Request) -> OpenRequest {
+    fn build_open_request(&mut self, request: Request) -> OpenRequest {
         let now = self.now;
         let required_position = self.required_position(&request);
         let tenant = request.tenant;
