--- a/testkit/src/fleet/discovery_model.rs
+++ b/testkit/src/fleet/discovery_model.rs
@@ -1,48 +1,48 @@
-//! The model of the discovery service: queued polls, and changes of the endpoint list that are published
-//! late.
+//! Model of the discovery service, with a queue of polls and a delay before a change of the endpoint list is
+//! published.
 //!
 //! Owns the poll queue and the versions of the endpoint list with their publication times. Polls are
-//! processed one after another, also those whose callers have timed out. A change is visible only from its
-//! publication time on. Times are seconds.
+//! processed one after another, including polls whose callers have timed out. A change is visible only from
+//! its publication time on. Times and durations are in seconds.
 
 use std::collections::BTreeMap;
 
 use pipittack_core::api::{Endpoint, EndpointState};
 
-/// The properties of the service.
+/// Parameters of the discovery service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DiscoverySettings {
-    /// Polls that it answers per second.
+    /// Rate at which the service processes polls, in polls per second.
     pub polls_per_s: f64,
-    /// Time in s after which a poll times out.
+    /// Time after which the caller of a poll gives up, in seconds.
     pub timeout_s: f64,
-    /// Time in s after which the service publishes a change.
+    /// Time from a change to its publication, in seconds.
     pub publication_delay_s: f64,
-    /// Maximum time in s from the publication until a watcher is notified.
+    /// Maximum time from a publication until a watcher is notified, in seconds.
     pub notification_spread_s: f64,
 }
 
-/// The result of a poll.
+/// Result of a poll.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum PollOutcome {
-    /// It is answered at this time.
+    /// The service answers the poll.
     Answered {
-        /// The time.
+        /// Time at which the answer is sent, in seconds.
         at: f64,
     },
-    /// It fails at this time.
+    /// The poll times out, or the service is unreachable.
     Failed {
-        /// The time.
+        /// Time at which the caller notices the failure, in seconds.
         at: f64,
     },
 }
 
-/// A version of the endpoint list and its publication.
+/// A version of the endpoint list with its publication time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Publication {
-    /// The version.
+    /// Version number, counted from 0, the initial list.
     pub version: usize,
-    /// When it is published.
+    /// Time of the publication, in seconds.
     pub at: f64,
 }
 
@@ -52,28 +52,28 @@
     endpoints: Vec<Endpoint>,
 }
 
-/// The discovery service.
+/// Model of the discovery service.
 #[derive(Debug, Clone)]
 pub struct DiscoveryModel {
     settings: DiscoverySettings,
-    /// When all queued polls are done.
+    /// Time at which the service has processed all queued polls.
     idle_at: f64,
     down_until: f64,
-    /// The changes of each version. The first version is the initial list.
+    /// Changed endpoints of each version, by version number. Version 0 contains the initial list.
     versions: Vec<VersionChange>,
-    /// Number of polls.
+    /// Number of polls and watches, including failed ones.
     pub polls: usize,
     /// Number of polls that timed out while the service was reachable.
     pub failed_polls: usize,
-    /// Longest wait in s of an answered poll.
+    /// Longest time from an answered poll to its answer, in seconds.
     pub longest_wait_s: f64,
 }
 
-/// Time in s in which a poll of an unreachable service fails.
+/// Time until a poll of an unreachable service fails, in seconds.
 const UNREACHABLE_S: f64 = 0.001;
 
 impl DiscoveryModel {
-    /// A service that has published this list long ago.
+    /// Creates a service whose initial list was published before the trial.
     pub fn new(settings: DiscoverySettings, endpoints: Vec<Endpoint>) -> Self {
         Self {
             settings,
@@ -86,17 +86,18 @@
         }
     }
 
-    /// Makes the service unreachable for a time in s.
+    /// Makes the service unreachable for `duration_s` seconds, or longer if an earlier outage lasts longer.
     pub fn take_down(&mut self, now: f64, duration_s: f64) {
         self.down_until = self.down_until.max(now + duration_s);
     }
 
-    /// Whether the service is unreachable.
+    /// Returns whether the service is unreachable at `now`.
     pub fn is_down(&self, now: f64) -> bool {
         now < self.down_until
     }
 
-    /// Records a change of an endpoint, and returns its publication.
+    /// Adds a version with one changed endpoint, and returns its publication. Versions are published in
+    /// order.
     pub fn record_change(&mut self, now: f64, endpoint: Endpoint) -> Publication {
         let at = now + self.settings.publication_delay_s;
         let published_at = self.versions.last().map_or(at, |last| at.max(last.published_at));
@@ -104,37 +105,38 @@
         Publication { version: self.versions.len() - 1, at: published_at }
     }
 
-    /// Records a version that was published long ago.
+    /// Adds a version that was published before the trial.
     pub fn record_past_changes(&mut self, endpoints: Vec<Endpoint>) {
         self.versions.push(VersionChange { published_at: 0.0, endpoints });
     }
 
-    /// Restores the service from a backup of this age in s: later versions are lost.
+    /// Restores the service from a backup that is `age_s` seconds old. Versions that were published later are
+    /// lost; the initial list is never lost.
     pub fn restore_backup(&mut self, now: f64, age_s: f64) {
-        let backed_up =
-            self.versions.iter().take_while(|version| version.published_at <= now - age_s).count();
-        self.versions.truncate(backed_up.max(1));
+        let retained = self.versions.iter().take_while(|version| version.published_at <= now - age_s).count();
+        self.versions.truncate(retained.max(1));
     }
 
-    /// The version that is published at a time.
+    /// Returns the latest version that is published at `now`.
     pub fn version(&self, now: f64) -> usize {
         self.versions.iter().rposition(|version| version.published_at <= now).unwrap_or(0)
     }
 
-    /// The complete endpoint list of a version.
+    /// Returns the complete endpoint list of a version, without removed endpoints.
     pub fn full_list(&self, version: usize) -> Vec<Endpoint> {
         let versions = &self.versions[..=version.min(self.versions.len() - 1)];
-        let mut endpoints = merge(versions);
+        let mut endpoints = latest_states(versions);
         endpoints.retain(|endpoint| endpoint.state != EndpointState::Removed);
         endpoints
     }
 
-    /// The endpoints that changed after one version up to another, in their last state.
+    /// Returns the endpoints that changed after the version `after`, up to and including `version`, in their
+    /// last state.
     pub fn changes_since(&self, after: usize, version: usize) -> Vec<Endpoint> {
-        merge(self.versions.get(after + 1..=version).unwrap_or_default())
+        latest_states(self.versions.get(after + 1..=version).unwrap_or_default())
     }
 
-    /// Polls the list, or opens a watch.
+    /// Queues a poll, or the first request of a watch, and returns when it ends.
     pub fn poll(&mut self, now: f64) -> PollOutcome {
         self.polls += 1;
         if self.is_down(now) {
@@ -142,23 +144,23 @@
         }
         let at = self.idle_at.max(now) + 1.0 / self.settings.polls_per_s;
         self.idle_at = at;
-        let waited = at - now;
-        if waited > self.settings.timeout_s {
+        let wait_s = at - now;
+        if wait_s > self.settings.timeout_s {
             self.failed_polls += 1;
             return PollOutcome::Failed { at: now + self.settings.timeout_s };
         }
-        self.longest_wait_s = self.longest_wait_s.max(waited);
+        self.longest_wait_s = self.longest_wait_s.max(wait_s);
         PollOutcome::Answered { at }
     }
 
-    /// The properties of the service.
+    /// Returns the parameters of the service.
     pub fn settings(&self) -> DiscoverySettings {
         self.settings
     }
 }
 
-/// The last state of each endpoint in these versions, ordered by server.
-fn merge(versions: &[VersionChange]) -> Vec<Endpoint> {
+/// Returns the last state of each endpoint in these versions, ordered by server id.
+fn latest_states(versions: &[VersionChange]) -> Vec<Endpoint> {
     let mut endpoints = BTreeMap::new();
     for endpoint in versions.iter().flat_map(|version| &version.endpoints) {
         endpoints.insert(endpoint.server, endpoint.clone());
--- a/testkit/src/fleet/discovery_model/tests.rs
+++ b/testkit/src/fleet/discovery_model/tests.rs
@@ -22,7 +22,7 @@
 };
 
 #[test]
-fn polls_are_answered_in_order_and_those_that_timed_out_are_processed_as_well() {
+fn polls_are_processed_in_order_including_polls_that_timed_out() {
     let answered_at = |outcome: PollOutcome, expected: f64| match outcome {
         PollOutcome::Answered { at } => (at - expected).abs() < 1e-9,
         PollOutcome::Failed { .. } => false,
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_change_is_published_late_and_a_restored_backup_lacks_changes() {
+fn a_change_is_published_after_a_delay_and_restoring_a_backup_loses_later_changes() {
     use EndpointState::{Draining, Healthy, Removed};
     let mut discovery = DiscoveryModel::new(SETTINGS, vec![endpoint(1, Healthy), endpoint(2, Healthy)]);
     assert_eq!(discovery.record_change(2.0, endpoint(1, Draining)), Publication { version: 1, at: 4.0 });
--- a/testkit/src/fleet/link_faults.rs
+++ b/testkit/src/fleet/link_faults.rs
@@ -1,47 +1,48 @@
-//! Faults of the network links between proxies, data servers and the discovery service.
+//! Network faults on the links between proxies and data servers or the discovery service.
 //!
-//! Owns the faults that are active. A fault applies to pairs of a proxy and a link end, so each proxy sees a
-//! network of its own. How a server or a proxy reacts is not modelled here.
+//! Owns the active faults. A fault applies to individual links, each between one proxy and one remote end, so
+//! two proxies can observe different failures of the same server. The reactions of proxies and servers are
+//! modelled elsewhere. Times are in seconds.
 
 /// A fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LinkFault {
-    /// No data passes. New connections are refused, and open ones are reset.
+    /// The link is down: new connections are refused, and open connections are reset.
     Cut,
-    /// All data is dropped, and no side is notified.
+    /// All data is dropped in both directions, and neither side is notified.
     Blackhole,
-    /// Data from the proxy arrives, and data to it is dropped.
+    /// Data to the proxy is dropped, and neither side is notified. Data from the proxy arrives.
     DropResponses,
-    /// Open connections are reset once.
+    /// Open connections are reset once. New connections can be opened at once.
     Reset,
-    /// Each direction takes longer by this time in s.
+    /// Data is delayed in each direction by this time, in seconds.
     Delay(f64),
 }
 
-/// The state of a link at one time.
+/// State of a link at one point in time.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LinkState {
-    /// New connections are refused, and open ones are reset.
+    /// Whether the link is down: new connections are refused, and open connections are reset.
     pub cut: bool,
-    /// Data from the proxy is dropped.
+    /// Whether data from the proxy is dropped.
     pub requests_dropped: bool,
-    /// Data to the proxy is dropped.
+    /// Whether data to the proxy is dropped.
     pub responses_dropped: bool,
-    /// Additional delay in s of each direction.
+    /// Additional delay in each direction, in seconds.
     pub delay_s: f64,
 }
 
 impl LinkState {
-    /// Whether data passes in both directions.
+    /// Returns whether data passes in both directions.
     pub fn is_open(&self) -> bool {
         !(self.cut || self.requests_dropped || self.responses_dropped)
     }
 }
 
-/// The end of a proxy's link.
+/// Remote end of a proxy's link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LinkEnd {
-    /// A data server.
+    /// The data server with this index.
     Server(usize),
     /// The discovery service.
     Discovery,
@@ -61,21 +62,23 @@
     }
 }
 
-/// The faults of all links.
+/// Active faults of all links.
 #[derive(Debug, Clone, Default)]
 pub struct LinkFaults {
     active: Vec<ActiveFault>,
 }
 
 impl LinkFaults {
-    /// Starts a fault on the links between these proxies and ends. Both lists must be sorted.
+    /// Starts a fault on the links between these proxies and remote ends, which lasts until the time `until`.
+    /// Both lists must be sorted. [`LinkFault::Reset`] has no effect here, since it leaves the links
+    /// unchanged; the caller resets the connections.
     pub fn inject(&mut self, proxies: Vec<usize>, ends: Vec<LinkEnd>, fault: LinkFault, until: f64) {
         if fault != LinkFault::Reset {
             self.active.push(ActiveFault { proxies, ends, fault, until });
         }
     }
 
-    /// The state of a link at a time.
+    /// Returns the combined state of a link at `now` under all active faults. Delays add up.
     pub fn state(&self, proxy: usize, end: LinkEnd, now: f64) -> LinkState {
         let mut state = LinkState::default();
         for active in self.active.iter().filter(|active| now < active.until && active.applies_to(proxy, end))
@@ -94,7 +97,7 @@
         state
     }
 
-    /// Removes the faults that have ended.
+    /// Removes the faults that have ended by `now`.
     pub fn prune(&mut self, now: f64) {
         self.active.retain(|active| now < active.until);
     }
--- a/testkit/src/fleet/link_faults/tests.rs
+++ b/testkit/src/fleet/link_faults/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_fault_applies_to_its_pairs_of_ends_until_it_ends() {
+fn a_fault_affects_only_its_links_and_only_until_it_ends() {
     let mut links = LinkFaults::default();
     let ends = vec![LinkEnd::Server(1), LinkEnd::Discovery];
     links.inject(vec![0, 2], ends, LinkFault::DropResponses, 5.0);
--- a/testkit/src/fleet/plan.rs
+++ b/testkit/src/fleet/plan.rs
@@ -1,7 +1,8 @@
-//! The plan of a trial: the site, its clients, and the faults with their times.
+//! The plan of a trial: its servers, proxies and clients, and the schedule of its faults.
 //!
-//! A plan is plain data. The stepped simulation and the trial with processes run the same plans. Nothing in
-//! it changes while a trial runs.
+//! A plan is immutable data. The stepped simulation and the process trial run the same plans.
+//!
+//! Work is measured as the seconds that one core of a warm server with speed 1 takes for it.
 
 use pipittack_core::api::Settings;
 use rand::seq::SliceRandom;
@@ -13,86 +14,86 @@
 use super::server_model::{ServerModelSettings, ServerState};
 use super::workload::WorkloadSettings;
 
-/// The plan of a trial.
+/// Parameters of a trial.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The settings of every proxy, except for its index and zone.
+    /// Settings of every proxy. Each proxy replaces the instance index and the zone by its own.
     pub settings: Settings,
     /// Number of proxies.
     pub proxies: usize,
     /// Number of zones.
     pub zones: usize,
-    /// Number of replica sets.
+    /// Number of replica sets at the start.
     pub sets: usize,
-    /// Members of each replica set.
+    /// Number of members of each replica set at the start.
     pub members: usize,
-    /// The data servers.
+    /// Parameters of each data server.
     pub server: ServerModelSettings,
-    /// The servers start with the trial, and warm up.
+    /// Whether the servers start at the start of the trial and have to warm up.
     pub cold_start: bool,
-    /// Replication within a set.
+    /// Parameters of the replication and failover of each replica set.
     pub replication: ReplicationSettings,
-    /// The discovery service.
+    /// Parameters of the discovery service.
     pub discovery: DiscoverySettings,
-    /// The clients.
+    /// Parameters of the clients.
     pub workload: WorkloadSettings,
-    /// Requests per second over all proxies.
+    /// Request rate over all proxies, in requests per second, not counting retries.
     pub requests_per_s: f64,
-    /// One-way delay in s between two zones.
+    /// One-way network delay between two zones, in seconds.
     pub cross_zone_delay_s: f64,
-    /// One-way delay in s within a zone.
+    /// One-way network delay within a zone, in seconds.
     pub intra_zone_delay_s: f64,
-    /// Round trips that a new connection takes.
+    /// Number of round trips that it takes to establish a connection.
     pub handshake_rtts: f64,
-    /// Time in s after which an idle connection is closed.
+    /// Time after which a proxy closes an idle connection to a server, in seconds.
     pub idle_timeout_s: f64,
-    /// Work of a health check in s.
+    /// Work of a health check at a server, in seconds.
     pub health_check_work_s: f64,
-    /// Maximum age in s of a load report.
+    /// Maximum age of the data in a load report, in seconds.
     pub load_report_age_s: f64,
-    /// Age in s of the snapshot from which a new server starts.
+    /// Age of the snapshot from which a new replica is restored, in seconds.
     pub snapshot_age_s: f64,
-    /// The faults.
+    /// Faults to inject, in any order.
     pub faults: Vec<ScheduledFault>,
-    /// How long clients send requests, in s.
+    /// Time for which clients create requests, in seconds.
     pub duration_s: f64,
-    /// Time in s over which the starts of proxies are spread.
+    /// Time over which the first starts of the proxies are spread, in seconds.
     pub start_spread_s: f64,
-    /// The endpoint list that proxies have cached at their first start.
+    /// Endpoint list that each proxy has cached at its first start.
     pub cached_list: CachedList,
-    /// The seed of all random draws.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
-/// The endpoint list that a proxy has cached when it starts.
+/// Endpoint list that a proxy has cached at its first start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum CachedList {
-    /// No list.
+    /// No list is cached.
     Absent,
-    /// The current list.
+    /// The cached list is current.
     Current,
-    /// An old list.
+    /// The cached list is outdated.
     Outdated {
-        /// The share of its servers that has been replaced since.
+        /// Share of the cached servers that have been replaced since, between 0 and 1.
         replaced_share: f64,
     },
 }
 
-/// Selects proxies or servers.
+/// Selection of proxies or servers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Selection {
-    /// The one with this index, modulo their number.
+    /// The proxy or server with this index, modulo the number of candidates.
     One(usize),
-    /// A random share.
+    /// A random subset with this share of the candidates, between 0 and 1.
     Share(f64),
-    /// Those of a zone.
+    /// All candidates in this zone.
     Zone(usize),
-    /// All.
+    /// All candidates.
     All,
 }
 
 impl Selection {
-    /// The selected indices in ascending order; `zones` has the zone of each candidate.
+    /// Returns the selected indices in ascending order. `zones` holds the zone of each candidate.
     pub fn resolve(self, zones: &[usize], rng: &mut Pcg64Mcg) -> Vec<usize> {
         let all = 0..zones.len();
         match self {
@@ -100,144 +101,145 @@
             Self::Zone(zone) => all.filter(|index| zones[*index] == zone).collect(),
             Self::All => all.collect(),
             Self::Share(share) => {
-                let mut drawn: Vec<usize> = all.collect();
-                drawn.shuffle(rng);
-                drawn.truncate((share * zones.len() as f64).round() as usize);
-                drawn.sort_unstable();
-                drawn
+                let mut selected: Vec<usize> = all.collect();
+                selected.shuffle(rng);
+                selected.truncate((share * zones.len() as f64).round() as usize);
+                selected.sort_unstable();
+                selected
             }
         }
     }
 }
 
-/// The far end of the links that a fault affects.
+/// Remote ends of the links that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LinkTarget {
-    /// These servers.
+    /// Links to these data servers.
     Servers(Selection),
-    /// The discovery service.
+    /// Links to the discovery service.
     Discovery,
 }
 
-/// A fault and when it begins.
+/// A fault with its start time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ScheduledFault {
-    /// Time in s after the start of the trial.
+    /// Time from the start of the trial to the start of the fault, in seconds.
     pub at_s: f64,
-    /// The fault.
+    /// Fault to inject.
     pub fault: Fault,
 }
 
-/// A fault, or an operation that a deployment must survive.
+/// A fault, or an operation during which the deployment must keep serving.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// Servers enter a failed state, and restart afterwards.
+    /// Servers enter a failed state and restart when the fault ends.
     FailServers {
-        /// The servers.
+        /// Affected servers.
         servers: Selection,
-        /// The failed state.
+        /// State of the servers during the fault.
         state: ServerState,
-        /// How long it lasts, in s.
+        /// Duration of the fault, in seconds.
         duration_s: f64,
     },
-    /// Servers work more slowly by a factor.
+    /// Servers execute requests more slowly.
     SlowServers {
-        /// The servers.
+        /// Affected servers.
         servers: Selection,
-        /// How many times slower they are.
+        /// Factor by which the execution time grows.
         factor: f64,
-        /// How long it lasts, in s.
+        /// Duration of the fault, in seconds.
         duration_s: f64,
     },
-    /// Replicas of a set apply commits more slowly by a factor.
+    /// The replicas of a replica set apply commits more slowly.
     SlowReplication {
-        /// The replica set, modulo their number.
+        /// Index of the replica set, modulo the number of replica sets.
         set: usize,
-        /// How many times slower they are.
+        /// Factor by which the time to apply a commit grows.
         factor: f64,
-        /// How long it lasts, in s.
+        /// Duration of the fault, in seconds.
         duration_s: f64,
     },
-    /// The discovery service is unreachable.
+    /// The discovery service is unreachable for all proxies.
     DiscoveryDown {
-        /// How long it lasts, in s.
+        /// Duration of the fault, in seconds.
         duration_s: f64,
     },
-    /// The discovery service is restored from a backup, and loses the changes since.
+    /// The discovery service is restored from a backup and loses all later versions of the endpoint list.
     DiscoveryRestored {
-        /// Age of the backup in s.
+        /// Age of the backup, in seconds.
         backup_age_s: f64,
     },
-    /// Servers drain, and new ones replace them afterwards.
+    /// Servers drain and are replaced by new servers when the drain ends.
     ReplaceServers {
-        /// The servers.
+        /// Affected servers.
         servers: Selection,
-        /// How long they drain, in s.
+        /// Duration of the drain, in seconds.
         drain_s: f64,
     },
-    /// Operators take servers out of service at every proxy, restart them, and return them afterwards.
+    /// Operators take servers out of service at every proxy, then restart the servers and return them to
+    /// service when the fault ends.
     TakeOutOfService {
-        /// The servers.
+        /// Affected servers.
         servers: Selection,
-        /// How long it lasts, in s.
+        /// Duration of the fault, in seconds.
         duration_s: f64,
     },
-    /// Proxies are replaced by a hot restart.
+    /// Each proxy performs a hot restart.
     Upgrade {
-        /// The proxies.
+        /// Affected proxies.
         proxies: Selection,
     },
-    /// Proxies shut down gracefully, and start again this long after the signal.
+    /// Proxies shut down gracefully and start again.
     Restart {
-        /// The proxies.
+        /// Affected proxies.
         proxies: Selection,
-        /// Time from the signal until the next start, in s.
+        /// Time from the shutdown signal to the next start, in seconds.
         downtime_s: f64,
     },
-    /// Proxies are killed, and start again afterwards.
+    /// Proxies are killed and start again.
     Kill {
-        /// The proxies.
+        /// Affected proxies.
         proxies: Selection,
-        /// Time until the next start, in s.
+        /// Time from the kill to the next start, in seconds.
         downtime_s: f64,
     },
-    /// Proxies are killed again and again.
+    /// Proxies are killed repeatedly. Each starts again shortly after each kill.
     CrashLoop {
-        /// The proxies.
+        /// Affected proxies.
         proxies: Selection,
-        /// Time between two kills, in s.
+        /// Time between two kills, in seconds.
         interval_s: f64,
-        /// How long it lasts in all, in s.
+        /// Total duration of the crash loop, in seconds.
         duration_s: f64,
     },
-    /// The processes of proxies are paused.
+    /// The processes of proxies are paused and resume when the fault ends.
     Pause {
-        /// The proxies.
+        /// Affected proxies.
         proxies: Selection,
-        /// How long it lasts, in s.
+        /// Duration of the fault, in seconds.
         duration_s: f64,
     },
     /// Proxies reload their configuration.
     Reload {
-        /// The proxies.
+        /// Affected proxies.
         proxies: Selection,
     },
-    /// A fault on the links of these proxies.
+    /// A network fault affects links of these proxies.
     Link {
-        /// The proxies.
+        /// Affected proxies.
         proxies: Selection,
-        /// The far end of the links.
+        /// Remote ends of the affected links.
         target: LinkTarget,
-        /// The fault.
+        /// Fault to inject.
         fault: LinkFault,
-        /// How long it lasts, in s.
+        /// Duration of the fault, in seconds.
         duration_s: f64,
     },
-    /// The request rate is multiplied by a factor.
+    /// Clients create requests at a multiple of the usual rate.
     Burst {
-        /// The factor of the request rate.
+        /// Factor of the request rate.
         factor: f64,
-        /// How long it lasts, in s.
+        /// Duration of the fault, in seconds.
         duration_s: f64,
     },
 }
--- a/testkit/src/fleet/replication.rs
+++ b/testkit/src/fleet/replication.rs
@@ -1,84 +1,86 @@
-//! The model of replication within a replica set, and of its primary.
+//! Model of a replica set: replication from the primary to the replicas, and election of a primary.
 //!
-//! Owns the commits of a set and how far each member has applied them. A replica receives a commit after a
-//! shipping delay and applies commits in one thread, which a blocking request can stop. A position is a time
-//! up to which a member has all commits; the position of the primary is the present. Reported positions are
-//! rounded down to milliseconds, so that they never exceed the true position.
+//! Owns the commits of a replica set and the apply progress of each member. A replica receives a commit after
+//! a shipping delay and applies commits in one thread, which a blocking read can stop. The replication
+//! position of a member is the time up to which the member has applied all commits; the position of the
+//! primary is the current time. Reported positions are rounded down to milliseconds, so that they never
+//! exceed the true position. Times and durations are in seconds.
 
 use std::collections::VecDeque;
 
-/// How a replica set replicates and fails over.
+/// Parameters of the replication and failover of a replica set.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ReplicationSettings {
-    /// Time in s after which a replica receives a commit.
+    /// Time from a commit until a replica receives it, in seconds.
     pub shipping_delay_s: f64,
-    /// Work in s to apply a commit.
+    /// Time that a replica takes to apply a commit, in seconds, unless it is slowed down.
     pub apply_work_s: f64,
-    /// Writes are acknowledged only after a replica has received them.
+    /// Whether replication is synchronous. If not, the loss of the primary also loses the commits that no
+    /// replica has received.
     pub synchronous: bool,
-    /// Time in s to detect the loss of a primary.
+    /// Time from the loss of a primary to its detection, in seconds.
     pub detection_s: f64,
-    /// Time in s of an election after that.
+    /// Time from the detection to the election of a new primary, in seconds.
     pub election_s: f64,
-    /// Time in s of a planned switchover.
+    /// Duration of a planned switchover, in seconds.
     pub switchover_s: f64,
 }
 
-/// How far a replica has applied the log.
+/// Apply progress of a member. Not updated while the member is primary.
 #[derive(Debug, Clone, Copy, Default)]
-struct Follower {
-    /// Index of the next commit to apply, counted from the first commit of the set.
-    next: usize,
-    /// When its apply thread becomes idle.
+struct ApplyProgress {
+    /// Index of the next commit to apply, counted from the first commit of the replica set.
+    next_commit: usize,
+    /// Time at which the apply thread becomes idle.
     idle_at: f64,
-    /// Its position as far as it has been computed.
+    /// Last computed replication position.
     position: f64,
 }
 
-/// A replica set. Members are identified by their index.
+/// Model of a replica set. Members are identified by their index.
 #[derive(Debug, Clone)]
 pub struct ReplicaSet {
     settings: ReplicationSettings,
-    followers: Vec<Follower>,
+    apply_progress: Vec<ApplyProgress>,
     primary: Option<usize>,
-    /// When the last primary was lost, while there is none.
+    /// Time at which the last primary was lost; `None` while there is a primary.
     primary_lost_at: Option<f64>,
     commits: VecDeque<f64>,
-    /// Number of commits that were removed from the front of `commits`.
-    pruned: usize,
-    /// The factor by which replicas apply commits more slowly than usual.
+    /// Number of commits that have been removed from the front of `commits`.
+    pruned_commits: usize,
+    /// Factor by which the time to apply a commit grows; 1 without a fault.
     pub slowdown: f64,
 }
 
-/// Number of commits above which those that all replicas have applied are removed.
+/// Number of stored commits above which the commits that all replicas have applied are removed.
 const MAX_COMMITS: usize = 4096;
 
 impl ReplicaSet {
-    /// A replica set whose first member is the primary.
+    /// Creates a replica set whose first member is the primary and whose replicas are up to date.
     pub fn new(members: usize, settings: ReplicationSettings, now: f64) -> Self {
-        let follower = Follower { next: 0, idle_at: now, position: now };
+        let progress = ApplyProgress { next_commit: 0, idle_at: now, position: now };
         Self {
             settings,
-            followers: vec![follower; members],
+            apply_progress: vec![progress; members],
             primary: Some(0),
             primary_lost_at: None,
             commits: VecDeque::new(),
-            pruned: 0,
+            pruned_commits: 0,
             slowdown: 1.0,
         }
     }
 
-    /// Number of members, including former ones.
+    /// Returns the number of members, including removed members.
     pub fn members(&self) -> usize {
-        self.followers.len()
+        self.apply_progress.len()
     }
 
-    /// The primary, if one accepts writes.
+    /// Returns the primary; `None` between the loss of a primary and the election of the next.
     pub fn primary(&self) -> Option<usize> {
         self.primary
     }
 
-    /// Records a commit of the primary.
+    /// Records that the primary commits a write at `now`.
     pub fn commit(&mut self, now: f64) {
         self.commits.push_back(now);
         if self.commits.len() > MAX_COMMITS {
@@ -86,90 +88,97 @@
         }
     }
 
-    /// Removes the commits that all replicas have applied.
+    /// Removes the oldest commits, up to the first that some replica has not applied.
     fn prune(&mut self) {
-        let replicas = self.followers.iter().enumerate().filter(|(member, _)| Some(*member) != self.primary);
-        let oldest_next = replicas.map(|(_, follower)| follower.next).min().unwrap_or(0);
-        while self.pruned < oldest_next {
+        let replicas =
+            self.apply_progress.iter().enumerate().filter(|(member, _)| Some(*member) != self.primary);
+        let oldest_next_commit = replicas.map(|(_, progress)| progress.next_commit).min().unwrap_or(0);
+        while self.pruned_commits < oldest_next_commit {
             self.commits.pop_front();
-            self.pruned += 1;
+            self.pruned_commits += 1;
         }
     }
 
-    /// The position of a member.
+    /// Advances a member to `now`, and returns its replication position.
     pub fn position(&mut self, member: usize, now: f64) -> f64 {
         if self.primary == Some(member) {
             return now;
         }
         let settings = self.settings;
-        let received = self.primary_lost_at.map_or(now, |lost| lost.min(now)) - settings.shipping_delay_s;
-        let follower = &mut self.followers[member];
+        let received_until =
+            self.primary_lost_at.map_or(now, |lost| lost.min(now)) - settings.shipping_delay_s;
+        let progress = &mut self.apply_progress[member];
         loop {
-            let index = follower.next.checked_sub(self.pruned);
-            let next = index.and_then(|index| self.commits.get(index)).copied();
-            let Some(commit) = next.filter(|commit| *commit <= received) else {
-                follower.position = follower.position.max(received);
-                return follower.position;
+            let index = progress.next_commit.checked_sub(self.pruned_commits);
+            let next_commit = index.and_then(|index| self.commits.get(index)).copied();
+            let Some(commit) = next_commit.filter(|commit| *commit <= received_until) else {
+                progress.position = progress.position.max(received_until);
+                return progress.position;
             };
-            let applied_at = follower.idle_at.max(commit + settings.shipping_delay_s)
+            let applied_at = progress.idle_at.max(commit + settings.shipping_delay_s)
                 + settings.apply_work_s * self.slowdown;
-            follower.position = follower.position.max(commit - 1e-6);
+            progress.position = progress.position.max(commit - 1e-6);
             if applied_at > now {
-                return follower.position;
+                return progress.position;
             }
-            follower.next += 1;
-            follower.idle_at = applied_at;
-            follower.position = commit;
+            progress.next_commit += 1;
+            progress.idle_at = applied_at;
+            progress.position = commit;
         }
     }
 
-    /// The position that a member reports.
+    /// Returns the replication position that a member reports, rounded down to milliseconds.
     pub fn reported_position(&mut self, member: usize, now: f64) -> f64 {
         (self.position(member, now) * 1e3).floor() / 1e3
     }
 
-    /// Stops a replica from applying commits until a time.
+    /// Stops a replica from applying commits until the time `until`.
     pub fn block(&mut self, member: usize, now: f64, until: f64) {
         self.position(member, now);
-        let follower = &mut self.followers[member];
-        follower.idle_at = follower.idle_at.max(until);
+        let progress = &mut self.apply_progress[member];
+        progress.idle_at = progress.idle_at.max(until);
     }
 
-    /// Removes the primary. Without synchronous replication, commits that no replica has received are lost.
+    /// Ends the role of the primary, which becomes a replica. Without synchronous replication, the commits
+    /// that no replica has received are lost.
     pub fn lose_primary(&mut self, now: f64) {
         let Some(primary) = self.primary.take() else { return };
         self.primary_lost_at = Some(now);
         if !self.settings.synchronous {
-            let received = now - self.settings.shipping_delay_s;
-            while self.commits.back().is_some_and(|commit| *commit > received) {
+            let received_until = now - self.settings.shipping_delay_s;
+            while self.commits.back().is_some_and(|commit| *commit > received_until) {
                 self.commits.pop_back();
             }
         }
-        let next = self.pruned + self.commits.len();
-        self.followers[primary] = Follower { next, idle_at: now, position: now };
+        let next_commit = self.pruned_commits + self.commits.len();
+        self.apply_progress[primary] = ApplyProgress { next_commit, idle_at: now, position: now };
     }
 
-    /// Elects the eligible replica with the highest position, and returns it.
+    /// Elects the eligible member with the highest replication position, the lowest index among equals, and
+    /// returns its index; `None` if no member is eligible.
     pub fn elect(&mut self, now: f64, eligible: impl Fn(usize) -> bool) -> Option<usize> {
-        let candidates: Vec<usize> = (0..self.followers.len()).filter(|member| eligible(*member)).collect();
-        let best = candidates.into_iter().max_by(|a, b| {
+        let candidates: Vec<usize> =
+            (0..self.apply_progress.len()).filter(|member| eligible(*member)).collect();
+        let elected = candidates.into_iter().max_by(|a, b| {
             let position_a = self.position(*a, now);
             let position_b = self.position(*b, now);
             position_a.total_cmp(&position_b).then(b.cmp(a))
         })?;
-        self.primary = Some(best);
+        self.primary = Some(elected);
         self.primary_lost_at = None;
-        Some(best)
+        Some(elected)
     }
 
-    /// Adds a member, or resets one, from a snapshot of this age in s.
+    /// Restores a member from a snapshot that is `snapshot_age_s` seconds old. Adds the member if its index
+    /// is new.
     pub fn restore_member(&mut self, member: usize, now: f64, snapshot_age_s: f64) {
         let position = now - snapshot_age_s;
-        let next = self.pruned + self.commits.iter().take_while(|commit| **commit <= position).count();
-        let restored = Follower { next, idle_at: now, position };
-        match self.followers.get_mut(member) {
-            Some(follower) => *follower = restored,
-            None => self.followers.push(restored),
+        let next_commit =
+            self.pruned_commits + self.commits.iter().take_while(|commit| **commit <= position).count();
+        let restored = ApplyProgress { next_commit, idle_at: now, position };
+        match self.apply_progress.get_mut(member) {
+            Some(progress) => *progress = restored,
+            None => self.apply_progress.push(restored),
         }
     }
 }
--- a/testkit/src/fleet/scenario.rs
+++ b/testkit/src/fleet/scenario.rs
@@ -1,7 +1,7 @@
-//! Scenarios: plans as scripts in S-expressions.
+//! Parser for scenario files, which describe a plan as S-expressions.
 //!
-//! A script changes the [default plan](default_plan). Every form of a script is read completely, or the
-//! script is rejected with the line and column of the fault.
+//! A scenario overrides values of the [default plan](default_plan). A scenario with an unknown or malformed
+//! form is rejected with the line and column of that form.
 
 mod classes;
 mod default_plan;
@@ -18,34 +18,34 @@
 pub use default_plan::default_plan;
 use syntax::{number, split_form, unexpected, Form, SyntaxError};
 
-/// Why a script was rejected.
+/// Error of parsing a scenario.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum ScenarioError {
-    /// The script is no plan.
+    /// The text is malformed, or a form is unknown.
     #[error(transparent)]
     Syntax(#[from] SyntaxError),
-    /// The settings of the plan are invalid.
+    /// The routing engine would reject the settings of the plan.
     #[error("invalid settings: {0}")]
     Settings(#[from] SettingsError),
 }
 
-/// Utilizations from which the request rate and the work of replication follow.
+/// Target utilizations, from which the request rate and the work to apply a commit are derived.
 struct Utilization {
-    /// The requests' share of the capacity of all servers.
+    /// Share of the capacity of all servers that the requests take. May exceed 1.
     load: f64,
-    /// The share of its time in which a replica applies commits.
+    /// Share of the time in which a replica applies commits.
     apply: f64,
 }
 
-/// Reads a script.
+/// Parses a scenario into a plan, and validates the plan's settings.
 pub fn read(text: &str) -> Result<Plan, ScenarioError> {
     let mut plan = default_plan();
     let mut utilization = Utilization { load: 0.55, apply: 0.5 };
     let mut parser = Parser::from_str(text);
     while let Some(datum) = next_datum(&mut parser)? {
-        read_top_level(datum.as_ref(), &mut plan, &mut utilization)?;
+        parse_top_level_form(datum.as_ref(), &mut plan, &mut utilization)?;
     }
-    derive_rates(&mut plan, &utilization);
+    compute_derived_values(&mut plan, &utilization);
     plan.settings.validate()?;
     Ok(plan)
 }
@@ -61,7 +61,8 @@
     })
 }
 
-/// Changes the number of proxies or servers, or the seed. The utilization stays the same.
+/// Overrides the number of proxies, the number of servers or the seed; `None` keeps the value of the plan.
+/// The request rate and the work to apply a commit are scaled so that the utilizations stay the same.
 pub fn resize(plan: &mut Plan, proxies: Option<usize>, servers: Option<usize>, seed: Option<u64>) {
     let load = plan.requests_per_s / max_requests_per_s(plan);
     let apply = plan.replication.apply_work_s * writes_per_set(plan);
@@ -70,20 +71,20 @@
         plan.sets = (servers / plan.members).max(1);
     }
     plan.seed = seed.unwrap_or(plan.seed);
-    derive_rates(plan, &Utilization { load, apply });
+    compute_derived_values(plan, &Utilization { load, apply });
 }
 
 fn total_share(plan: &Plan) -> f64 {
     plan.workload.class_loads.iter().map(|load| load.share).sum()
 }
 
-/// Requests per second that all servers can execute.
+/// Returns the rate, in requests per second, at which all servers together can execute requests.
 fn max_requests_per_s(plan: &Plan) -> f64 {
     let cores = (plan.sets * plan.members * plan.server.cores) as f64;
     cores * plan.server.speed / plan.server.mean_work_s
 }
 
-/// Writes per second of each replica set.
+/// Returns the mean rate of writes per replica set, in writes per second.
 fn writes_per_set(plan: &Plan) -> f64 {
     let classes = plan.workload.class_loads.iter().zip(&plan.settings.classes);
     let writes = classes.filter(|(_, class)| class.consistency == Consistency::Write);
@@ -91,12 +92,12 @@
     plan.requests_per_s * share / total_share(plan) / plan.sets as f64
 }
 
-/// Derives what follows from other values of a plan.
-fn derive_rates(plan: &mut Plan, utilization: &Utilization) {
-    let work: f64 = plan.workload.class_loads.iter().map(|load| load.share * load.work_s).sum();
+/// Computes the values of a plan that depend on its other values and on the utilizations.
+fn compute_derived_values(plan: &mut Plan, utilization: &Utilization) {
+    let total_work: f64 = plan.workload.class_loads.iter().map(|load| load.share * load.work_s).sum();
     let rules = &plan.settings.rules;
     plan.server = ServerModelSettings {
-        mean_work_s: work / total_share(plan),
+        mean_work_s: total_work / total_share(plan),
         initial_capacity_share: rules.initial_capacity_share,
         warm_up_s: rules.warm_up.as_secs_f64(),
         overload_factor: rules.overload_factor,
@@ -109,14 +110,18 @@
     plan.replication.apply_work_s = apply_work_s.min(1.0);
 }
 
-fn read_top_level(datum: Ref<'_>, plan: &mut Plan, utilization: &mut Utilization) -> Result<(), SyntaxError> {
+fn parse_top_level_form(
+    datum: Ref<'_>,
+    plan: &mut Plan,
+    utilization: &mut Utilization,
+) -> Result<(), SyntaxError> {
     let form = split_form(datum, "(NAME ...)")?;
     match form.name {
         "classes" => {
             plan.settings.classes.clear();
             plan.workload.class_loads.clear();
             for item in form.items {
-                let (class, load) = classes::read_class(item)?;
+                let (class, load) = classes::parse_class(item)?;
                 plan.settings.classes.push(class);
                 plan.workload.class_loads.push(load);
             }
@@ -127,11 +132,11 @@
         "start" | "fleet" | "server" | "copies" | "list" | "clients" | "limits" | "contract" | "sessions" => {
             for item in form.items {
                 let parameter = split_form(item, "(NAME VALUE)")?;
-                parameters::read_parameter(form.name, &parameter, plan, utilization)?;
+                parameters::parse_parameter(form.name, &parameter, plan, utilization)?;
             }
             Ok(())
         }
-        "at" => read_scheduled_faults(&form, plan),
+        "at" => parse_scheduled_faults(&form, plan),
         _ => Err(unexpected(
             datum,
             "classes, fleet, server, copies, list, clients, limits, contract, sessions, start, length, \
@@ -140,8 +145,8 @@
     }
 }
 
-/// Reads `(at SECONDS FAULT ...)`.
-fn read_scheduled_faults(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
+/// Parses `(at SECONDS FAULT ...)` and adds the faults to the plan.
+fn parse_scheduled_faults(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
     let [at, faults @ ..] = &form.items[..] else {
         return Err(unexpected(form.datum, "(at SECONDS FAULT ...)"));
     };
@@ -150,7 +155,7 @@
     }
     let at_s = number(*at)?;
     for fault in faults {
-        let fault = faults::read_fault(*fault)?;
+        let fault = faults::parse_fault(*fault)?;
         plan.faults.push(ScheduledFault { at_s, fault });
     }
     Ok(())
--- a/testkit/src/fleet/scenario/classes.rs
+++ b/testkit/src/fleet/scenario/classes.rs
@@ -1,4 +1,4 @@
-//! The classes of a script.
+//! Parser for the classes of a scenario.
 
 use std::time::Duration;
 
@@ -8,8 +8,9 @@
 use super::super::workload::ClassLoad;
 use super::syntax::{split_form, unexpected, Form, SyntaxError};
 
-/// Reads `(repeatable (NAME VALUE) ...)` or `(once (NAME VALUE) ...)`.
-pub fn read_class(datum: Ref<'_>) -> Result<(Class, ClassLoad), SyntaxError> {
+/// Parses `(repeatable (NAME VALUE) ...)`, a class of idempotent requests, or `(once (NAME VALUE) ...)`, a
+/// class of writes that are not idempotent.
+pub fn parse_class(datum: Ref<'_>) -> Result<(Class, ClassLoad), SyntaxError> {
     let form = split_form(datum, "(repeatable NAME VALUE ...) or (once NAME VALUE ...)")?;
     let (idempotency, consistency) = match form.name {
         "repeatable" => (Idempotency::Idempotent, Consistency::Eventual),
@@ -28,12 +29,12 @@
     };
     let mut load = ClassLoad { share: 1.0, work_s: 0.08, blocks_replication: false };
     for item in form.items {
-        read_attribute(&split_form(item, "(NAME VALUE)")?, &mut class, &mut load)?;
+        parse_attribute(&split_form(item, "(NAME VALUE)")?, &mut class, &mut load)?;
     }
     Ok((class, load))
 }
 
-fn read_attribute(form: &Form<'_>, class: &mut Class, load: &mut ClassLoad) -> Result<(), SyntaxError> {
+fn parse_attribute(form: &Form<'_>, class: &mut Class, load: &mut ClassLoad) -> Result<(), SyntaxError> {
     let milliseconds = || form.single_ms().map(Duration::from_secs_f64);
     match form.name {
         "worth" => class.priority_weight = form.single_number()?,
--- a/testkit/src/fleet/scenario/default_plan.rs
+++ b/testkit/src/fleet/scenario/default_plan.rs
@@ -1,4 +1,4 @@
-//! The plan that scripts change.
+//! The plan whose values a scenario overrides.
 
 use std::time::Duration;
 
@@ -17,7 +17,9 @@
     Duration::from_millis(milliseconds)
 }
 
-/// A typical fleet with three classes: reads with bounded staleness, causal reads, and writes.
+/// Returns a plan for 40 proxies and 24 data servers without faults. Its three classes are reads with bounded
+/// staleness, causal reads, and writes. The request rate and the work to apply a commit are 0; parsing a
+/// scenario computes them.
 pub fn default_plan() -> Plan {
     Plan {
         settings: settings(),
--- a/testkit/src/fleet/scenario/faults.rs
+++ b/testkit/src/fleet/scenario/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a script.
+//! Parser for the faults of a scenario.
 
 use lexpr::datum::Ref;
 
@@ -7,8 +7,8 @@
 use super::super::server_model::ServerState;
 use super::syntax::{number, split_form, unexpected, Form, SyntaxError};
 
-/// Reads a selection: `all`, `(one NUMBER)`, `(share SHARE)` or `(zone NUMBER)`.
-fn read_selection(datum: Ref<'_>) -> Result<Selection, SyntaxError> {
+/// Parses a selection: `all`, `(one INDEX)`, `(share SHARE)` or `(zone INDEX)`.
+fn parse_selection(datum: Ref<'_>) -> Result<Selection, SyntaxError> {
     if datum.value().as_symbol() == Some("all") {
         return Ok(Selection::All);
     }
@@ -23,23 +23,23 @@
     }
 }
 
-fn first_selection(form: &Form<'_>) -> Result<Selection, SyntaxError> {
+fn parse_first_selection(form: &Form<'_>) -> Result<Selection, SyntaxError> {
     match form.items.first() {
-        Some(item) => read_selection(*item),
-        None => Err(unexpected(form.datum, "which servers or proxies")),
+        Some(item) => parse_selection(*item),
+        None => Err(unexpected(form.datum, "a selection of servers or proxies")),
     }
 }
 
-/// Reads a fault.
-pub fn read_fault(datum: Ref<'_>) -> Result<Fault, SyntaxError> {
+/// Parses a fault. Durations are in seconds.
+pub fn parse_fault(datum: Ref<'_>) -> Result<Fault, SyntaxError> {
     let form = split_form(datum, "(FAULT ...)")?;
     match form.name {
-        "kill-servers" => read_server_failure(&form, ServerState::Dead),
-        "hang-servers" => read_server_failure(&form, ServerState::Hung),
-        "silence-servers" => read_server_failure(&form, ServerState::Unresponsive),
-        "slow-servers" | "replace" | "by-hand" => read_server_fault(&form),
-        "upgrade" | "restart" | "kill" | "crash-loop" | "stall" | "reload" => read_proxy_fault(&form),
-        "link" => read_link_fault(&form),
+        "kill-servers" => parse_server_failure(&form, ServerState::Dead),
+        "hang-servers" => parse_server_failure(&form, ServerState::Hung),
+        "silence-servers" => parse_server_failure(&form, ServerState::Unresponsive),
+        "slow-servers" | "replace" | "by-hand" => parse_server_fault(&form),
+        "upgrade" | "restart" | "kill" | "crash-loop" | "stall" | "reload" => parse_proxy_fault(&form),
+        "link" => parse_link_fault(&form),
         "lag" => Ok(Fault::SlowReplication {
             set: form.number_at(0)? as usize,
             factor: form.number_at(1)?,
@@ -52,12 +52,12 @@
     }
 }
 
-fn read_server_failure(form: &Form<'_>, state: ServerState) -> Result<Fault, SyntaxError> {
-    Ok(Fault::FailServers { servers: first_selection(form)?, state, duration_s: form.number_at(1)? })
+fn parse_server_failure(form: &Form<'_>, state: ServerState) -> Result<Fault, SyntaxError> {
+    Ok(Fault::FailServers { servers: parse_first_selection(form)?, state, duration_s: form.number_at(1)? })
 }
 
-fn read_server_fault(form: &Form<'_>) -> Result<Fault, SyntaxError> {
-    let servers = first_selection(form)?;
+fn parse_server_fault(form: &Form<'_>) -> Result<Fault, SyntaxError> {
+    let servers = parse_first_selection(form)?;
     match form.name {
         "slow-servers" => {
             Ok(Fault::SlowServers { servers, factor: form.number_at(1)?, duration_s: form.number_at(2)? })
@@ -67,8 +67,8 @@
     }
 }
 
-fn read_proxy_fault(form: &Form<'_>) -> Result<Fault, SyntaxError> {
-    let proxies = first_selection(form)?;
+fn parse_proxy_fault(form: &Form<'_>) -> Result<Fault, SyntaxError> {
+    let proxies = parse_first_selection(form)?;
     match form.name {
         "upgrade" => Ok(Fault::Upgrade { proxies }),
         "reload" => Ok(Fault::Reload { proxies }),
@@ -81,30 +81,30 @@
     }
 }
 
-/// Reads `(link PROXIES (servers WHICH) FAULT SECONDS)` or `(link PROXIES list FAULT SECONDS)`.
-fn read_link_fault(form: &Form<'_>) -> Result<Fault, SyntaxError> {
+/// Parses `(link PROXIES (servers SELECTION) FAULT SECONDS)` or `(link PROXIES list FAULT SECONDS)`.
+fn parse_link_fault(form: &Form<'_>) -> Result<Fault, SyntaxError> {
     let [proxies, target, fault, duration] = form.items[..] else {
-        return Err(unexpected(form.datum, "(link PROXIES END FAULT SECONDS)"));
+        return Err(unexpected(form.datum, "(link PROXIES TARGET FAULT SECONDS)"));
     };
-    let target = read_link_target(target)?;
-    let fault = read_link_fault_kind(fault)?;
-    let proxies = read_selection(proxies)?;
+    let target = parse_link_target(target)?;
+    let fault = parse_link_fault_kind(fault)?;
+    let proxies = parse_selection(proxies)?;
     Ok(Fault::Link { proxies, target, fault, duration_s: number(duration)? })
 }
 
-fn read_link_target(datum: Ref<'_>) -> Result<LinkTarget, SyntaxError> {
+fn parse_link_target(datum: Ref<'_>) -> Result<LinkTarget, SyntaxError> {
     if datum.value().as_symbol() == Some("list") {
         return Ok(LinkTarget::Discovery);
     }
-    let expected = "list or (servers WHICH)";
+    let expected = "list or (servers SELECTION)";
     let form = split_form(datum, expected)?;
     match (form.name, &form.items[..]) {
-        ("servers", [servers]) => Ok(LinkTarget::Servers(read_selection(*servers)?)),
+        ("servers", [servers]) => Ok(LinkTarget::Servers(parse_selection(*servers)?)),
         _ => Err(unexpected(datum, expected)),
     }
 }
 
-fn read_link_fault_kind(datum: Ref<'_>) -> Result<LinkFault, SyntaxError> {
+fn parse_link_fault_kind(datum: Ref<'_>) -> Result<LinkFault, SyntaxError> {
     let expected = "cut, silent, deaf, reset or (slow MS)";
     match datum.value().as_symbol() {
         Some("cut") => return Ok(LinkFault::Cut),
--- a/testkit/src/fleet/scenario/parameters.rs
+++ b/testkit/src/fleet/scenario/parameters.rs
@@ -1,4 +1,4 @@
-//! The parameters of a script by section.
+//! Parser for the parameters in the sections of a scenario.
 
 use std::time::Duration;
 
@@ -8,23 +8,23 @@
 use super::syntax::{split_form, unexpected, Form, SyntaxError};
 use super::Utilization;
 
-/// Reads `(NAME VALUE)` in a section.
-pub fn read_parameter(
+/// Parses the parameter `(NAME VALUE)` of a section.
+pub fn parse_parameter(
     section: &str,
     form: &Form<'_>,
     plan: &mut Plan,
     utilization: &mut Utilization,
 ) -> Result<(), SyntaxError> {
     match section {
-        "fleet" => read_fleet(form, plan, utilization),
-        "server" => read_server(form, plan),
-        "copies" => read_replication(form, plan, utilization),
-        "list" => read_discovery(form, plan),
-        "clients" => read_clients(form, plan),
-        "limits" => read_limits(form, plan),
-        "contract" => read_rules(form, plan),
-        "sessions" => read_sessions(form, plan),
-        "start" => read_start(form, plan),
+        "fleet" => parse_fleet(form, plan, utilization),
+        "server" => parse_server(form, plan),
+        "copies" => parse_replication(form, plan, utilization),
+        "list" => parse_discovery(form, plan),
+        "clients" => parse_clients(form, plan),
+        "limits" => parse_limits(form, plan),
+        "contract" => parse_rules(form, plan),
+        "sessions" => parse_sessions(form, plan),
+        "start" => parse_start(form, plan),
         _ => Err(unknown_parameter(section, form)),
     }
 }
@@ -33,29 +33,29 @@
     unexpected(form.datum, &format!("a parameter of {section}"))
 }
 
-fn count(form: &Form<'_>) -> Result<usize, SyntaxError> {
+fn parse_count(form: &Form<'_>) -> Result<usize, SyntaxError> {
     Ok(form.single_number()?.max(1.0) as usize)
 }
 
-fn milliseconds(form: &Form<'_>) -> Result<Duration, SyntaxError> {
+fn parse_milliseconds(form: &Form<'_>) -> Result<Duration, SyntaxError> {
     form.single_ms().map(Duration::from_secs_f64)
 }
 
-fn read_fleet(form: &Form<'_>, plan: &mut Plan, utilization: &mut Utilization) -> Result<(), SyntaxError> {
+fn parse_fleet(form: &Form<'_>, plan: &mut Plan, utilization: &mut Utilization) -> Result<(), SyntaxError> {
     match form.name {
-        "proxies" => plan.proxies = count(form)?,
-        "zones" => plan.zones = count(form)?,
-        "sets" => plan.sets = count(form)?,
-        "members" => plan.members = count(form)?,
+        "proxies" => plan.proxies = parse_count(form)?,
+        "zones" => plan.zones = parse_count(form)?,
+        "sets" => plan.sets = parse_count(form)?,
+        "members" => plan.members = parse_count(form)?,
         "load" => utilization.load = form.single_number()?,
         _ => return Err(unknown_parameter("fleet", form)),
     }
     Ok(())
 }
 
-fn read_server(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
+fn parse_server(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
     match form.name {
-        "cores" => plan.server.cores = count(form)?,
+        "cores" => plan.server.cores = parse_count(form)?,
         "speed" => plan.server.speed = form.single_number()?,
         "queue" => plan.server.max_queue = form.single_number()? as usize,
         "connections" => plan.server.max_connections = form.single_number()? as usize,
@@ -66,7 +66,7 @@
     Ok(())
 }
 
-fn read_replication(
+fn parse_replication(
     form: &Form<'_>,
     plan: &mut Plan,
     utilization: &mut Utilization,
@@ -84,7 +84,7 @@
     Ok(())
 }
 
-fn read_discovery(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
+fn parse_discovery(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
     match form.name {
         "rate" => plan.discovery.polls_per_s = form.single_number()?,
         "timeout" => plan.discovery.timeout_s = form.single_number()?,
@@ -103,7 +103,7 @@
     Ok(())
 }
 
-fn read_clients(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
+fn parse_clients(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
     let workload = &mut plan.workload;
     match form.name {
         "follows" => workload.read_after_write_share = form.single_number()?,
@@ -115,7 +115,7 @@
     Ok(())
 }
 
-fn read_limits(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
+fn parse_limits(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
     let settings = &mut plan.settings;
     match form.name {
         "attempts" => settings.limits.max_attempts = form.single_number()? as u32,
@@ -124,28 +124,28 @@
             settings.load_reports =
                 if form.single_flag()? { LoadReports::OnHealthCheck } else { LoadReports::Never };
         }
-        "max-retry-after" => settings.limits.max_retry_after = milliseconds(form)?,
-        "connect-timeout" => settings.limits.connect_timeout = milliseconds(form)?,
+        "max-retry-after" => settings.limits.max_retry_after = parse_milliseconds(form)?,
+        "connect-timeout" => settings.limits.connect_timeout = parse_milliseconds(form)?,
         _ => return Err(unknown_parameter("limits", form)),
     }
     Ok(())
 }
 
-fn read_rules(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
+fn parse_rules(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
     let rules = &mut plan.settings.rules;
     match form.name {
-        "ask-every" => rules.poll_interval = milliseconds(form)?,
+        "ask-every" => rules.poll_interval = parse_milliseconds(form)?,
         "cold-share" => rules.initial_capacity_share = form.single_number()?,
-        "warm-up" => rules.warm_up = milliseconds(form)?,
+        "warm-up" => rules.warm_up = parse_milliseconds(form)?,
         "overload-factor" => rules.overload_factor = form.single_number()?,
-        "overload-for" => rules.overload_duration = milliseconds(form)?,
-        "stop-within" => rules.drain_grace_period = milliseconds(form)?,
+        "overload-for" => rules.overload_duration = parse_milliseconds(form)?,
+        "stop-within" => rules.drain_grace_period = parse_milliseconds(form)?,
         _ => return Err(unknown_parameter("contract", form)),
     }
     Ok(())
 }
 
-fn read_sessions(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
+fn parse_sessions(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
     match form.name {
         "marks" => {
             plan.settings.session_tokens = match form.single_word()? {
@@ -159,17 +159,17 @@
     }
 }
 
-fn read_start(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
+fn parse_start(form: &Form<'_>, plan: &mut Plan) -> Result<(), SyntaxError> {
     match form.name {
         "within" => plan.start_spread_s = form.single_number()?,
         "cold" => plan.cold_start = form.single_flag()?,
-        "remembered" => plan.cached_list = read_cached_list(form)?,
+        "remembered" => plan.cached_list = parse_cached_list(form)?,
         _ => return Err(unknown_parameter("start", form)),
     }
     Ok(())
 }
 
-fn read_cached_list(form: &Form<'_>) -> Result<CachedList, SyntaxError> {
+fn parse_cached_list(form: &Form<'_>) -> Result<CachedList, SyntaxError> {
     let [item] = form.items[..] else {
         let expected = "(remembered nothing), (remembered fresh) or (remembered (old SHARE))";
         return Err(unexpected(form.datum, expected));
@@ -180,9 +180,9 @@
         _ => {}
     }
     let expected = "nothing, fresh or (old SHARE)";
-    let old = split_form(item, expected)?;
-    match old.name {
-        "old" => Ok(CachedList::Outdated { replaced_share: old.single_number()? }),
+    let outdated = split_form(item, expected)?;
+    match outdated.name {
+        "old" => Ok(CachedList::Outdated { replaced_share: outdated.single_number()? }),
         _ => Err(unexpected(item, expected)),
     }
 }
--- a/testkit/src/fleet/scenario/syntax.rs
+++ b/testkit/src/fleet/scenario/syntax.rs
@@ -1,38 +1,38 @@
-//! Forms of a script and their arguments, with the place of each fault.
+//! Parsing of single forms and of their arguments, and the errors with their locations.
 
 use lexpr::datum::Ref;
 
-/// A fault of a script.
+/// Syntax error in a scenario, with its location.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SyntaxError {
-    /// The text is no S-expression.
+    /// The text is not an S-expression.
     #[error("{line}:{column}: not an S-expression: {description}")]
     NotAnExpression {
-        /// The line, from 1.
+        /// Line number, counted from 1.
         line: usize,
-        /// The column, from 1.
+        /// Column number, counted from 1.
         column: usize,
-        /// The parser's description.
+        /// Error message of the S-expression parser.
         description: String,
     },
-    /// A form that is not expected at its place.
+    /// A form or an argument is not the expected one.
     #[error("{line}:{column}: expected {expected}, found {found}")]
     Unexpected {
-        /// The line, from 1.
+        /// Line number, counted from 1.
         line: usize,
-        /// The column, from 1.
+        /// Column number, counted from 1.
         column: usize,
-        /// What was expected.
+        /// Syntax that was expected.
         expected: String,
-        /// The beginning of what was found.
+        /// Beginning of the text that was found.
         found: String,
     },
 }
 
-/// Length to which the found text in an error is cut.
+/// Maximum length of the found text in an error, in characters.
 const MAX_FOUND_CHARS: usize = 40;
 
-/// The error for a datum in whose place something else was expected.
+/// Returns the error for a datum where `expected` was expected.
 pub fn unexpected(datum: Ref<'_>, expected: &str) -> SyntaxError {
     let start = datum.span().start();
     SyntaxError::Unexpected {
@@ -43,17 +43,17 @@
     }
 }
 
-/// A form `(NAME ITEM ...)`.
+/// A parsed form `(NAME ITEM ...)`.
 pub struct Form<'d> {
-    /// The whole form.
+    /// Datum of the whole form, for the location in errors.
     pub datum: Ref<'d>,
-    /// Its name.
+    /// Name of the form.
     pub name: &'d str,
-    /// The items after the name.
+    /// Items after the name.
     pub items: Vec<Ref<'d>>,
 }
 
-/// Splits a form into its name and items; `expected` describes it in errors.
+/// Splits a form into its name and items. `expected` describes the expected syntax in errors.
 pub fn split_form<'d>(datum: Ref<'d>, expected: &str) -> Result<Form<'d>, SyntaxError> {
     let mut items = datum.list_iter().into_iter().flatten();
     match items.next().and_then(|first| first.value().as_symbol()) {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Reads a number that is not negative.
+/// Parses a finite number that is not negative.
 pub fn number(datum: Ref<'_>) -> Result<f64, SyntaxError> {
     match datum.value().as_f64() {
         Some(number) if number.is_finite() && number >= 0.0 => Ok(number),
@@ -71,7 +71,7 @@
 }
 
 impl<'d> Form<'d> {
-    /// The only item, as a number.
+    /// Returns the only item, which must be a number.
     pub fn single_number(&self) -> Result<f64, SyntaxError> {
         match self.items[..] {
             [item] => number(item),
@@ -79,12 +79,12 @@
         }
     }
 
-    /// The only item, as a number of milliseconds, in seconds.
+    /// Returns the only item, which must be a number of milliseconds, converted to seconds.
     pub fn single_ms(&self) -> Result<f64, SyntaxError> {
         Ok(self.single_number()? / 1e3)
     }
 
-    /// The only item, as a word.
+    /// Returns the only item, which must be a word.
     pub fn single_word(&self) -> Result<&'d str, SyntaxError> {
         match self.items[..] {
             [item] => item.value().as_symbol().ok_or_else(|| unexpected(item, "a word")),
@@ -92,12 +92,12 @@
         }
     }
 
-    /// Whether the only item is `yes`.
+    /// Returns whether the only item, which must be a word, is `yes`.
     pub fn single_flag(&self) -> Result<bool, SyntaxError> {
         Ok(self.single_word()? == "yes")
     }
 
-    /// The number at an index.
+    /// Returns the item at an index, which must be a number.
     pub fn number_at(&self, index: usize) -> Result<f64, SyntaxError> {
         match self.items.get(index) {
             Some(item) => number(*item),
--- a/testkit/src/fleet/workload.rs
+++ b/testkit/src/fleet/workload.rs
@@ -1,8 +1,11 @@
-//! The requests of clients: class mix, arrival times, sessions and retries.
+//! Generator of the clients' requests: class mix, arrival times, sessions and retries.
 //!
-//! Owns the generator of requests and the sessions that have written recently. Reads of a session often
-//! follow its writes. Each proxy has clients of its own, and some proxies receive several times the mean
-//! rate. The only feedback from a proxy is the responses that its clients receive.
+//! Owns the random number generator of the workload and the recent writes of sessions, which causal reads
+//! often follow. Each proxy has its own clients, and some proxies receive several times the mean request
+//! rate. Responses are the only feedback that the workload gets from a proxy.
+//!
+//! A try is one transmission of a request by its client: the first one or a retry. Attempts are what the
+//! proxy sends to data servers for one try. Times and durations are in seconds.
 
 use std::time::Duration;
 
@@ -10,68 +13,70 @@
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 
-/// The load of one class.
+/// Load of one class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassLoad {
-    /// Weight of the class among all requests.
+    /// Weight of the class in the random choice of a request's class. The weights need not add up to 1.
     pub share: f64,
-    /// Mean work of a request in s.
+    /// Mean work of a request, in seconds. The work is distributed exponentially.
     pub work_s: f64,
-    /// A replica applies no commits while it executes such a request.
+    /// Whether a replica stops applying commits while it executes a request of this class.
     pub blocks_replication: bool,
 }
 
-/// How clients behave.
+/// Parameters of the clients.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkloadSettings {
-    /// The classes, in the order of the proxy's settings.
+    /// Load of each class, in the order of the classes in the proxies' settings.
     pub class_loads: Vec<ClassLoad>,
-    /// Share of causal reads that follow a write of their session.
+    /// Share of the causal reads that follow a recent write of their session, between 0 and 1.
     pub read_after_write_share: f64,
-    /// Typical time in s between such a write and its read.
+    /// Typical time between a write and the causal read that follows it, in seconds. A read can follow a
+    /// write whose age is less than 3 times this value.
     pub read_after_write_gap_s: f64,
-    /// Retries after the first try.
+    /// Maximum number of retries after the first try.
     pub retries: u32,
-    /// Delay in s before a retry, if the response has no `Retry-After`.
+    /// Delay before a retry if the response has no `Retry-After`, in seconds.
     pub retry_delay_s: f64,
 }
 
-/// A client's request over all its tries.
+/// A client's request, with its state over all tries.
 #[derive(Debug, Clone)]
 pub struct ClientRequest {
-    /// The proxy that receives it.
+    /// Index of the proxy to which the client sends the request.
     pub proxy: usize,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its replica set.
+    /// Index of the replica set that holds the data.
     pub set: usize,
-    /// Its session.
+    /// Id of the session. A read that follows a write has the id of the write's session.
     pub session: u64,
-    /// When the client created it, in s.
+    /// Time at which the client created the request, in seconds.
     pub created_at: f64,
-    /// When the client gives up, in s.
+    /// Time at which the client gives up, in seconds.
     pub deadline: f64,
-    /// Its work in s.
+    /// Work of the request at a server, in seconds.
     pub work_s: f64,
-    /// Tries so far.
+    /// Number of tries so far.
     pub tries: u32,
-    /// The last commit that its session has seen.
+    /// Commit time of the write that a causal read follows, in seconds; `None` if the request follows no
+    /// write.
     pub session_commit: Option<f64>,
 }
 
-/// Why a try of a request was not served.
+/// Reason why a try was not served.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum TryFailure {
-    /// The proxy rejected the request without executing it.
+    /// The proxy rejected the request, which was not executed.
     Rejected {
-        /// The `Retry-After` of the response.
+        /// The `Retry-After` of the response, if any.
         retry_after: Option<Duration>,
     },
-    /// The request failed and may have been executed.
+    /// The try failed, and the request may have been executed.
     Failed,
 }
 
-/// A write of a session.
+/// An acknowledged write of a session.
 #[derive(Debug, Clone, Copy)]
 struct SessionWrite {
     session: u64,
@@ -80,40 +85,48 @@
     at: f64,
 }
 
-/// Generates requests. Times are seconds.
+/// Generator of the clients' requests.
 #[derive(Debug)]
 pub struct Workload {
     settings: WorkloadSettings,
-    /// Requests per second of each proxy.
+    /// Request rate of each proxy, in requests per second.
     rates: Vec<f64>,
-    sets: usize,
+    replica_set_count: usize,
     rng: Pcg64Mcg,
-    sessions: u64,
-    /// Recent writes, by proxy.
+    session_count: u64,
+    /// Recent writes by proxy.
     recent_writes: Vec<Vec<SessionWrite>>,
 }
 
 impl Workload {
-    /// A workload of `rate` requests per second, spread unevenly over the proxies.
+    /// Creates a workload of `rate` requests per second, which are spread unevenly over the proxies.
     pub fn new(
         settings: WorkloadSettings,
         rate: f64,
         proxies: usize,
-        sets: usize,
+        replica_set_count: usize,
         mut rng: Pcg64Mcg,
     ) -> Self {
         let weights: Vec<f64> = (0..proxies).map(|_| -rng.random::<f64>().max(1e-6).ln() + 0.1).collect();
         let total: f64 = weights.iter().sum();
         let rates = weights.iter().map(|weight| rate * weight / total).collect();
-        Self { settings, rates, sets, rng, sessions: 0, recent_writes: vec![Vec::new(); proxies] }
+        Self {
+            settings,
+            rates,
+            replica_set_count,
+            rng,
+            session_count: 0,
+            recent_writes: vec![Vec::new(); proxies],
+        }
     }
 
-    /// Time in s until the next request of a proxy, at a multiple of its usual rate.
+    /// Draws the time until a proxy's next new request, in seconds. `factor` multiplies the usual rate of the
+    /// proxy.
     pub fn next_interval(&mut self, proxy: usize, factor: f64) -> f64 {
         -self.rng.random::<f64>().max(1e-9).ln() / (self.rates[proxy] * factor)
     }
 
-    /// Draws a request of a proxy's clients.
+    /// Draws a new request of a proxy's clients, created at `now`.
     pub fn draw_request(&mut self, proxy: usize, now: f64, settings: &Settings) -> ClientRequest {
         let index = self.draw_class();
         let class = &settings.classes[index];
@@ -139,18 +152,19 @@
         }
     }
 
-    /// Draws a class by its share, and returns its index.
+    /// Draws the index of a class, weighted by the shares of the classes.
     fn draw_class(&mut self) -> usize {
         let total: f64 = self.settings.class_loads.iter().map(|load| load.share).sum();
-        let mut rest = self.rng.random::<f64>() * total;
-        let drawn = self.settings.class_loads.iter().position(|load| {
-            rest -= load.share;
-            rest < 0.0
+        let mut remaining = self.rng.random::<f64>() * total;
+        let class = self.settings.class_loads.iter().position(|load| {
+            remaining -= load.share;
+            remaining < 0.0
         });
-        drawn.unwrap_or(0)
+        class.unwrap_or(0)
     }
 
-    /// The write that a causal read follows, or none for the read of a new session.
+    /// Draws the write that a causal read follows; `None` if the read belongs to a new session. Forgets
+    /// writes that are no longer recent.
     fn draw_recent_write(&mut self, proxy: usize, now: f64) -> Option<SessionWrite> {
         if self.rng.random::<f64>() >= self.settings.read_after_write_share {
             return None;
@@ -161,19 +175,20 @@
         (count > 0).then(|| self.recent_writes[proxy][self.rng.random_range(0..count)])
     }
 
-    /// A new session and its replica set.
+    /// Creates a session, and returns its id and the index of a random replica set.
     fn draw_new_session(&mut self) -> (u64, usize) {
-        self.sessions += 1;
-        (self.sessions, self.rng.random_range(0..self.sets))
+        self.session_count += 1;
+        (self.session_count, self.rng.random_range(0..self.replica_set_count))
     }
 
-    /// Records that a write was acknowledged to its client.
+    /// Records that a client received the acknowledgement of a write. `commit` is its commit time.
     pub fn write_acknowledged(&mut self, request: &ClientRequest, commit: f64, now: f64) {
         let write = SessionWrite { session: request.session, set: request.set, commit, at: now };
         self.recent_writes[request.proxy].push(write);
     }
 
-    /// When a client tries a request again, if it does.
+    /// Returns the time at which a client retries a request after a failed try; `None` if the client gives up
+    /// because a retry is unsafe, no retry is left, or the deadline would have passed.
     pub fn retry_at(
         &self,
         request: &ClientRequest,
