--- a/testkit/src/fleet/replication.rs
+++ b/testkit/src/fleet/replication.rs
@@ -117,6 +117,7 @@
             };
             let applied_at = progress.idle_at.max(commit + settings.shipping_delay_s)
                 + settings.apply_work_s * self.slowdown;
+            // All commits before this one are applied, so the position is just below its commit time.
             progress.position = progress.position.max(commit - 1e-6);
             if applied_at > now {
                 return progress.position;
--- a/testkit/src/fleet/rule_checker.rs
+++ b/testkit/src/fleet/rule_checker.rs
@@ -1,8 +1,9 @@
-//! Checks the service rules from what passes between proxies, servers and the discovery service.
+//! Checks the service rules from the messages between proxies, clients, servers and the discovery service.
 //!
-//! Owns an account of each request that a proxy accepted, of each attempt, and of the endpoint states that
-//! each proxy has received. It is independent of the routing engine. Replication positions come from the
-//! models and not from what servers report.
+//! Owns a record of each request that a proxy accepted, with its attempts, and the time at which each proxy
+//! was notified of a draining or removed server. The checker is independent of the routing engine.
+//! Replication positions come from the models, not from the servers' reports. All times are trial times in
+//! seconds; a commit is identified by its commit time.
 
 use std::collections::HashMap;
 
@@ -10,78 +11,80 @@
     Class, ClassId, Consistency, EndpointState, Idempotency, KeyScope, Outcome, Settings,
 };
 
-/// A violation of a rule.
+/// A violation of a service rule.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Violation {
-    /// When it happened, in s.
+    /// Time of the violation, in seconds.
     pub at: f64,
-    /// The rule.
+    /// Rule that was violated.
     pub rule: Rule,
-    /// What happened.
+    /// Description of the event that violated the rule.
     pub description: String,
 }
 
-/// The service rules.
+/// Rules that proxies must follow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// Each request gets one final answer by its deadline.
+    /// Each request gets exactly one final answer by its deadline, and no attempt is sent after the answer.
     AnswerInTime,
-    /// A request that may have been executed is not executed again, unless it is idempotent.
+    /// A request that may have been executed is not executed again and not rejected as safe to retry, unless
+    /// the request is idempotent or its idempotency key prevents a second execution.
     NoDuplicateExecution,
-    /// A draining server receives no new requests after a grace period.
+    /// A draining or removed server receives no new requests after a grace period.
     NoRequestsToDraining,
-    /// Proxies do not overload a server that warms up.
+    /// Proxies that know of a server's start do not overload the server while it warms up.
     NoWarmUpOverload,
-    /// A read returns data that is recent enough.
+    /// A read returns data that meets the consistency requirement of its class.
     NoStaleRead,
-    /// The number of attempts is limited.
+    /// The number of attempts of a request stays within the limit.
     MaxAttempts,
 }
 
-/// The share of the load on a server that crashed, from proxies informed of its start, above which they
-/// violate the rule.
+/// Share of the load on a server that crashed while it warmed up, above which the proxies that were informed
+/// of its start violate [`Rule::NoWarmUpOverload`].
 pub const MAX_INFORMED_SHARE: f64 = 2.0 / 3.0;
-/// Time in s past a limit that is tolerated.
+/// Tolerance for time limits, in seconds.
 const TOLERANCE_S: f64 = 0.05;
 
-/// A request that a proxy accepts.
+/// A request that a proxy has accepted.
 #[derive(Debug, Clone, Copy)]
 pub struct AcceptedRequest {
-    /// Its id, unique in the trial.
+    /// Id of the request, unique in the trial.
     pub id: u64,
-    /// The proxy.
+    /// Index of the proxy.
     pub proxy: usize,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its session.
+    /// Id of the session.
     pub session: u64,
-    /// The commit in the session token that came with it.
+    /// Commit time in the session token of the request, in seconds; `None` if the client sent no token.
     pub token_commit: Option<f64>,
-    /// When it was accepted, in s.
+    /// Time at which the proxy accepted the request, in seconds.
     pub accepted_at: f64,
-    /// Its deadline in s.
+    /// Deadline of the request, in seconds.
     pub deadline: f64,
 }
 
-/// A read at a replica.
+/// A read that a replica has executed.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplicaRead {
-    /// The request.
+    /// Id of the request.
     pub request: u64,
-    /// When the attempt was sent, in s.
+    /// Time at which the attempt was sent, in seconds.
     pub sent_at: f64,
-    /// The position of the replica's data.
+    /// Replication position of the data that the replica returned, in seconds.
     pub position: f64,
-    /// The server was primary before, and the proxy could not know otherwise: stale data is no violation.
+    /// Whether stale data is no violation, because the server was primary before and the proxy could not yet
+    /// know that it no longer is.
     pub may_read_stale: bool,
 }
 
-/// The kind of a final answer.
+/// Kind of a final answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinalAnswer {
-    /// A rejection, which promises that the client can try again safely.
+    /// A rejection, which promises that the client can retry safely.
     Rejected,
-    /// A response or an error.
+    /// A response or another error.
     Other,
 }
 
@@ -93,42 +96,43 @@
 }
 
 #[derive(Debug)]
-struct RequestAccount {
+struct RequestRecord {
     class: ClassId,
     proxy: usize,
     accepted_at: f64,
     deadline: f64,
     ended: bool,
-    /// Nobody waits for its answer.
+    /// Whether nobody waits for an answer any more.
     abandoned: bool,
     attempts: u32,
-    /// The server of each attempt that has not ended.
+    /// Server of each attempt in flight, by attempt number.
     in_flight: HashMap<u32, usize>,
-    /// The first attempt that ended and may have been executed.
+    /// First ended attempt that may have been executed.
     possible_execution: Option<PossibleExecution>,
-    /// The minimum position of the data that a read must return.
+    /// Minimum replication position of the data that a causal or linearizable read must return, in seconds; 0
+    /// for other classes.
     min_position: f64,
 }
 
-/// The rule checker.
+/// Checker of the service rules.
 #[derive(Debug)]
 pub struct RuleChecker {
     settings: Settings,
-    requests: HashMap<u64, RequestAccount>,
-    /// When each proxy was notified that a server drains or is gone, by proxy and server.
+    requests: HashMap<u64, RequestRecord>,
+    /// Time at which a proxy was notified that a server drains or is removed, by proxy and server.
     withdrawn_at: HashMap<(usize, usize), f64>,
-    /// The last acknowledged commit of each session, by proxy and session.
+    /// Time of the last acknowledged commit, by proxy and session.
     session_commits: HashMap<(usize, u64), f64>,
-    /// How often each write was executed.
+    /// Number of executions of each write, by request id.
     write_executions: HashMap<u64, u32>,
-    /// The zone of each server.
+    /// Zone of each server.
     zones: Vec<usize>,
-    /// The violations.
+    /// Violations in the order of their detection.
     pub violations: Vec<Violation>,
 }
 
 impl RuleChecker {
-    /// A checker for proxies with these settings.
+    /// Creates a checker for proxies with these settings.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -152,7 +156,8 @@
         self.violations.push(Violation { at, rule, description });
     }
 
-    /// Records that a server crashed on overload while it warmed up.
+    /// Records that a server crashed on overload while it warmed up. `informed_share` is the share of its
+    /// load that came from proxies that were informed of its start.
     pub fn server_crashed(&mut self, server: usize, informed_share: f64, now: f64) {
         if informed_share > MAX_INFORMED_SHARE {
             let description = format!(
@@ -174,7 +179,7 @@
             }
             _ => 0.0,
         };
-        let account = RequestAccount {
+        let record = RequestRecord {
             class: request.class,
             proxy: request.proxy,
             accepted_at: request.accepted_at,
@@ -186,16 +191,16 @@
             possible_execution: None,
             min_position,
         };
-        self.requests.insert(request.id, account);
+        self.requests.insert(request.id, record);
     }
 
-    /// Records that a write of a session was acknowledged through a proxy.
+    /// Records that a proxy acknowledged a write of a session with this commit time.
     pub fn write_acknowledged(&mut self, proxy: usize, session: u64, commit: f64) {
         let last = self.session_commits.entry((proxy, session)).or_default();
         *last = last.max(commit);
     }
 
-    /// Records that a proxy was notified of the state of a server.
+    /// Records that a proxy was notified of a server's state, by the endpoint list or by an operator.
     pub fn endpoint_listed(&mut self, proxy: usize, server: usize, state: EndpointState, now: f64) {
         if state == EndpointState::Healthy {
             self.withdrawn_at.remove(&(proxy, server));
@@ -204,54 +209,56 @@
         }
     }
 
-    /// Records that a proxy decided to send an attempt.
+    /// Records that a proxy decided to send an attempt of a request to a server.
     pub fn attempt_sent(&mut self, id: u64, server: usize, now: f64) {
-        let Some(account) = self.requests.get_mut(&id) else { return };
-        let mut found = Vec::new();
-        if account.ended && !account.abandoned {
-            found.push((Rule::AnswerInTime, "an attempt after the final answer"));
+        let Some(record) = self.requests.get_mut(&id) else { return };
+        let mut violations_found = Vec::new();
+        if record.ended && !record.abandoned {
+            violations_found.push((Rule::AnswerInTime, "attempt sent after the final answer"));
         }
-        if account.attempts >= self.settings.limits.max_attempts {
-            found.push((Rule::MaxAttempts, "one attempt too many"));
+        if record.attempts >= self.settings.limits.max_attempts {
+            violations_found.push((Rule::MaxAttempts, "attempt exceeds the maximum number of attempts"));
         }
-        if !account.in_flight.is_empty() && !self.settings.limits.allow_hedging {
-            found.push((Rule::NoDuplicateExecution, "a hedged request"));
+        if !record.in_flight.is_empty() && !self.settings.limits.allow_hedging {
+            violations_found
+                .push((Rule::NoDuplicateExecution, "hedged request, which the settings do not allow"));
         }
-        let class = &self.settings.classes[account.class.0];
-        if let Some(description) = repeated_execution(account, class, &self.zones, server, now) {
-            found.push((Rule::NoDuplicateExecution, description));
+        let class = &self.settings.classes[record.class.0];
+        if let Some(description) = duplicate_execution_reason(record, class, &self.zones, server, now) {
+            violations_found.push((Rule::NoDuplicateExecution, description));
         }
-        account.in_flight.insert(account.attempts, server);
-        account.attempts += 1;
-        for (rule, description) in found {
+        record.in_flight.insert(record.attempts, server);
+        record.attempts += 1;
+        for (rule, description) in violations_found {
             self.report_violation(now, rule, format!("request {id} to server {server}: {description}"));
         }
     }
 
-    /// Records that the statement of an attempt was written to its server.
+    /// Records that a proxy wrote the statement of an attempt to the server's connection.
     pub fn statement_written(&mut self, id: u64, server: usize, now: f64) {
-        let Some(account) = self.requests.get(&id) else { return };
+        let Some(record) = self.requests.get(&id) else { return };
         let grace_period = self.settings.rules.drain_grace_period.as_secs_f64() + TOLERANCE_S;
-        let withdrawn_at = self.withdrawn_at.get(&(account.proxy, server));
+        let withdrawn_at = self.withdrawn_at.get(&(record.proxy, server));
         if withdrawn_at.is_some_and(|at| now > at + grace_period) {
-            let description = format!("request {id} to server {server}: sent after the drain grace period");
+            let description =
+                format!("request {id} to server {server}: statement sent after the drain grace period");
             self.report_violation(now, Rule::NoRequestsToDraining, description);
         }
     }
 
     /// Records that a replica executed a read.
     pub fn read_executed(&mut self, read: ReplicaRead, now: f64) {
-        let Some(account) = self.requests.get(&read.request) else { return };
-        let min_position = match self.settings.classes[account.class.0].consistency {
+        let Some(record) = self.requests.get(&read.request) else { return };
+        let min_position = match self.settings.classes[record.class.0].consistency {
             Consistency::BoundedStaleness(max_age) => read.sent_at - max_age.as_secs_f64(),
-            Consistency::Causal | Consistency::Linearizable => account.min_position,
+            Consistency::Causal | Consistency::Linearizable => record.min_position,
             Consistency::Write | Consistency::Eventual => return,
         };
         if read.position < min_position && !read.may_read_stale {
             let description = format!(
-                "request {} of proxy {}: data {:.3} s too old",
+                "request {} of proxy {}: data is {:.3} s too old",
                 read.request,
-                account.proxy,
+                record.proxy,
                 min_position - read.position
             );
             self.report_violation(now, Rule::NoStaleRead, description);
@@ -271,77 +278,80 @@
         }
     }
 
-    /// Records the end of an attempt, as its proxy observed it.
+    /// Records the outcome of an attempt as the proxy observed it.
     pub fn attempt_ended(&mut self, id: u64, attempt: u32, outcome: Outcome, sent_at: f64) {
-        let Some(account) = self.requests.get_mut(&id) else { return };
-        let Some(server) = account.in_flight.remove(&attempt) else { return };
+        let Some(record) = self.requests.get_mut(&id) else { return };
+        let Some(server) = record.in_flight.remove(&attempt) else { return };
         if !outcome.rules_out_execution() {
-            account.possible_execution.get_or_insert(PossibleExecution { sent_at, server });
+            record.possible_execution.get_or_insert(PossibleExecution { sent_at, server });
         }
     }
 
-    /// Records the end of an attempt, as its server observed it.
+    /// Records the outcome of an attempt as the server observed it. The server does not know the attempt's
+    /// number.
     pub fn attempt_ended_at_server(&mut self, id: u64, server: usize, outcome: Outcome, sent_at: f64) {
-        let Some(account) = self.requests.get(&id) else { return };
-        let attempt = account.in_flight.iter().find(|(_, at)| **at == server).map(|(attempt, _)| *attempt);
+        let Some(record) = self.requests.get(&id) else { return };
+        let attempt = record.in_flight.iter().find(|(_, at)| **at == server).map(|(attempt, _)| *attempt);
         if let Some(attempt) = attempt {
             self.attempt_ended(id, attempt, outcome, sent_at);
         }
     }
 
-    /// Records that a proxy closed the connection of an attempt.
+    /// Records that a proxy closed the connection of an attempt, which may have been executed.
     pub fn attempt_abandoned(&mut self, id: u64, server: usize, now: f64) {
         self.attempt_ended_at_server(id, server, Outcome::Timeout, now);
     }
 
-    /// Records the final answer of a request.
+    /// Records that a proxy sent the final answer to a request.
     pub fn request_answered(&mut self, id: u64, answer: FinalAnswer, now: f64) {
-        let Some(account) = self.requests.get_mut(&id) else { return };
+        let Some(record) = self.requests.get_mut(&id) else { return };
         let grace_period = self.settings.rules.answer_grace_period.as_secs_f64() + TOLERANCE_S;
-        let late = now > account.deadline + grace_period;
-        let may_have_run = account.possible_execution.is_some() || !account.in_flight.is_empty();
-        let retry_is_safe = match self.settings.classes[account.class.0].idempotency {
+        let is_late = now > record.deadline + grace_period;
+        let may_have_been_executed = record.possible_execution.is_some() || !record.in_flight.is_empty();
+        let retry_is_safe = match self.settings.classes[record.class.0].idempotency {
             Idempotency::Idempotent => true,
-            Idempotency::WithKey { scope, .. } => scope == KeyScope::All || !may_have_run,
-            Idempotency::NonIdempotent => !may_have_run,
+            Idempotency::WithKey { scope, .. } => scope == KeyScope::All || !may_have_been_executed,
+            Idempotency::NonIdempotent => !may_have_been_executed,
         };
-        let answered_before = account.ended;
-        let waited = now - account.accepted_at;
-        account.ended = true;
+        let answered_before = record.ended;
+        let wait_s = now - record.accepted_at;
+        record.ended = true;
         if answered_before {
-            self.report_violation(now, Rule::AnswerInTime, format!("request {id}: a second final answer"));
+            self.report_violation(now, Rule::AnswerInTime, format!("request {id}: second final answer"));
         }
-        if late {
+        if is_late {
             self.report_violation(
                 now,
                 Rule::AnswerInTime,
-                format!("request {id}: answered after {waited:.3} s"),
+                format!("request {id}: answered after {wait_s:.3} s"),
             );
         }
         if answer == FinalAnswer::Rejected && !retry_is_safe {
-            let description = format!("request {id}: rejected, but it may have been executed");
+            let description =
+                format!("request {id}: rejected as safe to retry, but the request may have been executed");
             self.report_violation(now, Rule::NoDuplicateExecution, description);
         }
     }
 
-    /// Records that a request needs no answer any more: its client has gone, or its proxy was killed.
+    /// Records that a request needs no answer any more, because the client disconnected or the proxy was
+    /// killed.
     pub fn request_abandoned(&mut self, id: u64) {
-        if let Some(account) = self.requests.get_mut(&id) {
-            account.ended = true;
-            account.abandoned = true;
+        if let Some(record) = self.requests.get_mut(&id) {
+            record.ended = true;
+            record.abandoned = true;
         }
     }
 
-    /// Ends the trial: requests past their deadline that have no answer are violations.
+    /// Ends the trial, and reports requests that have passed their deadline without an answer.
     pub fn finish(&mut self, now: f64) {
         let grace_period = self.settings.rules.answer_grace_period.as_secs_f64() + TOLERANCE_S;
-        let lost = self.requests.iter().filter(|(_, account)| !account.ended);
-        let lost = lost.filter(|(_, account)| now > account.deadline + grace_period);
-        let mut descriptions: Vec<(u64, String)> = lost
-            .map(|(id, account)| {
-                let age_s = now - account.accepted_at;
-                let proxy = account.proxy;
-                (*id, format!("request {id} of proxy {proxy}, accepted {age_s:.3} s before: no answer"))
+        let unanswered = self.requests.iter().filter(|(_, record)| !record.ended);
+        let unanswered = unanswered.filter(|(_, record)| now > record.deadline + grace_period);
+        let mut descriptions: Vec<(u64, String)> = unanswered
+            .map(|(id, record)| {
+                let age_s = now - record.accepted_at;
+                let proxy = record.proxy;
+                (*id, format!("request {id} of proxy {proxy}, accepted {age_s:.3} s ago: no answer"))
             })
             .collect();
         descriptions.sort_by_key(|(id, _)| *id);
@@ -350,38 +360,40 @@
         }
     }
 
-    /// Describes the violations; times count from `start`.
+    /// Returns one line for each violation, with the time since `start` in seconds.
     pub fn descriptions(&self, start: f64) -> Vec<String> {
         let describe = |v: &Violation| format!("{:?} at {:.3} s: {}", v.rule, v.at - start, v.description);
         self.violations.iter().map(describe).collect()
     }
 
-    /// Removes requests that ended before a time.
+    /// Forgets requests that have ended and whose deadline is not after `before`.
     pub fn prune(&mut self, before: f64) {
-        self.requests.retain(|_, account| !account.ended || account.deadline > before);
+        self.requests.retain(|_, record| !record.ended || record.deadline > before);
         let requests = &self.requests;
         self.write_executions.retain(|id, _| requests.contains_key(id));
     }
 }
 
-/// Describes why a further attempt at a server could execute a request again, if it could.
-fn repeated_execution(
-    account: &RequestAccount,
+/// Returns why another attempt at `server` could violate [`Rule::NoDuplicateExecution`]; `None` if the
+/// attempt is allowed.
+fn duplicate_execution_reason(
+    record: &RequestRecord,
     class: &Class,
     zones: &[usize],
     server: usize,
     now: f64,
 ) -> Option<&'static str> {
-    // An attempt in flight may be executed as well.
-    let in_flight = account.in_flight.values().next();
+    // An attempt in flight may be executed, too.
+    let in_flight = record.in_flight.values().next();
     let in_flight = in_flight.map(|server| PossibleExecution { sent_at: now, server: *server });
-    let first = account.possible_execution.or(in_flight)?;
+    let possible_execution = record.possible_execution.or(in_flight)?;
     match class.idempotency {
-        Idempotency::NonIdempotent => Some("a retry after a possible execution"),
+        Idempotency::NonIdempotent => Some("retry after a possible execution"),
         Idempotency::WithKey { scope, window } => {
-            let other_zone = scope == KeyScope::Zone && zones.get(first.server) != zones.get(server);
-            let expired = now > first.sent_at + window.as_secs_f64();
-            (other_zone || expired).then_some("a retry outside the scope or window of its idempotency key")
+            let other_zone =
+                scope == KeyScope::Zone && zones.get(possible_execution.server) != zones.get(server);
+            let expired = now > possible_execution.sent_at + window.as_secs_f64();
+            (other_zone || expired).then_some("retry outside the scope or window of its idempotency key")
         }
         Idempotency::Idempotent => None,
     }
--- a/testkit/src/fleet/rule_checker/tests.rs
+++ b/testkit/src/fleet/rule_checker/tests.rs
@@ -6,7 +6,7 @@
 const WRITE: ClassId = ClassId(0);
 const READ: ClassId = ClassId(1);
 
-fn checker() -> RuleChecker {
+fn create_checker() -> RuleChecker {
     let ms = Duration::from_millis;
     let class = |idempotency, consistency| Class {
         priority_weight: 1.0,
@@ -67,9 +67,10 @@
     })
 }
 
-/// The rules that are violated when `steps` follow a request that was accepted at 1 s with a deadline of 3 s.
+/// Returns the rules that are violated when `steps` follow a request that was accepted at 1 s with a deadline
+/// of 3 s. Its session has a write that was committed at 0.9 s.
 fn violations(class: ClassId, steps: impl FnOnce(&mut RuleChecker)) -> Vec<Rule> {
-    let mut checker = checker();
+    let mut checker = create_checker();
     checker.write_acknowledged(0, 7, 0.9);
     checker.request_accepted(AcceptedRequest {
         id: 1,
@@ -85,104 +86,108 @@
     checker.violations.iter().map(|violation| violation.rule).collect()
 }
 
-fn answer(checker: &mut RuleChecker) {
+fn answer_request(checker: &mut RuleChecker) {
     checker.request_answered(1, FinalAnswer::Other, 2.0);
 }
 
-fn send(checker: &mut RuleChecker) {
+fn send_attempt(checker: &mut RuleChecker) {
     checker.attempt_sent(1, 4, 1.1);
 }
 
-/// Sends an attempt that ends with an outcome, and a retry, and answers the request.
-fn retry_after(outcome: Outcome) -> impl FnOnce(&mut RuleChecker) {
-    move |c: &mut RuleChecker| {
-        send(c);
-        c.attempt_ended(1, 0, outcome, 1.1);
-        c.attempt_sent(1, 5, 1.2);
-        answer(c);
+/// Returns steps that send an attempt, end it with `outcome`, send a second attempt to another server, and
+/// answer the request.
+fn attempt_then_retry(outcome: Outcome) -> impl FnOnce(&mut RuleChecker) {
+    move |checker: &mut RuleChecker| {
+        send_attempt(checker);
+        checker.attempt_ended(1, 0, outcome, 1.1);
+        checker.attempt_sent(1, 5, 1.2);
+        answer_request(checker);
     }
 }
 
 #[test]
-fn a_request_needs_one_final_answer_in_time() {
-    assert_eq!(violations(READ, answer), []);
+fn a_request_needs_exactly_one_final_answer_by_its_deadline() {
+    assert_eq!(violations(READ, answer_request), []);
     assert_eq!(violations(READ, |_| ()), [Rule::AnswerInTime]);
-    assert_eq!(violations(READ, |c| c.request_answered(1, FinalAnswer::Other, 3.2)), [Rule::AnswerInTime]);
     assert_eq!(
-        violations(READ, |c| {
-            answer(c);
-            answer(c)
+        violations(READ, |checker| checker.request_answered(1, FinalAnswer::Other, 3.2)),
+        [Rule::AnswerInTime]
+    );
+    assert_eq!(
+        violations(READ, |checker| {
+            answer_request(checker);
+            answer_request(checker)
         }),
         [Rule::AnswerInTime]
     );
     assert_eq!(
-        violations(READ, |c| {
-            answer(c);
-            send(c)
+        violations(READ, |checker| {
+            answer_request(checker);
+            send_attempt(checker)
         }),
         [Rule::AnswerInTime]
     );
 }
 
 #[test]
-fn a_stale_read_is_a_violation_unless_the_proxy_could_not_know() {
-    let read = |position, may_read_stale| {
-        move |c: &mut RuleChecker| {
-            send(c);
-            c.read_executed(ReplicaRead { request: 1, sent_at: 1.1, position, may_read_stale }, 1.1);
-            answer(c);
+fn a_stale_read_is_a_violation_unless_the_proxy_could_not_know_of_the_lost_primary_role() {
+    let execute_read = |position, may_read_stale| {
+        move |checker: &mut RuleChecker| {
+            send_attempt(checker);
+            checker.read_executed(ReplicaRead { request: 1, sent_at: 1.1, position, may_read_stale }, 1.1);
+            answer_request(checker);
         }
     };
-    assert_eq!(violations(READ, read(0.9, false)), []);
-    assert_eq!(violations(READ, read(0.89, false)), [Rule::NoStaleRead]);
-    assert_eq!(violations(READ, read(0.89, true)), []);
+    assert_eq!(violations(READ, execute_read(0.9, false)), []);
+    assert_eq!(violations(READ, execute_read(0.89, false)), [Rule::NoStaleRead]);
+    assert_eq!(violations(READ, execute_read(0.89, true)), []);
 }
 
 #[test]
-fn a_draining_server_receives_no_statements_after_the_grace_period() {
-    let written_to_draining = |at: f64| {
-        move |c: &mut RuleChecker| {
-            c.endpoint_listed(0, 4, EndpointState::Draining, 0.5);
-            c.statement_written(1, 4, at);
-            answer(c);
+fn a_statement_to_a_draining_server_after_the_grace_period_is_a_violation() {
+    let write_statement = |at: f64| {
+        move |checker: &mut RuleChecker| {
+            checker.endpoint_listed(0, 4, EndpointState::Draining, 0.5);
+            checker.statement_written(1, 4, at);
+            answer_request(checker);
         }
     };
-    assert_eq!(violations(READ, written_to_draining(1.5)), []);
-    assert_eq!(violations(READ, written_to_draining(1.6)), [Rule::NoRequestsToDraining]);
+    assert_eq!(violations(READ, write_statement(1.5)), []);
+    assert_eq!(violations(READ, write_statement(1.6)), [Rule::NoRequestsToDraining]);
 }
 
 #[test]
-fn a_write_that_may_have_been_executed_is_not_repeated() {
-    assert_eq!(violations(WRITE, retry_after(Outcome::Rejected)), []);
-    assert_eq!(violations(WRITE, retry_after(Outcome::Reset)), [Rule::NoDuplicateExecution]);
-    assert_eq!(violations(READ, retry_after(Outcome::Reset)), []);
-    let rejected = |c: &mut RuleChecker| c.request_answered(1, FinalAnswer::Rejected, 2.0);
+fn a_retry_or_rejection_of_a_write_that_may_have_been_executed_is_a_violation() {
+    assert_eq!(violations(WRITE, attempt_then_retry(Outcome::Rejected)), []);
+    assert_eq!(violations(WRITE, attempt_then_retry(Outcome::Reset)), [Rule::NoDuplicateExecution]);
+    assert_eq!(violations(READ, attempt_then_retry(Outcome::Reset)), []);
+    let reject_request = |checker: &mut RuleChecker| checker.request_answered(1, FinalAnswer::Rejected, 2.0);
     assert_eq!(
-        violations(WRITE, |c| {
-            send(c);
-            rejected(c)
+        violations(WRITE, |checker| {
+            send_attempt(checker);
+            reject_request(checker)
         }),
         [Rule::NoDuplicateExecution]
     );
-    let executed_twice = |c: &mut RuleChecker| {
-        (0..2).for_each(|_| c.write_executed(1, WRITE, 2.0));
-        answer(c);
+    let execute_twice = |checker: &mut RuleChecker| {
+        (0..2).for_each(|_| checker.write_executed(1, WRITE, 2.0));
+        answer_request(checker);
     };
-    assert_eq!(violations(WRITE, executed_twice), [Rule::NoDuplicateExecution]);
+    assert_eq!(violations(WRITE, execute_twice), [Rule::NoDuplicateExecution]);
 }
 
 #[test]
-fn the_number_of_attempts_is_limited() {
-    let two_attempts = |c: &mut RuleChecker| {
-        retry_after(Outcome::Rejected)(c);
-        c.attempt_ended(1, 1, Outcome::Rejected, 1.2);
+fn an_attempt_above_the_maximum_number_is_a_violation() {
+    let two_attempts = |checker: &mut RuleChecker| {
+        attempt_then_retry(Outcome::Rejected)(checker);
+        checker.attempt_ended(1, 1, Outcome::Rejected, 1.2);
     };
-    let three_attempts = |c: &mut RuleChecker| {
-        (0..3).for_each(|n| {
-            c.attempt_sent(1, 4, 1.1);
-            c.attempt_ended(1, n, Outcome::Rejected, 1.1);
+    let three_attempts = |checker: &mut RuleChecker| {
+        (0..3).for_each(|attempt| {
+            checker.attempt_sent(1, 4, 1.1);
+            checker.attempt_ended(1, attempt, Outcome::Rejected, 1.1);
         });
-        answer(c);
+        answer_request(checker);
     };
     assert_eq!(violations(READ, two_attempts), []);
     assert_eq!(violations(READ, three_attempts), [Rule::MaxAttempts]);
--- a/testkit/src/fleet/server_model.rs
+++ b/testkit/src/fleet/server_model.rs
@@ -1,102 +1,105 @@
-//! The model of a data server: cores, a bounded queue, a warm-up after each start, and a crash on overload.
+//! Model of a data server: cores, a bounded queue, a warm-up after each start, and a crash on overload.
 //!
-//! Owns the accepted work and when each part of it ends. Requests are executed first come, first served; a
-//! full queue rejects them. Everything that reaches a server that warms up counts towards its overload, also
-//! what it rejects. Times are seconds.
+//! Owns the schedule of the accepted work on the cores. Requests are executed in the order of their arrival,
+//! and rejected if the queue is full. While a server warms up, all arriving requests count towards its
+//! overload, including rejected ones. Times and durations are in seconds; work is measured as the seconds
+//! that one core of a warm server with speed 1 takes for it.
 
 use std::collections::VecDeque;
 
-/// The properties of a server.
+/// Parameters of a data server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ServerModelSettings {
     /// Number of cores.
     pub cores: usize,
-    /// Seconds of work that a core does in one second.
+    /// Speed of a warm core, in seconds of work per second.
     pub speed: f64,
     /// Maximum number of queued requests.
     pub max_queue: usize,
     /// Maximum number of connections.
     pub max_connections: usize,
-    /// Work of a new connection in s.
+    /// Work to establish a connection, in seconds.
     pub handshake_work_s: f64,
-    /// Share of its capacity with which a server starts.
+    /// Share of the full capacity that a server has when it starts, between 0 and 1.
     pub initial_capacity_share: f64,
-    /// Time in s until it has its full capacity.
+    /// Time from the start of a server until it has its full capacity, in seconds.
     pub warm_up_s: f64,
-    /// Multiple of its present capacity that makes a server crash while it warms up.
+    /// Multiple of the current capacity at which a server that warms up crashes.
     pub overload_factor: f64,
-    /// Time in s over which the overload is measured.
+    /// Length of the sliding window over which the overload is measured, in seconds.
     pub overload_duration_s: f64,
-    /// Mean work of a request in s. Overload allows for the random spread of the number of such requests.
+    /// Mean work of a request, in seconds. The overload limit allows for the random variation of the number
+    /// of requests of this size.
     pub mean_work_s: f64,
 }
 
-/// Whether a server works, and how it fails otherwise.
+/// State of a server process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ServerState {
-    /// It works.
+    /// The server executes requests.
     Up,
-    /// It accepts requests and never answers.
+    /// The server accepts connections and requests, but never responds.
     Hung,
-    /// It drops all data.
+    /// The server drops all data that it receives, and sends none.
     Unresponsive,
-    /// Its process has exited; connections are refused.
+    /// The process has exited, and connections are refused.
     Dead,
 }
 
-/// The result of the arrival of a request.
+/// Result of the arrival of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Arrival {
-    /// It is executed between these times.
+    /// The server executes the request between these times.
     Executing {
-        /// When the execution starts.
+        /// Start of the execution, in seconds.
         starts_at: f64,
-        /// When the execution ends.
+        /// End of the execution, in seconds.
         ends_at: f64,
     },
-    /// The queue was full.
+    /// The server rejected the request because the queue is full.
     Rejected,
     /// The request overloaded the server, which crashed.
     Crashed {
-        /// The share of the load that came from senders that were informed of the server's start.
+        /// Share of the work in the window that came from senders that were informed of the server's start.
         informed_share: f64,
     },
 }
 
-/// Work that arrived within the period over which overload is measured.
+/// A request that arrived within the window over which the overload is measured.
 #[derive(Debug, Clone, Copy)]
-struct ArrivedWork {
+struct ArrivedRequest {
     at: f64,
     work_s: f64,
     sender_informed: bool,
 }
 
-/// The model of a server.
+/// Model of a data server.
 #[derive(Debug, Clone)]
 pub struct ServerModel {
     settings: ServerModelSettings,
-    /// Whether it works.
+    /// State of the process.
     pub state: ServerState,
-    /// When its process last started, if that was during the trial.
+    /// Time of the last start of the process, in seconds; `None` if the server started before the trial.
     pub started_at: Option<f64>,
-    /// Open connections.
+    /// Number of open connections.
     pub connections: usize,
-    /// Incremented by each exit and start of the process; connections and work of earlier incarnations are
-    /// lost.
+    /// Number that each exit and each start of the process increments. Connections and work of earlier
+    /// incarnations are lost.
     pub incarnation: u32,
-    /// The factor by which it is slower than usual.
+    /// Factor by which the execution time grows; 1 without a fault.
     pub slowdown: f64,
-    /// When each core becomes idle.
+    /// Time at which each core becomes idle.
     core_idle_at: Vec<f64>,
-    /// When the executions of queued requests start.
-    queued_starts: VecDeque<f64>,
-    arrived: VecDeque<ArrivedWork>,
-    /// The largest overload while it warmed up; it crashes above 1.
+    /// Start of the execution of each queued request, in ascending order.
+    queued_execution_starts: VecDeque<f64>,
+    arrived_requests: VecDeque<ArrivedRequest>,
+    /// Largest ratio of the arrived work to the overload limit since the last start. The server crashes when
+    /// the ratio exceeds 1.
     pub max_overload_ratio: f64,
 }
 
 impl ServerModel {
-    /// A server that started long ago.
+    /// Creates a server that started before the trial and has its full capacity.
     pub fn new(settings: ServerModelSettings) -> Self {
         Self {
             state: ServerState::Up,
@@ -105,34 +108,34 @@
             incarnation: 0,
             slowdown: 1.0,
             core_idle_at: vec![0.0; settings.cores],
-            queued_starts: VecDeque::new(),
-            arrived: VecDeque::new(),
+            queued_execution_starts: VecDeque::new(),
+            arrived_requests: VecDeque::new(),
             max_overload_ratio: 0.0,
             settings,
         }
     }
 
-    /// The share of its full capacity that it has at a time.
+    /// Returns the share of the full capacity that the server has at `now`, between 0 and 1.
     pub fn capacity_share(&self, now: f64) -> f64 {
         let Some(started_at) = self.started_at else { return 1.0 };
         let progress = (now - started_at).max(0.0) / self.settings.warm_up_s.max(1e-3);
-        let initial = self.settings.initial_capacity_share;
-        (initial + (1.0 - initial) * progress).min(1.0)
+        let initial_share = self.settings.initial_capacity_share;
+        (initial_share + (1.0 - initial_share) * progress).min(1.0)
     }
 
-    /// Seconds of work that all cores together do in one second.
+    /// Returns the capacity of all cores at `now`, in seconds of work per second.
     pub fn capacity(&self, now: f64) -> f64 {
         self.settings.cores as f64 * self.settings.speed * self.capacity_share(now) / self.slowdown
     }
 
-    /// Ends its process.
+    /// Ends the process of the server.
     pub fn exit(&mut self) {
         self.state = ServerState::Dead;
         self.connections = 0;
         self.incarnation += 1;
     }
 
-    /// Starts its process, which then warms up.
+    /// Starts the process of the server, which then warms up.
     pub fn start(&mut self, now: f64) {
         self.state = ServerState::Up;
         self.started_at = Some(now);
@@ -140,11 +143,11 @@
         self.max_overload_ratio = 0.0;
         self.incarnation += 1;
         self.core_idle_at.fill(now);
-        self.queued_starts.clear();
-        self.arrived.clear();
+        self.queued_execution_starts.clear();
+        self.arrived_requests.clear();
     }
 
-    /// Opens a connection; false if the limit is reached.
+    /// Opens a connection. Returns false if the connection limit is reached.
     pub fn connect(&mut self, now: f64) -> bool {
         if self.connections >= self.settings.max_connections {
             return false;
@@ -154,58 +157,60 @@
         true
     }
 
-    /// Adds work to the core that is idle first, and returns when it is done.
+    /// Schedules work on the core that becomes idle first, and returns the time at which the work is done.
     pub fn add_work(&mut self, now: f64, work_s: f64) -> f64 {
-        let time_s = work_s / (self.settings.speed * self.capacity_share(now)) * self.slowdown;
+        let duration_s = work_s / (self.settings.speed * self.capacity_share(now)) * self.slowdown;
         let core = self.core_idle_at.iter_mut().min_by(|a, b| a.total_cmp(b)).expect("there is a core");
-        *core = core.max(now) + time_s;
+        *core = core.max(now) + duration_s;
         *core
     }
 
-    /// Number of queued requests.
-    pub fn queued(&mut self, now: f64) -> usize {
-        while self.queued_starts.front().is_some_and(|at| *at <= now) {
-            self.queued_starts.pop_front();
+    /// Returns the number of requests that are queued at `now`.
+    pub fn queue_length(&mut self, now: f64) -> usize {
+        while self.queued_execution_starts.front().is_some_and(|at| *at <= now) {
+            self.queued_execution_starts.pop_front();
         }
-        self.queued_starts.len()
+        self.queued_execution_starts.len()
     }
 
-    /// Handles the arrival of a request. `sender_informed` tells whether its sender was informed of the
-    /// server's start.
-    pub fn arrive(&mut self, now: f64, work_s: f64, sender_informed: bool) -> Arrival {
-        self.arrived.push_back(ArrivedWork { at: now, work_s, sender_informed });
+    /// Executes, queues or rejects an arriving request, or crashes the server on overload. `sender_informed`
+    /// says whether the sender was informed of the server's last start.
+    pub fn handle_arrival(&mut self, now: f64, work_s: f64, sender_informed: bool) -> Arrival {
+        self.arrived_requests.push_back(ArrivedRequest { at: now, work_s, sender_informed });
         if self.is_overloaded(now) {
-            let total: f64 = self.arrived.iter().map(|arrived| arrived.work_s).sum();
-            let informed = self.arrived.iter().filter(|arrived| arrived.sender_informed);
-            let informed_share = informed.map(|arrived| arrived.work_s).sum::<f64>() / total;
+            let total_work_s: f64 = self.arrived_requests.iter().map(|request| request.work_s).sum();
+            let informed = self.arrived_requests.iter().filter(|request| request.sender_informed);
+            let informed_share = informed.map(|request| request.work_s).sum::<f64>() / total_work_s;
             self.exit();
             return Arrival::Crashed { informed_share };
         }
-        if self.queued(now) >= self.settings.max_queue {
+        if self.queue_length(now) >= self.settings.max_queue {
             return Arrival::Rejected;
         }
         let starts_at = self.core_idle_at.iter().copied().fold(f64::INFINITY, f64::min).max(now);
         let ends_at = self.add_work(now, work_s);
         if starts_at > now {
-            self.queued_starts.push_back(starts_at);
+            self.queued_execution_starts.push_back(starts_at);
         }
         Arrival::Executing { starts_at, ends_at }
     }
 
-    /// Whether the work that arrived recently makes a server crash that warms up.
+    /// Returns whether the server warms up and the work that arrived within the window exceeds the overload
+    /// limit.
     fn is_overloaded(&mut self, now: f64) -> bool {
-        let period = self.settings.overload_duration_s;
-        while self.arrived.front().is_some_and(|arrived| now - arrived.at > period) {
-            self.arrived.pop_front();
+        let window_s = self.settings.overload_duration_s;
+        while self.arrived_requests.front().is_some_and(|request| now - request.at > window_s) {
+            self.arrived_requests.pop_front();
         }
         if self.capacity_share(now) >= 1.0 {
             return false;
         }
-        let arrived: f64 = self.arrived.iter().map(|arrived| arrived.work_s).sum();
-        // The rule is about the warm-up, so a slowdown for other reasons doesn't count.
+        let arrived_work_s: f64 = self.arrived_requests.iter().map(|request| request.work_s).sum();
+        // The limit depends only on the warm-up, so a slowdown by a fault is factored out.
         let capacity = self.capacity(now) * self.slowdown;
-        let allowed = self.settings.overload_factor * capacity * period / self.settings.mean_work_s;
-        let ratio = arrived / self.settings.mean_work_s / (allowed + 3.0 * allowed.sqrt() + 3.0);
+        let max_requests = self.settings.overload_factor * capacity * window_s / self.settings.mean_work_s;
+        let ratio =
+            arrived_work_s / self.settings.mean_work_s / (max_requests + 3.0 * max_requests.sqrt() + 3.0);
         self.max_overload_ratio = self.max_overload_ratio.max(ratio);
         ratio > 1.0
     }
--- a/testkit/src/fleet/site.rs
+++ b/testkit/src/fleet/site.rs
@@ -1,8 +1,9 @@
-//! The data servers of a trial, their replica sets, and the discovery service that lists them.
+//! Model of a trial's deployment behind the proxies: data servers, replica sets and the discovery service.
 //!
-//! Owns the model of each server, the replica sets and the discovery model. Its methods take the present time
-//! and have no clock and no I/O, so the stepped simulation and the trial with processes share it.
-//! Consequences that come later are returned as [`Effect`]s.
+//! Owns the model of each server, the replica sets and the discovery model. Its methods take the current time
+//! and use no clock and no I/O, so that the stepped simulation and the process trial can share them. A method
+//! returns follow-up events that the caller has to handle or schedule as [`Effect`]s. Times and durations are
+//! in seconds.
 
 mod operations;
 
@@ -17,109 +18,109 @@
 use super::replication::ReplicaSet;
 use super::server_model::{Arrival, ServerModel, ServerState};
 
-/// A server.
+/// A data server.
 #[derive(Debug)]
 pub struct Server {
-    /// Its model.
+    /// Model of the server process.
     pub model: ServerModel,
-    /// Its replica set.
+    /// Index of the server's replica set.
     pub set: usize,
-    /// Its index among the members of the set.
+    /// Index of the server among the members of the replica set.
     pub member: usize,
-    /// Its zone.
+    /// Index of the server's zone.
     pub zone: usize,
-    /// It drains and accepts no new requests.
+    /// Whether the server drains. A draining server rejects new requests.
     pub draining: bool,
-    /// It was removed for good.
+    /// Whether the server was removed permanently.
     pub removed: bool,
-    /// It is or was the primary of its set.
+    /// Whether the server is or was the primary of its replica set.
     pub was_primary: bool,
 }
 
-/// A consequence of a call that the caller has to handle.
+/// A follow-up event that the caller of a method has to handle or schedule.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Effect {
-    /// The discovery service publishes a new version of the list.
+    /// The discovery service publishes a new version of the endpoint list.
     Published(Publication),
-    /// The process of a server exited. The requests and connections of this incarnation end.
+    /// The process of a server exited, which ends the requests and connections of this incarnation.
     ServerExited {
-        /// The server.
+        /// Id of the server.
         server: usize,
-        /// The incarnation that ended.
+        /// Incarnation that ended.
         incarnation: u32,
     },
-    /// A replica set elects a primary at a time.
+    /// A replica set is due to elect a primary.
     ElectionDue {
-        /// The set.
+        /// Index of the replica set.
         set: usize,
-        /// The time.
+        /// Time of the election, in seconds.
         at: f64,
     },
 }
 
-/// What happens to a request that reaches a server.
+/// Decision on a request that reaches a server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RequestAdmission {
-    /// Rejected, because a write needs the primary.
+    /// The server rejects the request, because it is a write and the server is not the primary.
     NotPrimary,
-    /// Rejected by the queue limit or by a drain.
+    /// The server rejects the request, because the queue is full or the server drains.
     Rejected,
-    /// The request overloaded the server, which crashes.
+    /// The request overloads the server, which crashes.
     Crashed {
-        /// The share of the load from proxies that were informed of the server's start.
+        /// Share of the load that came from proxies that were informed of the server's start.
         informed_share: f64,
     },
-    /// It is executed between these times.
+    /// The server executes the request between these times.
     Executing {
-        /// When the execution starts.
+        /// Start of the execution, in seconds.
         starts_at: f64,
-        /// When the execution ends.
+        /// End of the execution, in seconds.
         ends_at: f64,
     },
-    /// The server does not answer.
+    /// The server never responds.
     NoResponse,
 }
 
 /// A request that reaches a server.
 #[derive(Debug, Clone, Copy)]
 pub struct IncomingRequest {
-    /// Its class.
+    /// Class of the request.
     pub class: ClassId,
-    /// Its work in s.
+    /// Work of the request, in seconds.
     pub work_s: f64,
-    /// Its sender was informed of the last start of the server.
+    /// Whether the sender was informed of the last start of the server.
     pub sender_informed: bool,
 }
 
-/// The end of an execution.
+/// Result of an execution.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Completion {
-    /// Success, or an error if the server is no longer primary.
+    /// `Success`, or `ServerError` for a write if the server is no longer the primary.
     pub outcome: Outcome,
-    /// The status in the response. The position of a successful write is its commit.
+    /// Server status in the response. After a successful write, the position is that of its commit.
     pub status: ServerStatus,
 }
 
-/// The servers, replica sets and discovery service of a trial.
+/// Data servers, replica sets and discovery service of a trial.
 #[derive(Debug)]
 pub struct Site {
-    /// The servers by their ids.
+    /// Servers by id, including removed servers.
     pub servers: Vec<Server>,
-    /// The discovery service.
+    /// Model of the discovery service.
     pub discovery: DiscoveryModel,
-    /// Servers that crashed on overload while they warmed up.
+    /// Number of crashes on overload while a server warmed up.
     pub overload_crashes: usize,
     replica_sets: Vec<ReplicaSet>,
     plan: Plan,
-    /// The largest overload ratio of server processes that have exited.
-    past_overload_ratio: f64,
+    /// Largest overload ratio of the server processes that ended in [`Site::crash`].
+    exited_max_overload_ratio: f64,
 }
 
-/// Time in s after which a failed election is repeated.
+/// Time after which an election without an eligible member is repeated, in seconds.
 const ELECTION_RETRY_INTERVAL_S: f64 = 0.5;
 
 impl Site {
-    /// The site of a plan at the start of the trial.
+    /// Creates the servers, replica sets and discovery service of a plan at the start of the trial.
     pub fn new(plan: &Plan, start: f64) -> Self {
         let replica_set = || ReplicaSet::new(plan.members, plan.replication, start);
         let mut site = Self {
@@ -128,7 +129,7 @@
             overload_crashes: 0,
             replica_sets: (0..plan.sets).map(|_| replica_set()).collect(),
             plan: plan.clone(),
-            past_overload_ratio: 0.0,
+            exited_max_overload_ratio: 0.0,
         };
         for set in 0..plan.sets {
             for member in 0..plan.members {
@@ -148,8 +149,8 @@
         site
     }
 
-    /// Publishes an outdated list first, in which a share of the servers is missing and others are listed
-    /// instead.
+    /// Publishes an outdated endpoint list as version 0, in which removed servers are listed in place of a
+    /// share of the current servers, and the current list as version 1.
     fn publish_after_outdated_list(&mut self, replaced_share: f64) {
         let replaced_every = (1.0 / replaced_share.clamp(0.01, 1.0)).round() as usize;
         let mut outdated = Vec::new();
@@ -161,11 +162,11 @@
             }
             let mut model = ServerModel::new(self.plan.server);
             model.exit();
-            let former =
+            let removed_server =
                 self.add_server(model, self.servers[server].set, usize::MAX, self.servers[server].zone);
-            outdated.push(self.endpoint(former));
-            self.servers[former].removed = true;
-            changes.push(self.endpoint(former));
+            outdated.push(self.endpoint(removed_server));
+            self.servers[removed_server].removed = true;
+            changes.push(self.endpoint(removed_server));
             changes.push(endpoint);
         }
         self.discovery = DiscoveryModel::new(self.plan.discovery, outdated);
@@ -185,12 +186,13 @@
         self.servers.len() - 1
     }
 
-    /// The zone of each server.
+    /// Returns the zone of each server, by server id.
     pub fn zones(&self) -> Vec<usize> {
         self.servers.iter().map(|server| server.zone).collect()
     }
 
-    /// The version of the endpoint list that a process has cached at its first start.
+    /// Returns the version of the endpoint list that a proxy has cached at its first start; `None` if no list
+    /// is cached.
     pub fn initial_list_version(&self, now: f64) -> Option<usize> {
         match self.plan.cached_list {
             CachedList::Absent => None,
@@ -199,7 +201,7 @@
         }
     }
 
-    /// Whether a server is the primary of its set.
+    /// Returns whether a server is the primary of its replica set.
     pub fn is_primary(&self, server: usize) -> bool {
         let server = &self.servers[server];
         self.replica_sets[server.set].primary() == Some(server.member)
@@ -214,7 +216,7 @@
         self.replica_sets[server.set].reported_position(server.member, now)
     }
 
-    /// The status that a server sends with its responses.
+    /// Returns the status that a server sends with a response at `now`.
     pub fn status(&mut self, server: usize, now: f64) -> ServerStatus {
         let primary = Some(self.is_primary(server));
         let position = if self.plan.settings.responses_carry_position {
@@ -225,19 +227,19 @@
         ServerStatus { position, primary }
     }
 
-    /// The load report in a health check's response, collected some time before; none if servers send no
-    /// reports.
+    /// Returns the load report in the response to a health check, with data that is `age_s` seconds old;
+    /// `None` if servers send no load reports.
     pub fn load_report(&mut self, server: usize, age_s: f64, now: f64) -> Option<LoadReport> {
         if self.plan.settings.load_reports == LoadReports::Never {
             return None;
         }
         let primary = Some(self.is_primary(server));
-        // The position at that time was at most the present one less the age.
+        // Approximates the position at that time. The result never exceeds the current position.
         let position = Some(duration(self.reported_position(server, now) - age_s));
         Some(LoadReport { position, primary, ..LoadReport::default() })
     }
 
-    /// Handles the arrival of a request at a server.
+    /// Decides on a request that arrives at a server, and schedules its work if the server accepts it.
     pub fn admit(&mut self, server: usize, request: IncomingRequest, now: f64) -> RequestAdmission {
         let needs_primary = self.is_write(request.class);
         let primary = self.is_primary(server);
@@ -251,7 +253,7 @@
         if needs_primary && !primary {
             return RequestAdmission::NotPrimary;
         }
-        match server.model.arrive(now, request.work_s, request.sender_informed) {
+        match server.model.handle_arrival(now, request.work_s, request.sender_informed) {
             Arrival::Rejected => RequestAdmission::Rejected,
             Arrival::Executing { starts_at, ends_at } => RequestAdmission::Executing { starts_at, ends_at },
             Arrival::Crashed { informed_share } => {
@@ -261,7 +263,8 @@
         }
     }
 
-    /// Starts the execution of a request. Returns the position of the server if it is a replica.
+    /// Starts the execution of a request. Returns the replication position of the server, in seconds; `None`
+    /// if it is the primary.
     pub fn start_execution(&mut self, server: usize, class: ClassId, work_s: f64, now: f64) -> Option<f64> {
         if self.is_primary(server) {
             return None;
@@ -271,13 +274,13 @@
         let position = replica_set.position(server.member, now);
         if self.plan.workload.class_loads[class.0].blocks_replication {
             let speed = self.plan.server.speed * server.model.capacity_share(now);
-            let time_s = work_s * server.model.slowdown / speed;
-            replica_set.block(server.member, now, now + time_s);
+            let duration_s = work_s * server.model.slowdown / speed;
+            replica_set.block(server.member, now, now + duration_s);
         }
         Some(position)
     }
 
-    /// Ends the execution of a request.
+    /// Ends the execution of a request, and commits it if it is a write.
     pub fn finish_execution(&mut self, server: usize, class: ClassId, now: f64) -> Completion {
         let mut status = self.status(server, now);
         if !self.is_write(class) {
@@ -287,13 +290,13 @@
             return Completion { outcome: Outcome::ServerError, status };
         }
         self.replica_sets[self.servers[server].set].commit(now);
-        // Commits are rounded up to milliseconds, so that a reported position never claims one that is
-        // missing.
+        // Positions of commits are rounded up to milliseconds and reported positions are rounded down, so
+        // that a reported position never covers a commit that is not applied.
         status.position = Some(duration((now * 1e3).ceil() / 1e3));
         Completion { outcome: Outcome::Success, status }
     }
 
-    /// The endpoint of a server in its present state.
+    /// Returns the endpoint of a server in its current state, as the discovery service lists it.
     pub fn endpoint(&self, server: usize) -> Endpoint {
         let index = server;
         let server = &self.servers[index];
@@ -323,9 +326,9 @@
         (0..self.servers.len()).map(|server| self.endpoint(server)).collect()
     }
 
-    /// The largest overload ratio of any server that warmed up; a server crashes above 1.
+    /// Returns the largest overload ratio of any server while it warmed up. A server crashes above 1.
     pub fn max_overload_ratio(&self) -> f64 {
         let ratios = self.servers.iter().map(|server| server.model.max_overload_ratio);
-        ratios.fold(self.past_overload_ratio, f64::max)
+        ratios.fold(self.exited_max_overload_ratio, f64::max)
     }
 }
