--- a/testkit/src/fleet/discovery_model.rs
+++ b/testkit/src/fleet/discovery_model.rs
@@ -46,6 +46,7 @@
     pub at: f64,
 }
 
+/// The change that a version makes to the endpoint list.
 #[derive(Debug, Clone)]
 struct VersionChange {
     published_at: f64,
--- a/testkit/src/fleet/link_faults.rs
+++ b/testkit/src/fleet/link_faults.rs
@@ -48,11 +48,13 @@
     Discovery,
 }
 
+/// A fault that has not been pruned.
 #[derive(Debug, Clone)]
 struct ActiveFault {
     proxies: Vec<usize>,
     ends: Vec<LinkEnd>,
     fault: LinkFault,
+    /// Time at which the fault ends, in seconds.
     until: f64,
 }
 
--- a/testkit/src/fleet/rule_checker.rs
+++ b/testkit/src/fleet/rule_checker.rs
@@ -1,6 +1,6 @@
 //! Checks the service rules from the messages between proxies, clients, servers and the discovery service.
 //!
-//! Owns a record of each request that a proxy accepted, with its attempts, and the time at which each proxy
+//! Owns the state of each request that a proxy accepted, with its attempts, and the time at which each proxy
 //! was notified of a draining or removed server. The checker is independent of the routing engine.
 //! Replication positions come from the models, not from the servers' reports. All times are trial times in
 //! seconds; a commit is identified by its commit time.
@@ -95,15 +95,18 @@
     server: usize,
 }
 
+/// State of a request that a proxy has accepted.
 #[derive(Debug)]
-struct RequestRecord {
+struct RequestState {
     class: ClassId,
     proxy: usize,
     accepted_at: f64,
     deadline: f64,
+    /// Whether the request was answered or abandoned.
     ended: bool,
     /// Whether nobody waits for an answer any more.
     abandoned: bool,
+    /// Number of attempts sent so far.
     attempts: u32,
     /// Server of each attempt in flight, by attempt number.
     in_flight: HashMap<u32, usize>,
@@ -118,7 +121,7 @@
 #[derive(Debug)]
 pub struct RuleChecker {
     settings: Settings,
-    requests: HashMap<u64, RequestRecord>,
+    requests: HashMap<u64, RequestState>,
     /// Time at which a proxy was notified that a server drains or is removed, by proxy and server.
     withdrawn_at: HashMap<(usize, usize), f64>,
     /// Time of the last acknowledged commit, by proxy and session.
@@ -179,7 +182,7 @@
             }
             _ => 0.0,
         };
-        let record = RequestRecord {
+        let state = RequestState {
             class: request.class,
             proxy: request.proxy,
             accepted_at: request.accepted_at,
@@ -191,7 +194,7 @@
             possible_execution: None,
             min_position,
         };
-        self.requests.insert(request.id, record);
+        self.requests.insert(request.id, state);
     }
 
     /// Records that a proxy acknowledged a write of a session with this commit time.
@@ -211,24 +214,24 @@
 
     /// Records that a proxy decided to send an attempt of a request to a server.
     pub fn attempt_sent(&mut self, id: u64, server: usize, now: f64) {
-        let Some(record) = self.requests.get_mut(&id) else { return };
+        let Some(state) = self.requests.get_mut(&id) else { return };
         let mut violations_found = Vec::new();
-        if record.ended && !record.abandoned {
+        if state.ended && !state.abandoned {
             violations_found.push((Rule::AnswerInTime, "attempt sent after the final answer"));
         }
-        if record.attempts >= self.settings.limits.max_attempts {
+        if state.attempts >= self.settings.limits.max_attempts {
             violations_found.push((Rule::MaxAttempts, "attempt exceeds the maximum number of attempts"));
         }
-        if !record.in_flight.is_empty() && !self.settings.limits.allow_hedging {
+        if !state.in_flight.is_empty() && !self.settings.limits.allow_hedging {
             violations_found
                 .push((Rule::NoDuplicateExecution, "hedged request, which the settings do not allow"));
         }
-        let class = &self.settings.classes[record.class.0];
-        if let Some(description) = duplicate_execution_reason(record, class, &self.zones, server, now) {
+        let class = &self.settings.classes[state.class.0];
+        if let Some(description) = duplicate_execution_reason(state, class, &self.zones, server, now) {
             violations_found.push((Rule::NoDuplicateExecution, description));
         }
-        record.in_flight.insert(record.attempts, server);
-        record.attempts += 1;
+        state.in_flight.insert(state.attempts, server);
+        state.attempts += 1;
         for (rule, description) in violations_found {
             self.report_violation(now, rule, format!("request {id} to server {server}: {description}"));
         }
@@ -236,9 +239,9 @@
 
     /// Records that a proxy wrote the statement of an attempt to the server's connection.
     pub fn statement_written(&mut self, id: u64, server: usize, now: f64) {
-        let Some(record) = self.requests.get(&id) else { return };
+        let Some(state) = self.requests.get(&id) else { return };
         let grace_period = self.settings.rules.drain_grace_period.as_secs_f64() + TOLERANCE_S;
-        let withdrawn_at = self.withdrawn_at.get(&(record.proxy, server));
+        let withdrawn_at = self.withdrawn_at.get(&(state.proxy, server));
         if withdrawn_at.is_some_and(|at| now > at + grace_period) {
             let description =
                 format!("request {id} to server {server}: statement sent after the drain grace period");
@@ -248,17 +251,17 @@
 
     /// Records that a replica executed a read.
     pub fn read_executed(&mut self, read: ReplicaRead, now: f64) {
-        let Some(record) = self.requests.get(&read.request) else { return };
-        let min_position = match self.settings.classes[record.class.0].consistency {
+        let Some(state) = self.requests.get(&read.request) else { return };
+        let min_position = match self.settings.classes[state.class.0].consistency {
             Consistency::BoundedStaleness(max_age) => read.sent_at - max_age.as_secs_f64(),
-            Consistency::Causal | Consistency::Linearizable => record.min_position,
+            Consistency::Causal | Consistency::Linearizable => state.min_position,
             Consistency::Write | Consistency::Eventual => return,
         };
         if read.position < min_position && !read.may_read_stale {
             let description = format!(
                 "request {} of proxy {}: data is {:.3} s too old",
                 read.request,
-                record.proxy,
+                state.proxy,
                 min_position - read.position
             );
             self.report_violation(now, Rule::NoStaleRead, description);
@@ -280,18 +283,18 @@
 
     /// Records the outcome of an attempt as the proxy observed it.
     pub fn attempt_ended(&mut self, id: u64, attempt: u32, outcome: Outcome, sent_at: f64) {
-        let Some(record) = self.requests.get_mut(&id) else { return };
-        let Some(server) = record.in_flight.remove(&attempt) else { return };
+        let Some(state) = self.requests.get_mut(&id) else { return };
+        let Some(server) = state.in_flight.remove(&attempt) else { return };
         if !outcome.rules_out_execution() {
-            record.possible_execution.get_or_insert(PossibleExecution { sent_at, server });
+            state.possible_execution.get_or_insert(PossibleExecution { sent_at, server });
         }
     }
 
     /// Records the outcome of an attempt as the server observed it. The server does not know the attempt's
     /// number.
     pub fn attempt_ended_at_server(&mut self, id: u64, server: usize, outcome: Outcome, sent_at: f64) {
-        let Some(record) = self.requests.get(&id) else { return };
-        let attempt = record.in_flight.iter().find(|(_, at)| **at == server).map(|(attempt, _)| *attempt);
+        let Some(state) = self.requests.get(&id) else { return };
+        let attempt = state.in_flight.iter().find(|(_, at)| **at == server).map(|(attempt, _)| *attempt);
         if let Some(attempt) = attempt {
             self.attempt_ended(id, attempt, outcome, sent_at);
         }
@@ -304,18 +307,18 @@
 
     /// Records that a proxy sent the final answer to a request.
     pub fn request_answered(&mut self, id: u64, answer: FinalAnswer, now: f64) {
-        let Some(record) = self.requests.get_mut(&id) else { return };
+        let Some(state) = self.requests.get_mut(&id) else { return };
         let grace_period = self.settings.rules.answer_grace_period.as_secs_f64() + TOLERANCE_S;
-        let is_late = now > record.deadline + grace_period;
-        let may_have_been_executed = record.possible_execution.is_some() || !record.in_flight.is_empty();
-        let retry_is_safe = match self.settings.classes[record.class.0].idempotency {
+        let is_late = now > state.deadline + grace_period;
+        let may_have_been_executed = state.possible_execution.is_some() || !state.in_flight.is_empty();
+        let retry_is_safe = match self.settings.classes[state.class.0].idempotency {
             Idempotency::Idempotent => true,
             Idempotency::WithKey { scope, .. } => scope == KeyScope::All || !may_have_been_executed,
             Idempotency::NonIdempotent => !may_have_been_executed,
         };
-        let answered_before = record.ended;
-        let wait_s = now - record.accepted_at;
-        record.ended = true;
+        let answered_before = state.ended;
+        let wait_s = now - state.accepted_at;
+        state.ended = true;
         if answered_before {
             self.report_violation(now, Rule::AnswerInTime, format!("request {id}: second final answer"));
         }
@@ -336,21 +339,21 @@
     /// Records that a request needs no answer any more, because the client disconnected or the proxy was
     /// killed.
     pub fn request_abandoned(&mut self, id: u64) {
-        if let Some(record) = self.requests.get_mut(&id) {
-            record.ended = true;
-            record.abandoned = true;
+        if let Some(state) = self.requests.get_mut(&id) {
+            state.ended = true;
+            state.abandoned = true;
         }
     }
 
     /// Ends the trial, and reports requests that have passed their deadline without an answer.
     pub fn finish(&mut self, now: f64) {
         let grace_period = self.settings.rules.answer_grace_period.as_secs_f64() + TOLERANCE_S;
-        let unanswered = self.requests.iter().filter(|(_, record)| !record.ended);
-        let unanswered = unanswered.filter(|(_, record)| now > record.deadline + grace_period);
+        let unanswered = self.requests.iter().filter(|(_, state)| !state.ended);
+        let unanswered = unanswered.filter(|(_, state)| now > state.deadline + grace_period);
         let mut descriptions: Vec<(u64, String)> = unanswered
-            .map(|(id, record)| {
-                let age_s = now - record.accepted_at;
-                let proxy = record.proxy;
+            .map(|(id, state)| {
+                let age_s = now - state.accepted_at;
+                let proxy = state.proxy;
                 (*id, format!("request {id} of proxy {proxy}, accepted {age_s:.3} s ago: no answer"))
             })
             .collect();
@@ -368,7 +371,7 @@
 
     /// Forgets requests that have ended and whose deadline is not after `before`.
     pub fn prune(&mut self, before: f64) {
-        self.requests.retain(|_, record| !record.ended || record.deadline > before);
+        self.requests.retain(|_, state| !state.ended || state.deadline > before);
         let requests = &self.requests;
         self.write_executions.retain(|id, _| requests.contains_key(id));
     }
@@ -377,16 +380,16 @@
 /// Returns why another attempt at `server` could violate [`Rule::NoDuplicateExecution`]; `None` if the
 /// attempt is allowed.
 fn duplicate_execution_reason(
-    record: &RequestRecord,
+    state: &RequestState,
     class: &Class,
     zones: &[usize],
     server: usize,
     now: f64,
 ) -> Option<&'static str> {
     // An attempt in flight may be executed, too.
-    let in_flight = record.in_flight.values().next();
+    let in_flight = state.in_flight.values().next();
     let in_flight = in_flight.map(|server| PossibleExecution { sent_at: now, server: *server });
-    let possible_execution = record.possible_execution.or(in_flight)?;
+    let possible_execution = state.possible_execution.or(in_flight)?;
     match class.idempotency {
         Idempotency::NonIdempotent => Some("retry after a possible execution"),
         Idempotency::WithKey { scope, window } => {
--- a/testkit/src/fleet/workload.rs
+++ b/testkit/src/fleet/workload.rs
@@ -4,8 +4,8 @@
 //! often follow. Each proxy has its own clients, and some proxies receive several times the mean request
 //! rate. Responses are the only feedback that the workload gets from a proxy.
 //!
-//! A try is one transmission of a request by its client: the first one or a retry. Attempts are what the
-//! proxy sends to data servers for one try. Times and durations are in seconds.
+//! A try is one transmission of a request from its client to a proxy: the first one or a retry. An attempt is
+//! one transmission of the request from the proxy to a data server. Times and durations are in seconds.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
     /// Typical time between a write and the causal read that follows it, in seconds. A read can follow a
     /// write whose age is less than 3 times this value.
     pub read_after_write_gap_s: f64,
-    /// Maximum number of retries after the first try.
+    /// Number of tries, including the first one, after which a client gives up. The first try is always sent.
     pub retries: u32,
     /// Delay before a retry if the response has no `Retry-After`, in seconds.
     pub retry_delay_s: f64,
@@ -81,7 +81,9 @@
 struct SessionWrite {
     session: u64,
     set: usize,
+    /// Commit time, in seconds.
     commit: f64,
+    /// Time at which the client received the acknowledgement, in seconds.
     at: f64,
 }
 
