--- a/testkit/src/bin/fleet-trial.rs
+++ b/testkit/src/bin/fleet-trial.rs
@@ -72,7 +72,7 @@
     let path = &cli.scenario;
     let text = std::fs::read_to_string(path).map_err(|source| read_error(path, source))?;
     let scenario =
-        scenario::read(&text).map_err(|source| TrialError::Scenario { path: path.clone(), source })?;
+        scenario::parse(&text).map_err(|source| TrialError::Scenario { path: path.clone(), source })?;
     let mut passed = true;
     for seed in &cli.seed {
         let mut plan = scenario.clone();
--- a/testkit/src/fleet/scenario.rs
+++ b/testkit/src/fleet/scenario.rs
@@ -38,7 +38,7 @@
 }
 
 /// Parses a scenario into a plan, and validates the plan's settings.
-pub fn read(text: &str) -> Result<Plan, ScenarioError> {
+pub fn parse(text: &str) -> Result<Plan, ScenarioError> {
     let mut plan = default_plan();
     let mut utilization = Utilization { load: 0.55, apply: 0.5 };
     let mut parser = Parser::from_str(text);
--- a/testkit/src/fleet/scenario/tests.rs
+++ b/testkit/src/fleet/scenario/tests.rs
@@ -11,7 +11,7 @@
         (start (within 0.05) (remembered (old 0.33)) (cold yes))
         (at 2 (kill (share 0.7) 1.5) (link (zone 1) (servers (zone 0)) deaf 4))
         (at 3 (list-down 20) (link (share 0.3) list (slow 40) 1))";
-    let plan = read(text).expect("the scenario is valid");
+    let plan = parse(text).expect("the scenario is valid");
     assert_eq!((plan.proxies, plan.settings.instance_count, plan.settings.classes.len()), (12, 12, 2));
     let capacity = (2 * 3 * 5) as f64 / 0.07;
     assert!((plan.requests_per_s - 0.4 * capacity).abs() < 1e-6);
@@ -35,7 +35,7 @@
 
 #[test]
 fn an_error_states_the_line_and_column_of_the_malformed_form() {
-    let error = |text: &str| read(text).expect_err("the scenario is malformed").to_string();
+    let error = |text: &str| parse(text).expect_err("the scenario is malformed").to_string();
     assert_eq!(error("(fleet\n  (proxies many))"), "2:12: expected a number, found many");
     assert!(error("(at 2 (explode all))").starts_with("1:7: expected a fault"));
     assert!(error("(fleet (proxies 3)").starts_with("1:"), "{}", error("(fleet (proxies 3)"));
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn session_reads_see_their_writes_across_upgrades_and_restarts() {
-    let plan = scenario::read(include_str!("../testkit/scenarios/sessions.scm")).expect("a valid scenario");
+    let plan = scenario::parse(include_str!("../testkit/scenarios/sessions.scm")).expect("a valid scenario");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("sessions-{}", std::process::id()));
     let paths = TrialPaths { program: env!("CARGO_BIN_EXE_pipittack").into(), folder };
     let proxies = plan.proxies;
