--- a/testkit/src/fleet/process_trial/clients.rs
+++ b/testkit/src/fleet/process_trial/clients.rs
@@ -57,7 +57,7 @@
             let now = clock.now();
             let factor = trial.fleet.burst_factor(now);
             let ended = now > START_S + trial.fleet.plan.duration_s;
-            (trial.fleet.workload.next_interval(proxy, factor), ended)
+            (trial.fleet.workload.draw_interarrival_time(proxy, factor), ended)
         });
         if ended {
             return;
--- a/testkit/src/fleet/simulation/clients.rs
+++ b/testkit/src/fleet/simulation/clients.rs
@@ -22,7 +22,7 @@
             return;
         }
         let factor = self.fleet.burst_factor(self.now);
-        let next = self.now + self.fleet.workload.next_interval(proxy, factor);
+        let next = self.now + self.fleet.workload.draw_interarrival_time(proxy, factor);
         self.schedule(next, SimulationEvent::NextRequest { proxy });
         let client = self.fleet.create_request(proxy, self.now);
         self.send_request(client);
--- a/testkit/src/fleet/simulation/mod.rs
+++ b/testkit/src/fleet/simulation/mod.rs
@@ -62,7 +62,7 @@
             let fleet = &mut simulation.fleet;
             let start_at = START_S + fleet.plan.start_spread_s * fleet.rng.random::<f64>();
             let first_request_at =
-                start_at + FIRST_REQUEST_DELAY_S + fleet.workload.next_interval(proxy, 1.0);
+                start_at + FIRST_REQUEST_DELAY_S + fleet.workload.draw_interarrival_time(proxy, 1.0);
             simulation.schedule(start_at, SimulationEvent::StartProcess { proxy });
             simulation.schedule(first_request_at, SimulationEvent::NextRequest { proxy });
         }
--- a/testkit/src/fleet/workload.rs
+++ b/testkit/src/fleet/workload.rs
@@ -124,7 +124,7 @@
 
     /// Draws the time until a proxy's next new request, in seconds. `factor` multiplies the usual rate of the
     /// proxy.
-    pub fn next_interval(&mut self, proxy: usize, factor: f64) -> f64 {
+    pub fn draw_interarrival_time(&mut self, proxy: usize, factor: f64) -> f64 {
         -self.rng.random::<f64>().max(1e-9).ln() / (self.rates[proxy] * factor)
     }
 
