--- a/testkit/src/fleet/rule_checker.rs
+++ b/testkit/src/fleet/rule_checker.rs
@@ -291,7 +291,7 @@
     }
 
     /// Records the outcome of an attempt as the server observed it. The server does not know the attempt's
-    /// number.
+    /// number, so the outcome counts for one of the attempts in flight at the server.
     pub fn attempt_ended_at_server(&mut self, id: u64, server: usize, outcome: Outcome, sent_at: f64) {
         let Some(state) = self.requests.get(&id) else { return };
         let attempt = state.in_flight.iter().find(|(_, at)| **at == server).map(|(attempt, _)| *attempt);
--- a/testkit/src/fleet/scenario.rs
+++ b/testkit/src/fleet/scenario.rs
@@ -16,7 +16,7 @@
 use super::plan::{Plan, ScheduledFault};
 use super::server_model::ServerModelSettings;
 pub use default_plan::default_plan;
-use syntax::{number, split_form, unexpected, Form, SyntaxError};
+use syntax::{parse_number, split_form, unexpected, Form, SyntaxError};
 
 /// Error of parsing a scenario.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
@@ -153,7 +153,7 @@
     if faults.is_empty() {
         return Err(unexpected(form.datum, "(at SECONDS FAULT ...)"));
     }
-    let at_s = number(*at)?;
+    let at_s = parse_number(*at)?;
     for fault in faults {
         let fault = faults::parse_fault(*fault)?;
         plan.faults.push(ScheduledFault { at_s, fault });
--- a/testkit/src/fleet/scenario/classes.rs
+++ b/testkit/src/fleet/scenario/classes.rs
@@ -35,14 +35,14 @@
 }
 
 fn parse_attribute(form: &Form<'_>, class: &mut Class, load: &mut ClassLoad) -> Result<(), SyntaxError> {
-    let milliseconds = || form.single_ms().map(Duration::from_secs_f64);
+    let milliseconds = || form.single_ms_as_seconds().map(Duration::from_secs_f64);
     match form.name {
         "worth" => class.priority_weight = form.single_number()?,
         "aim" => class.latency_objective = milliseconds()?,
         "deadline" => class.deadline = milliseconds()?,
         "late" => class.late_weight = form.single_number()?,
         "share" => load.share = form.single_number()?,
-        "work" => load.work_s = form.single_ms()?,
+        "work" => load.work_s = form.single_ms_as_seconds()?,
         "blocks" => load.blocks_replication = form.single_flag()?,
         "bound" => class.consistency = Consistency::BoundedStaleness(milliseconds()?),
         "needs" => {
--- a/testkit/src/fleet/scenario/faults.rs
+++ b/testkit/src/fleet/scenario/faults.rs
@@ -5,7 +5,7 @@
 use super::super::link_faults::LinkFault;
 use super::super::plan::{Fault, LinkTarget, Selection};
 use super::super::server_model::ServerState;
-use super::syntax::{number, split_form, unexpected, Form, SyntaxError};
+use super::syntax::{parse_number, split_form, unexpected, Form, SyntaxError};
 
 /// Parses a selection: `all`, `(one INDEX)`, `(share SHARE)` or `(zone INDEX)`.
 fn parse_selection(datum: Ref<'_>) -> Result<Selection, SyntaxError> {
@@ -89,7 +89,7 @@
     let target = parse_link_target(target)?;
     let fault = parse_link_fault_kind(fault)?;
     let proxies = parse_selection(proxies)?;
-    Ok(Fault::Link { proxies, target, fault, duration_s: number(duration)? })
+    Ok(Fault::Link { proxies, target, fault, duration_s: parse_number(duration)? })
 }
 
 fn parse_link_target(datum: Ref<'_>) -> Result<LinkTarget, SyntaxError> {
@@ -115,7 +115,7 @@
     }
     let form = split_form(datum, expected)?;
     match form.name {
-        "slow" => Ok(LinkFault::Delay(form.single_ms()?)),
+        "slow" => Ok(LinkFault::Delay(form.single_ms_as_seconds()?)),
         _ => Err(unexpected(datum, expected)),
     }
 }
--- a/testkit/src/fleet/scenario/parameters.rs
+++ b/testkit/src/fleet/scenario/parameters.rs
@@ -38,7 +38,7 @@
 }
 
 fn parse_milliseconds(form: &Form<'_>) -> Result<Duration, SyntaxError> {
-    form.single_ms().map(Duration::from_secs_f64)
+    form.single_ms_as_seconds().map(Duration::from_secs_f64)
 }
 
 fn parse_fleet(form: &Form<'_>, plan: &mut Plan, utilization: &mut Utilization) -> Result<(), SyntaxError> {
@@ -59,8 +59,8 @@
         "speed" => plan.server.speed = form.single_number()?,
         "queue" => plan.server.max_queue = form.single_number()? as usize,
         "connections" => plan.server.max_connections = form.single_number()? as usize,
-        "handshake" => plan.server.handshake_work_s = form.single_ms()?,
-        "probe" => plan.health_check_work_s = form.single_ms()?,
+        "handshake" => plan.server.handshake_work_s = form.single_ms_as_seconds()?,
+        "probe" => plan.health_check_work_s = form.single_ms_as_seconds()?,
         _ => return Err(unknown_parameter("server", form)),
     }
     Ok(())
@@ -72,7 +72,7 @@
     utilization: &mut Utilization,
 ) -> Result<(), SyntaxError> {
     match form.name {
-        "ship" => plan.replication.shipping_delay_s = form.single_ms()?,
+        "ship" => plan.replication.shipping_delay_s = form.single_ms_as_seconds()?,
         "apply-use" => utilization.apply = form.single_number()?,
         "sync" => plan.replication.synchronous = form.single_flag()?,
         "detect" => plan.replication.detection_s = form.single_number()?,
--- a/testkit/src/fleet/scenario/syntax.rs
+++ b/testkit/src/fleet/scenario/syntax.rs
@@ -63,7 +63,7 @@
 }
 
 /// Parses a finite number that is not negative.
-pub fn number(datum: Ref<'_>) -> Result<f64, SyntaxError> {
+pub fn parse_number(datum: Ref<'_>) -> Result<f64, SyntaxError> {
     match datum.value().as_f64() {
         Some(number) if number.is_finite() && number >= 0.0 => Ok(number),
         _ => Err(unexpected(datum, "a number")),
@@ -74,13 +74,13 @@
     /// Returns the only item, which must be a number.
     pub fn single_number(&self) -> Result<f64, SyntaxError> {
         match self.items[..] {
-            [item] => number(item),
+            [item] => parse_number(item),
             _ => Err(unexpected(self.datum, "one number")),
         }
     }
 
     /// Returns the only item, which must be a number of milliseconds, converted to seconds.
-    pub fn single_ms(&self) -> Result<f64, SyntaxError> {
+    pub fn single_ms_as_seconds(&self) -> Result<f64, SyntaxError> {
         Ok(self.single_number()? / 1e3)
     }
 
@@ -100,7 +100,7 @@
     /// Returns the item at an index, which must be a number.
     pub fn number_at(&self, index: usize) -> Result<f64, SyntaxError> {
         match self.items.get(index) {
-            Some(item) => number(*item),
+            Some(item) => parse_number(*item),
             None => Err(unexpected(self.datum, "one more number")),
         }
     }
