--- a/testkit/src/fleet/scenario.rs
+++ b/testkit/src/fleet/scenario.rs
@@ -62,7 +62,8 @@
 }
 
 /// Overrides the number of proxies, the number of servers or the seed; `None` keeps the value of the plan.
-/// The request rate and the work to apply a commit are scaled so that the utilizations stay the same.
+/// The number of servers is rounded down to complete replica sets. The request rate and the work to apply a
+/// commit are scaled so that the utilizations stay the same.
 pub fn resize(plan: &mut Plan, proxies: Option<usize>, servers: Option<usize>, seed: Option<u64>) {
     let load = plan.requests_per_s / max_requests_per_s(plan);
     let apply = plan.replication.apply_work_s * writes_per_set(plan);
