--- a/testkit/src/fleet/process_trial/clients.rs
+++ b/testkit/src/fleet/process_trial/clients.rs
@@ -58,7 +58,7 @@
             let now = clock.now();
             let factor = trial.fleet.burst_factor(now);
             let load_ended = now > START_S + trial.fleet.plan.duration_s;
-            (trial.fleet.workload.next_interval(proxy, factor), load_ended)
+            (trial.fleet.workload.draw_interarrival_time(proxy, factor), load_ended)
         });
         if load_ended {
             return;
