--- a/src/net/admin/http.rs
+++ b/src/net/admin/http.rs
@@ -162,21 +162,22 @@
 }
 
 fn route_server(path: &str) -> Result<AdminCall, HttpStatus> {
-    let id_and_action = path.strip_prefix("data-servers/").and_then(|rest| rest.rsplit_once('/'));
-    let (id, action) = id_and_action.ok_or(HttpStatus::NotFound)?;
-    if id.is_empty() || id.contains('/') {
+    let name_and_action = path.strip_prefix("data-servers/").and_then(|rest| rest.rsplit_once('/'));
+    let (name, action) = name_and_action.ok_or(HttpStatus::NotFound)?;
+    if name.is_empty() || name.contains('/') {
         return Err(HttpStatus::NotFound);
     }
     match action {
-        "offline" => Ok(AdminCall::Offline(decode_id(id)?)),
-        "online" => Ok(AdminCall::Online(decode_id(id)?)),
+        "offline" => Ok(AdminCall::Offline(decode_name(name)?)),
+        "online" => Ok(AdminCall::Online(decode_name(name)?)),
         _ => Err(HttpStatus::NotFound),
     }
 }
 
-fn decode_id(id: &str) -> Result<String, HttpStatus> {
-    let id = percent_decode_str(id).decode_utf8().map_err(|_| HttpStatus::BadRequest)?;
-    Ok(id.into_owned())
+/// Decodes the percent-encoded name of a server in a path.
+fn decode_name(name: &str) -> Result<String, HttpStatus> {
+    let name = percent_decode_str(name).decode_utf8().map_err(|_| HttpStatus::BadRequest)?;
+    Ok(name.into_owned())
 }
 
 fn required_method(call: &AdminCall) -> &'static [u8] {
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -22,7 +22,8 @@
 
 use http::Response;
 
-/// Interval between checks for changes of the file, and between checks for the first endpoint list.
+/// Interval between checks for changes of the out-of-service file, and between checks for the first endpoint
+/// list.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Applies admin calls to the components of a process.
@@ -40,7 +41,8 @@
 }
 
 impl AdminApi {
-    /// Applies the changes that other processes of this proxy instance store in the file. Never returns.
+    /// Applies the changes that other processes of this proxy instance store in the out-of-service file.
+    /// Never returns.
     pub async fn watch_out_of_service_list(&self) {
         let mut interval = tokio::time::interval(POLL_INTERVAL);
         loop {
@@ -49,8 +51,8 @@
         }
     }
 
-    /// Reads the file if it has changed, and applies the changes. If the file cannot be read, logs the error
-    /// and changes nothing.
+    /// Reads the out-of-service file if it has changed, and applies the changes. If the file cannot be read,
+    /// logs the error and changes nothing.
     pub fn reload_out_of_service_list(&self) {
         match self.out_of_service.reload() {
             Ok(changes) => changes.iter().for_each(|change| self.apply_state(&change.uid, change.state)),
--- a/src/net/admin/server.rs
+++ b/src/net/admin/server.rs
@@ -23,7 +23,7 @@
 const MAX_CONNECTIONS: usize = 8;
 /// Time limit for receiving the head of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time limit for reading and discarding what the caller sends after the response.
+/// Time limit for reading and discarding what the caller sends after the proxy has shut down writing.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// Pause after a failed accept.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
--- a/src/net/client/connection.rs
+++ b/src/net/client/connection.rs
@@ -216,8 +216,9 @@
         }
     }
 
-    /// Reads more bytes, until `deadline` at the latest. Returns false if the client has disconnected or the
-    /// connection is to be closed. An incomplete message must not occupy a connection indefinitely.
+    /// Reads more bytes, until `deadline` at the latest, so that an incomplete message does not occupy the
+    /// connection indefinitely. Returns false if the client has disconnected or the connection is to be
+    /// closed.
     pub(super) async fn read_more(&mut self, deadline: Option<Instant>) -> io::Result<bool> {
         let state = self.idle_state();
         let applies_short_deadline = self.short_deadline && state == IdleState::NoRequestYet;
@@ -350,7 +351,7 @@
         self.reply(|out| postgres::push_error(out, Severity::Error, code, text, None)).await
     }
 
-    /// Answers a query with an ErrorResponse and ReadyForQuery.
+    /// Writes an ErrorResponse and ReadyForQuery, which end the response to a query.
     pub(super) async fn fail_query(&self, code: &str, text: &str) -> io::Result<Flow> {
         self.reply(|out| {
             postgres::push_error(out, Severity::Error, code, text, None);
@@ -367,9 +368,9 @@
 
     /// Returns the successor if this connection is to be handed over to it.
     fn handover_target(&self) -> Option<Successor> {
-        let is_closed = self.shared.phase.current() >= ServicePhase::ListenerClosed;
+        let listener_closed = self.shared.phase.current() >= ServicePhase::ListenerClosed;
         let successor = self.shared.successor.borrow().clone();
-        successor.filter(|_| self.may_be_handed_over && is_closed)
+        successor.filter(|_| self.may_be_handed_over && listener_closed)
     }
 
     async fn hand_over(self, successor: &Successor) {
--- a/src/net/client/connection_table.rs
+++ b/src/net/client/connection_table.rs
@@ -17,12 +17,12 @@
 /// Id of a connection, ascending in the order in which this process received the connections.
 pub(super) type ConnectionId = u64;
 
-/// Why a connection is idle.
+/// Reason why a connection is idle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum IdleReason {
     /// The client has sent no request yet.
     NoRequestYet,
-    /// All requests of the client have been answered.
+    /// All requests of the client have their responses.
     BetweenRequests,
     /// The connection has ended and waits for its client to close.
     Closing,
--- a/src/net/client/inbound.rs
+++ b/src/net/client/inbound.rs
@@ -21,9 +21,9 @@
 /// timeout.
 const READ_MERGE_INTERVAL: Duration = Duration::from_millis(2);
 /// Interval at which a client is checked for a disconnect while its read-ahead buffer is full.
-const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for which a closing connection is still read after the last response, so that the client receives
-/// that response.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time limit for reading and discarding what a client sends after the proxy has shut down writing. Without
+/// these reads, the client could lose the last response.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Largest number of bytes that are read within [`LINGER_TIMEOUT`].
 const MAX_LINGER_BYTES: usize = 1 << 20;
@@ -96,7 +96,7 @@
 
     /// Waits until the client has closed its connection. Reads pipelined bytes meanwhile, up to one buffer;
     /// the rest stays in the kernel's socket buffer.
-    pub(super) async fn wait_until_gone(&mut self) {
+    pub(super) async fn wait_until_disconnected(&mut self) {
         loop {
             if self.bytes.len() < buffers::BUFFER_BYTES {
                 if !self.read().await.is_ok_and(|bytes| bytes > 0) {
@@ -105,7 +105,7 @@
             } else if self.stream.is_disconnected() {
                 return;
             } else {
-                sleep(CLOSE_CHECK_INTERVAL).await;
+                sleep(DISCONNECT_CHECK_INTERVAL).await;
             }
         }
     }
@@ -118,10 +118,10 @@
         if SockRef::from(&*self.stream).shutdown(Shutdown::Write).is_err() {
             return; // the client has closed the connection
         }
-        let _ = timeout(LINGER_TIMEOUT, self.discard_rest()).await;
+        let _ = timeout(LINGER_TIMEOUT, self.discard_input()).await;
     }
 
-    async fn discard_rest(&mut self) {
+    async fn discard_input(&mut self) {
         let mut remaining = MAX_LINGER_BYTES;
         while remaining > 0 {
             self.bytes.clear();
--- a/src/net/client/query.rs
+++ b/src/net/client/query.rs
@@ -29,7 +29,7 @@
             return self.fail_connection("08P01", "invalid string in message").await;
         };
         match parsed {
-            Some(postgres::Query::Empty) => self.answer_empty_query().await,
+            Some(postgres::Query::Empty) => self.handle_empty_query().await,
             Some(postgres::Query::Setting(tag)) => {
                 self.reply(|out| {
                     postgres::push_command_complete(out, tag);
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Answers an empty query, which is the load balancer's health check.
-    async fn answer_empty_query(&self) -> io::Result<Flow> {
+    /// Responds to an empty query, which is the load balancer's health check.
+    async fn handle_empty_query(&self) -> io::Result<Flow> {
         if self.shared.phase.current() != ServicePhase::InService {
             return self.fail_query("57P03", "the proxy is out of service").await;
         }
@@ -107,7 +107,7 @@
                 self.shared.driver.client_disconnected(request);
                 return self.fail_connection("57P01", "the proxy is shutting down").await;
             }
-            () = self.inbound.wait_until_gone() => {
+            () = self.inbound.wait_until_disconnected() => {
                 self.shared.driver.client_disconnected(request);
                 return Ok(Flow::End);
             }
@@ -149,7 +149,7 @@
 
     async fn send_response(&mut self, response: Response<QueryResult>) -> io::Result<Flow> {
         match response {
-            Response::Served(answer) => self.write_value(answer).await,
+            Response::Served(result) => self.write_result(result).await,
             Response::Rejected(retry_after) => self.send_rejection(retry_after).await,
             Response::Failed => {
                 self.fail_query("40003", "no answer from a data server; the statement may have run").await
@@ -167,14 +167,14 @@
         .await
     }
 
-    /// Writes a value. A large value is streamed as the data server sends it. If the stream fails midway, the
-    /// client connection is closed: bytes already written cannot be retracted, and the client must not take
-    /// the value for complete.
-    async fn write_value(&self, mut answer: QueryResult) -> io::Result<Flow> {
+    /// Writes a query result. A large result is streamed as the data server sends it. If the stream fails
+    /// midway, the client connection is closed: bytes already written cannot be retracted, and the client
+    /// must not take the result for complete.
+    async fn write_result(&self, mut result: QueryResult) -> io::Result<Flow> {
         let mut ready = Vec::new();
         postgres::push_ready_for_query(&mut ready);
-        let is_complete = !answer.has_more();
-        let mut slices: Vec<_> = answer.slices().map(IoSlice::new).collect();
+        let is_complete = !result.has_more();
+        let mut slices: Vec<_> = result.slices().map(IoSlice::new).collect();
         if is_complete {
             slices.push(IoSlice::new(&ready));
         }
@@ -183,9 +183,9 @@
         if is_complete {
             return Ok(Flow::Continue);
         }
-        answer.clear();
-        while let Some(part) = answer.next_chunk().await? {
-            let mut slices: Vec<_> = part.slices(0..part.len()).map(IoSlice::new).collect();
+        result.clear();
+        while let Some(chunk) = result.next_chunk().await? {
+            let mut slices: Vec<_> = chunk.slices(0..chunk.len()).map(IoSlice::new).collect();
             self.write_slices(&mut slices).await?;
         }
         self.write(&ready).await?;
--- a/src/net/client/service.rs
+++ b/src/net/client/service.rs
@@ -24,7 +24,7 @@
 /// Share of the client limit that clients without a request may use. Beyond it, a new client gets a short
 /// deadline for its first request.
 const MAX_SHARE_WITHOUT_REQUEST: f64 = 0.25;
-/// Interval between searches for connections to evict.
+/// Interval between searches for connections to evict, and between checks for a process pause.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 /// Largest number of clients over the limit that are connected at the same time to receive an error. Further
 /// clients are closed without one.
@@ -134,7 +134,7 @@
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log::warn!("accept failed: {e}");
+                log::warn!("accept failed on the client listener: {e}");
                 return tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         };
@@ -215,7 +215,8 @@
         self.0.reduced_limit.set(limit);
     }
 
-    /// Restores the full client limit and accepts clients again, because no other process does any more.
+    /// Restores the full client limit and accepts clients again. To be called when no other process accepts
+    /// clients any more.
     pub fn resume_accepting(&self) {
         self.set_limit(None);
         self.0.successor_accepts.send_replace(false);
@@ -230,16 +231,16 @@
         kept
     }
 
-    /// Sets the successor that takes over connections once the listener is closed; `None` if there is none
-    /// any more.
+    /// Sets the successor that takes over connections once the listener is closed; `None` when the successor
+    /// has ended.
     pub fn set_successor(&self, successor: Option<Successor>) {
         self.0.successor.replace(successor);
         self.0.shutdown_notify.notify_waiters();
     }
 
     /// Sets a newer process that serves in parallel with a listener of its own; `None` when it has ended.
-    pub fn set_parallel_successor(&self, other: Option<Successor>) {
-        self.0.parallel_successor.replace(other);
+    pub fn set_parallel_successor(&self, successor: Option<Successor>) {
+        self.0.parallel_successor.replace(successor);
         self.0.shutdown_notify.notify_waiters();
     }
 
--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -41,8 +41,8 @@
     pub successor_accepts: watch::Sender<bool>,
     /// Successor that takes over connections between requests once the listener is closed.
     pub successor: RefCell<Option<Successor>>,
-    /// Newer process with a listener of its own at the same address, to which clients connect when they
-    /// reconnect. It regards this process as ended when this handle is dropped.
+    /// Newer process with a listener of its own at the same address, which serves clients that reconnect. The
+    /// newer process assumes that this process runs until the connection of this handle closes.
     pub parallel_successor: RefCell<Option<Successor>>,
     pub shutdown: RefCell<Option<GracefulShutdown>>,
     /// Notified of events that may advance a graceful shutdown.
--- a/src/net/client/startup.rs
+++ b/src/net/client/startup.rs
@@ -20,7 +20,7 @@
 
 impl Connection<'_> {
     /// Reads startup packets until one starts a session or ends the connection. Rejects the client if
-    /// `at_limit`.
+    /// `at_limit` is true.
     pub(super) async fn run_startup(&mut self, at_limit: bool) -> io::Result<Flow> {
         let timeout = if at_limit { REJECTED_STARTUP_TIMEOUT } else { MESSAGE_TIMEOUT };
         let deadline = Some(Instant::now() + timeout);
--- a/src/net/discovery/registry.rs
+++ b/src/net/discovery/registry.rs
@@ -15,7 +15,7 @@
 use crate::net::driver::Clock;
 use crate::settings::NameTable;
 
-/// Largest number of names that are kept of servers that the list contains or contained.
+/// Largest number of server names that are kept to recognize servers that the list contains or contained.
 const MAX_RECENTLY_LISTED: usize = 4096;
 /// State of an entry whose server was removed from the list.
 const REMOVED_STATE: &str = "Gone";
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Returns the number of the zone with this name.
+    /// Returns the id of the zone with this name. Adds the name to the name table if it is new.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         self.name_table.zone(name)
     }
--- a/src/net/driver/attempt_table.rs
+++ b/src/net/driver/attempt_table.rs
@@ -24,7 +24,7 @@
     pub(super) fn log_end(&self, id: AttemptId, now: Duration, outcome: Outcome) {
         let took_ms = now.saturating_sub(self.sent_at).as_millis();
         log::trace!(
-            "attempt {} of request number {} of class {} at server {} ended: {outcome:?} after {took_ms} ms",
+            "attempt ended: number {}, request number {}, class {}, server {}, {outcome:?}, {took_ms} ms",
             id.number.0,
             id.request.0,
             self.class.0,
--- a/src/net/driver/hot_restart.rs
+++ b/src/net/driver/hot_restart.rs
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Notifies the peer of the servers that an update from the discovery service withdraws.
+    /// Notifies the peer of the servers that an update from the discovery service withdraws: those that drain
+    /// and those that were removed.
     pub(super) fn send_withdrawn_servers(&self, update: &EndpointUpdate, removed: &[ServerId]) {
         let Some(peer) = self.0.peer.link() else { return };
         let (EndpointUpdate::Changes(entries) | EndpointUpdate::Full(entries)) = update else { return };
--- a/src/net/driver/mod.rs
+++ b/src/net/driver/mod.rs
@@ -150,7 +150,7 @@
         if let Some(open) = state.requests.remove(request) {
             let waited_ms = self.0.clock.now().saturating_sub(open.submitted_at).as_millis();
             let client_request_id = &open.client_request_id;
-            log::debug!("client disconnected after {waited_ms} ms, request {client_request_id}");
+            log::debug!("client disconnected: request id {client_request_id}, after {waited_ms} ms");
             state.events.push(Event::ClientDisconnected(request));
             self.0.event_queued.notify_one();
         }
@@ -174,7 +174,7 @@
         self.accepts_attempts(server)
     }
 
-    /// Returns whether the endpoint list and the operators' orders admit new attempts to a server.
+    /// Returns whether the endpoint list and the operators admit new attempts to a server.
     pub fn accepts_attempts(&self, server: ServerId) -> bool {
         self.0.state.borrow().endpoints.accepts_attempts(server)
     }
--- a/src/net/driver/request.rs
+++ b/src/net/driver/request.rs
@@ -40,7 +40,7 @@
 /// The final response to a request.
 #[derive(Debug, PartialEq)]
 pub enum Response<R> {
-    /// A server's successful response.
+    /// Query result of the first successful attempt.
     Served(R),
     /// Rejected without execution, so a retry is safe. The duration is the time after which the client should
     /// retry; `None` gives no advice.
@@ -58,12 +58,12 @@
     pub status: Option<ServerStatus>,
     /// Load report that the response contained; `None` if there was none.
     pub load_report: Option<LoadReport>,
-    /// The response; `None` unless the outcome is [`Outcome::Success`].
+    /// Query result; `None` unless the outcome is [`Outcome::Success`].
     pub response: Option<R>,
 }
 
 impl<R> AttemptResult<R> {
-    /// Returns the result of an attempt without a response.
+    /// Returns the result of an attempt that has no query result, server status or load report.
     pub fn without_response(outcome: Outcome) -> Self {
         Self { outcome, status: None, load_report: None, response: None }
     }
--- a/src/net/driver/servers.rs
+++ b/src/net/driver/servers.rs
@@ -1,5 +1,5 @@
-//! Reports to the driver about data servers: status, health checks, endpoint list updates and operators'
-//! orders.
+//! Reports to the driver about data servers: status, health checks, endpoint list updates and service changes
+//! by operators.
 
 use std::net::SocketAddr;
 
@@ -47,7 +47,7 @@
         self.0.state.borrow().endpoints.knows_group(group)
     }
 
-    /// Applies an operators' order: takes a server out of service, or returns it to service.
+    /// Takes a server out of service or returns it to service, as an operator has requested.
     pub fn set_out_of_service(&self, server: ServerId, out_of_service: bool) {
         if out_of_service {
             self.send_command(ServerCommand::CloseIdleConnections(server));
--- a/src/net/hot_restart/frame.rs
+++ b/src/net/hot_restart/frame.rs
@@ -11,7 +11,7 @@
 
 use super::socket::{read_exactly, receive_with_descriptor, send_with_descriptor, write_all};
 
-// Re-exported because the program and the client side import these names from this module.
+// `hot_restart` exports these names as well. The program and the client side import them from this module.
 pub use super::predecessor::{take_over_listener, Predecessor, PredecessorStatus};
 pub use super::state::{HandoverState, Hello};
 pub use super::successor::Successor;
--- a/src/net/hot_restart/handover.rs
+++ b/src/net/hot_restart/handover.rs
@@ -120,7 +120,7 @@
 }
 
 /// Sends the listener and the state, waits until the successor is ready, and stops accepting clients. Returns
-/// how the successor serves.
+/// the mode in which the successor serves.
 async fn negotiate(
     stream: &UnixStream,
     listener: &OwnedFd,
--- a/src/net/hot_restart/peer_channel.rs
+++ b/src/net/hot_restart/peer_channel.rs
@@ -48,7 +48,10 @@
     },
     /// The endpoint list says that the server with this name drains or was removed.
     #[serde(rename = "withdrawn")]
-    ServerWithdrawn { uid: String },
+    ServerWithdrawn {
+        #[serde(rename = "uid")]
+        name: String,
+    },
     /// Last packet: the sender has no request in flight and accepts no more requests.
     #[serde(rename = "over")]
     Closed,
@@ -61,11 +64,11 @@
     drained: Rc<Notify>,
     clock: Clock,
     registry: SharedEndpointRegistry,
-    /// Whether the peer has closed the channel or a read has failed. No more packets are read then.
+    /// Whether the peer has closed the channel or a read has failed. From then on, no more packets are read.
     closed: Cell<bool>,
     /// Buffer for one packet.
     buffer: RefCell<Vec<u8>>,
-    wake_task: AbortHandle,
+    driver_wake_task: AbortHandle,
 }
 
 /// Creates the sockets for the two ends of a channel.
@@ -85,7 +88,8 @@
         // and written with direct system calls.
         let socket = Rc::new(UnixStream::from_std(socket.into())?);
         let drained = Rc::new(Notify::new());
-        let wake_task = spawn_local(wake_on_packets(driver.clone(), socket.clone(), drained.clone()));
+        let driver_wake_task =
+            spawn_local(wake_driver_on_packets(driver.clone(), socket.clone(), drained.clone()));
         driver.connect_peer(Rc::new(Self {
             socket,
             drained,
@@ -93,7 +97,7 @@
             registry: registry.clone(),
             closed: Cell::new(false),
             buffer: RefCell::new(vec![0; MAX_PACKET_BYTES]),
-            wake_task: wake_task.abort_handle(),
+            driver_wake_task: driver_wake_task.abort_handle(),
         }));
         Ok(())
     }
@@ -132,8 +136,8 @@
                 let commit = self.clock.from_unix_ms(commit_ms).as_secs_f64();
                 Some(PeerMessage::SessionWrite { session, commit })
             }
-            PeerPacket::ServerWithdrawn { uid } => {
-                Some(PeerMessage::ServerWithdrawn(self.registry.borrow().server_id(&uid)))
+            PeerPacket::ServerWithdrawn { name } => {
+                Some(PeerMessage::ServerWithdrawn(self.registry.borrow().server_id(&name)))
             }
             PeerPacket::Closed => None,
         }
@@ -142,7 +146,7 @@
 
 /// Wakes the driver when packets have arrived. After each wake-up, waits until the driver has read all of
 /// them.
-async fn wake_on_packets(driver: PgDriver, socket: Rc<UnixStream>, drained: Rc<Notify>) {
+async fn wake_driver_on_packets(driver: PgDriver, socket: Rc<UnixStream>, drained: Rc<Notify>) {
     while socket.readable().await.is_ok() {
         driver.request_step();
         drained.notified().await;
@@ -160,8 +164,8 @@
                 });
             }
             PeerMessage::ServerWithdrawn(server) => {
-                if let Some(uid) = self.registry.borrow().server_name(*server) {
-                    self.send_packet(&PeerPacket::ServerWithdrawn { uid: uid.to_owned() });
+                if let Some(name) = self.registry.borrow().server_name(*server) {
+                    self.send_packet(&PeerPacket::ServerWithdrawn { name: name.to_owned() });
                 }
             }
             // Not sent: the peer detects both conditions itself.
@@ -189,7 +193,8 @@
                 }
             }
         }
-        // Clears the runtime's readiness state, so that the wake task waits for the next packet.
+        // Clears the runtime's readiness state, so that `wake_driver_on_packets` waits for the next
+        // packet.
         let no_packets = || Err::<(), _>(io::ErrorKind::WouldBlock.into());
         let _ = self.socket.try_io(Interest::READABLE, no_packets);
         self.drained.notify_one();
@@ -199,7 +204,7 @@
 
 impl Drop for PeerChannel {
     fn drop(&mut self) {
-        self.wake_task.abort();
+        self.driver_wake_task.abort();
     }
 }
 
--- a/src/net/hot_restart/peer_channel/tests.rs
+++ b/src/net/hot_restart/peer_channel/tests.rs
@@ -15,7 +15,7 @@
 }
 
 fn withdrawn() -> PeerPacket {
-    PeerPacket::ServerWithdrawn { uid: "store-b".to_owned() }
+    PeerPacket::ServerWithdrawn { name: "store-b".to_owned() }
 }
 
 fn decode(bytes: &[u8]) -> Option<PeerPacket> {
--- a/src/net/hot_restart/predecessor.rs
+++ b/src/net/hot_restart/predecessor.rs
@@ -189,7 +189,7 @@
                 // This client is lost, for example because the limit on open files is reached. Further
                 // clients may follow.
                 Err(HandoverError::Frame(e)) if e.is_malformed() => {
-                    log::warn!("takeover of a client connection failed: {e}");
+                    log::warn!("receiving a client connection from the predecessor failed: {e}");
                 }
                 Ok(None) | Err(_) => break,
             }
@@ -219,6 +219,6 @@
     let stream = std::net::TcpStream::from(client.descriptor);
     match stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
         Ok(stream) => resources.clients.take_over_connection(stream, client.startup_complete),
-        Err(e) => log::warn!("takeover of a client connection failed: {e}"),
+        Err(e) => log::warn!("receiving a client connection from the predecessor failed: {e}"),
     }
 }
--- a/src/net/postgres/mod.rs
+++ b/src/net/postgres/mod.rs
@@ -21,7 +21,7 @@
 
 use winnow::error::{ContextError, ErrMode};
 
-/// Length in bytes of the longest value.
+/// Length in bytes of the longest value of the column `body`.
 pub const MAX_VALUE_BYTES: usize = 4 << 20;
 /// Largest number of bytes around a value in a statement or a response.
 const MAX_VALUE_OVERHEAD_BYTES: usize = 16 * 1024;
--- a/src/net/postgres/statement.rs
+++ b/src/net/postgres/statement.rs
@@ -1,4 +1,4 @@
-//! Parsing of the statements that clients send: a select or an insert, followed by a comment with the routing
+//! Parsing of the statements that clients send: a SELECT or an INSERT, followed by a comment with the routing
 //! fields.
 
 use std::ops::Range;
@@ -30,7 +30,7 @@
 /// A statement with the routing fields of its comment.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Statement {
-    /// Whether the statement is an insert.
+    /// Whether the statement is an INSERT.
     pub is_write: bool,
     /// Key from the statement text, without its quotes; doubled quotes inside stay doubled.
     pub key: String,
--- a/src/net/server/answer.rs
+++ b/src/net/server/answer.rs
@@ -75,7 +75,8 @@
         self.remaining.is_some()
     }
 
-    /// Returns the buffers to the pool. To be called after the bytes of [`Self::slices`] are written.
+    /// Discards the received bytes and returns their buffers to the pool. To be called after the bytes of
+    /// [`Self::slices`] are written.
     pub fn clear(&mut self) {
         self.messages.clear();
         self.bytes.clear();
@@ -97,8 +98,8 @@
     }
 }
 
-/// The rest of a large result, and the connection that it arrives on. Each chunk is read only after the
-/// client has taken the one before, so that a large result occupies few buffers.
+/// The rest of a large result, and the connection to the data server that sends the result. Each chunk is
+/// read only after the previous chunk is written to the client, so that a large result occupies few buffers.
 pub(super) struct RemainingResult {
     server_side: Rc<ServerSide>,
     server: ServerId,
--- a/src/net/server/attempt.rs
+++ b/src/net/server/attempt.rs
@@ -55,8 +55,7 @@
             CheckoutResult::Failed(outcome) => return Ok(AttemptResult::without_response(outcome)),
         };
         // The staleness bound and the drain grace period apply to the time at which the query is written.
-        // Getting the connection may have taken long; the attempt then ends unsent, and the engine decides
-        // again.
+        // If the wait for a connection took too long, the attempt ends unsent and the engine decides again.
         let is_expired =
             start_deadline.into_iter().chain(command.staleness_deadline).any(|until| Instant::now() >= until);
         if is_expired || !self.driver.may_send_attempt(command.id, command.server) {
--- a/src/net/server/connection_pool.rs
+++ b/src/net/server/connection_pool.rs
@@ -15,7 +15,7 @@
 use super::options::ServerOptions;
 use super::reply::{read_reply, ExpectedReply};
 use super::reuse_statistics::ReuseStatistics;
-use super::socket_budget::SocketBudget;
+use super::socket_budget::ServerSocketBudget;
 use crate::api::{Outcome, ServerId};
 use crate::net::buffers::{write_all, BufferPool};
 use crate::net::driver::Clock;
@@ -49,7 +49,7 @@
     clock: Clock,
     buffers: BufferPool,
     options: RefCell<ServerOptions>,
-    budget: SocketBudget,
+    budget: ServerSocketBudget,
     addresses: RefCell<HashMap<ServerId, SocketAddr>>,
     /// Idle connections by server; the connection with the longest idle time comes first.
     idle: RefCell<HashMap<ServerId, Vec<PooledConnection>>>,
@@ -61,7 +61,7 @@
         Self {
             clock,
             buffers,
-            budget: SocketBudget::new(options.max_sockets),
+            budget: ServerSocketBudget::new(options.max_sockets),
             options: RefCell::new(options),
             addresses: RefCell::default(),
             idle: RefCell::default(),
--- a/src/net/server/health_check.rs
+++ b/src/net/server/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: each sends a query to a server and judges the reply.
+//! Health checks: each sends a query to a server and evaluates the reply.
 
 use std::cell::Cell;
 use std::io::{self, IoSlice};
--- a/src/net/server/reply.rs
+++ b/src/net/server/reply.rs
@@ -32,7 +32,7 @@
 /// SQLSTATE for internal errors. Replaces the code of an error that follows a message of the result.
 const INTERNAL_ERROR: [u8; 5] = *b"XX000";
 
-/// What the proxy sent, and so which messages the reply may contain.
+/// Message that the proxy sent, which determines the messages that the reply may contain.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ExpectedReply {
     /// The proxy sent a startup packet.
--- a/src/net/server/reuse_statistics.rs
+++ b/src/net/server/reuse_statistics.rs
@@ -11,12 +11,14 @@
 /// Idle time below which a connection counts as fresh. A fresh connection that breaks has not broken because
 /// of its idle time.
 const FRESH_IDLE: Duration = Duration::from_millis(64);
-/// Number of idle time classes from [`FRESH_IDLE`] on. The lower bound doubles from each class to the next.
-const IDLE_CLASSES: usize = 8;
-/// Factor of the limit on a class's share of breaks: connections of a class are not reused if this share is
-/// above the share of fresh connections times this factor, plus [`MAX_BREAK_SHARE`].
+/// Number of buckets for idle times from [`FRESH_IDLE`] on. The lower bound doubles from each bucket to the
+/// next.
+const IDLE_BUCKETS: usize = 8;
+/// Factor in the limit on the share of breaks in a bucket. The limit is the share of breaks among fresh
+/// connections times this factor, plus [`MAX_BREAK_SHARE`]. Connections in a bucket above the limit are not
+/// reused.
 const MAX_BREAK_FACTOR: f64 = 2.0;
-/// Constant part of that limit, as a share from 0 to 1.
+/// Constant part of the limit on the share of breaks, from 0 to 1; see [`MAX_BREAK_FACTOR`].
 const MAX_BREAK_SHARE: f64 = 0.1;
 const BREAK_SHARE: EwmaConfig = EwmaConfig { max_weight: 60.0, decay_secs: 20.0, prior_weight: 3.0 };
 
@@ -24,14 +26,14 @@
 #[derive(Default)]
 pub struct ReuseStatistics {
     fresh: Ewma,
-    idle: [Ewma; IDLE_CLASSES],
+    idle: [Ewma; IDLE_BUCKETS],
 }
 
 impl ReuseStatistics {
     /// Records whether a connection broke at the query that followed `idle_time`. A new connection has been
     /// idle since it was established. `now` is in seconds.
     pub fn record(&mut self, now: f64, idle_time: Duration, broke: bool) {
-        let share = idle_class(idle_time).map_or(&mut self.fresh, |class| &mut self.idle[class]);
+        let share = idle_bucket(idle_time).map_or(&mut self.fresh, |bucket| &mut self.idle[bucket]);
         share.record(now, f64::from(u8::from(broke)), &BREAK_SHARE);
     }
 
@@ -41,12 +43,12 @@
         let fresh_share = self.fresh.estimate(now, 0.0, &BREAK_SHARE);
         let max_share = MAX_BREAK_FACTOR * fresh_share + MAX_BREAK_SHARE;
         let breaks_often = |share: &Ewma| share.estimate(now, fresh_share, &BREAK_SHARE) > max_share;
-        self.idle.iter().position(breaks_often).map(|class| FRESH_IDLE * (1 << class))
+        self.idle.iter().position(breaks_often).map(|bucket| FRESH_IDLE * (1 << bucket))
     }
 }
 
-/// Returns the index of the class of an idle time; `None` for a fresh connection.
-fn idle_class(idle_time: Duration) -> Option<usize> {
+/// Returns the index of the bucket of an idle time; `None` for a fresh connection.
+fn idle_bucket(idle_time: Duration) -> Option<usize> {
     let doublings = (idle_time.as_secs_f64() / FRESH_IDLE.as_secs_f64()).log2().floor();
-    (doublings >= 0.0).then_some((doublings as usize).min(IDLE_CLASSES - 1))
+    (doublings >= 0.0).then_some((doublings as usize).min(IDLE_BUCKETS - 1))
 }
--- a/src/net/server/socket_budget.rs
+++ b/src/net/server/socket_budget.rs
@@ -5,8 +5,9 @@
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// One permit per socket. The budget withholds permits while clients or the peer process need their sockets.
-pub(super) struct SocketBudget {
+/// Limit on the open sockets to data servers, with one permit per socket. The budget withholds permits while
+/// clients or the peer process need their sockets.
+pub(super) struct ServerSocketBudget {
     permits: Arc<Semaphore>,
     max_sockets: usize,
     /// Number of sockets that clients leave to data servers.
@@ -19,7 +20,7 @@
     waiters: Cell<usize>,
 }
 
-impl SocketBudget {
+impl ServerSocketBudget {
     pub(super) fn new(max_sockets: usize) -> Self {
         Self {
             permits: Arc::new(Semaphore::new(max_sockets)),
