--- a/src/components.rs
+++ b/src/components.rs
@@ -54,7 +54,7 @@
 pub fn client_options(settings: &Settings, names: &NameTable, sockets: SocketBudget) -> ClientOptions {
     ClientOptions {
         max_clients: sockets.max_clients(),
-        usual_clients: sockets.usual_clients(),
+        reserved_clients: sockets.reserved_clients(),
         sockets: sockets.total(),
         classes: classes_by_name(settings, names),
     }
--- a/src/net/client/service.rs
+++ b/src/net/client/service.rs
@@ -19,7 +19,7 @@
 use crate::net::hot_restart::frame::Successor;
 use crate::net::server::PgDriver;
 
-/// Idle connections are evicted while the number of clients is at least this share of the usual number.
+/// Idle connections are evicted while the number of clients is at least this share of `reserved_clients`.
 const EVICTION_THRESHOLD_SHARE: f64 = 0.5;
 /// Share of the client limit that clients without a request may use. Beyond it, a new client gets a short
 /// deadline for its first request.
@@ -42,7 +42,7 @@
     pub max_clients: usize,
     /// Number of clients whose sockets are reserved; each further client takes a socket from the data
     /// servers.
-    pub usual_clients: usize,
+    pub reserved_clients: usize,
     /// Number of sockets for clients and data servers together.
     pub sockets: usize,
     /// Classes of requests, by name.
@@ -154,8 +154,8 @@
     }
 
     fn needs_eviction(&self) -> bool {
-        let usual_clients = self.0.usual_clients().min(self.limit());
-        self.0.connections.len() as f64 >= usual_clients as f64 * EVICTION_THRESHOLD_SHARE
+        let reserved_clients = self.0.reserved_clients().min(self.limit());
+        self.0.connections.len() as f64 >= reserved_clients as f64 * EVICTION_THRESHOLD_SHARE
     }
 
     /// Serves an idle connection that the predecessor has handed over, and raises a reduced client limit by
--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -53,7 +53,7 @@
 
 impl Shared {
     pub(super) fn new(driver: PgDriver, options: ClientOptions, pool: BufferPool) -> Self {
-        let ClientOptions { max_clients, usual_clients, sockets, classes } = options;
+        let ClientOptions { max_clients, reserved_clients, sockets, classes } = options;
         Self {
             driver,
             pool,
@@ -70,7 +70,7 @@
             parallel_successor: RefCell::default(),
             shutdown: RefCell::default(),
             shutdown_notify: Notify::new(),
-            sockets: SocketShare::new(max_clients, usual_clients, sockets),
+            sockets: SocketShare::new(max_clients, reserved_clients, sockets),
             rejections: RejectionLog::default(),
         }
     }
@@ -80,9 +80,9 @@
         self.reduced_limit.get().unwrap_or(self.sockets.max_clients())
     }
 
-    /// Returns the number of clients up to which data servers keep their usual share of the sockets.
-    pub(super) fn usual_clients(&self) -> usize {
-        self.sockets.usual_clients()
+    /// Returns the number of clients whose sockets are reserved.
+    pub(super) fn reserved_clients(&self) -> usize {
+        self.sockets.reserved_clients()
     }
 
     /// Updates the number of sockets that are left to the data servers.
--- a/src/net/client/socket_share.rs
+++ b/src/net/client/socket_share.rs
@@ -13,7 +13,7 @@
 /// clients do not need.
 pub(super) struct SocketShare {
     max_clients: usize,
-    usual_clients: usize,
+    reserved_clients: usize,
     /// Sockets of clients and data servers together.
     sockets: usize,
     /// Socket limit that was last sent to the data servers' side.
@@ -21,26 +21,26 @@
 }
 
 impl SocketShare {
-    /// Divides `sockets`: `usual_clients` sockets are reserved for clients, and clients may take up to
+    /// Divides `sockets`: `reserved_clients` sockets are reserved for clients, and clients may take up to
     /// `max_clients` sockets under load.
-    pub(super) fn new(max_clients: usize, usual_clients: usize, sockets: usize) -> Self {
-        let server_sockets = Cell::new(sockets - usual_clients);
-        Self { max_clients, usual_clients, sockets, server_sockets }
+    pub(super) fn new(max_clients: usize, reserved_clients: usize, sockets: usize) -> Self {
+        let server_sockets = Cell::new(sockets - reserved_clients);
+        Self { max_clients, reserved_clients, sockets, server_sockets }
     }
 
     pub(super) fn max_clients(&self) -> usize {
         self.max_clients
     }
 
-    pub(super) fn usual_clients(&self) -> usize {
-        self.usual_clients
+    pub(super) fn reserved_clients(&self) -> usize {
+        self.reserved_clients
     }
 
     /// Adjusts the data servers' socket limit to the number of client connections. Clients over the limit,
     /// which are only rejected, use sockets that are not part of `sockets`.
     pub(super) fn update(&self, connections: &ConnectionTable, driver: &PgDriver) {
         let clients = connections.len().next_multiple_of(CLIENT_COUNT_STEP) + CLIENT_COUNT_STEP;
-        let server_sockets = self.sockets - clients.clamp(self.usual_clients, self.max_clients);
+        let server_sockets = self.sockets - clients.clamp(self.reserved_clients, self.max_clients);
         if self.server_sockets.replace(server_sockets) != server_sockets {
             driver.send_command(ServerCommand::SetSocketLimit(server_sockets));
         }
--- a/src/socket_budget.rs
+++ b/src/socket_budget.rs
@@ -8,12 +8,12 @@
 /// asynchronous runtime, and clients that are rejected.
 const RESERVED_DESCRIPTORS: usize = 28;
 /// Shares of the sockets that clients may use. Data servers get the sockets that clients do not use.
-const CLIENT_SHARES: SocketShares = SocketShares { usual: 0.55, max: 0.86 };
+const CLIENT_SHARES: SocketShares = SocketShares { reserved: 0.55, max: 0.86 };
 
 /// Shares of the sockets for clients, from 0 to 1.
 struct SocketShares {
     /// Share that is reserved for clients.
-    usual: f64,
+    reserved: f64,
     /// Largest share, with the sockets that clients may take from data servers.
     max: f64,
 }
@@ -59,8 +59,8 @@
 
     /// Returns the number of clients whose sockets are reserved. Each further client takes a socket from the
     /// data servers.
-    pub fn usual_clients(self) -> usize {
-        self.fraction_of_total(CLIENT_SHARES.usual)
+    pub fn reserved_clients(self) -> usize {
+        self.fraction_of_total(CLIENT_SHARES.reserved)
     }
 
     /// Returns the largest number of clients.
@@ -70,7 +70,7 @@
 
     /// Returns the largest number of sockets to data servers.
     pub fn max_server_sockets(self) -> usize {
-        self.total - self.usual_clients()
+        self.total - self.reserved_clients()
     }
 
     fn fraction_of_total(self, share: f64) -> usize {
