--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -55,7 +55,7 @@
     /// logs the error and changes nothing.
     pub fn reload_out_of_service_list(&self) {
         match self.out_of_service.reload() {
-            Ok(changes) => changes.iter().for_each(|change| self.apply_state(&change.uid, change.state)),
+            Ok(changes) => changes.iter().for_each(|change| self.apply_state(&change.name, change.state)),
             Err(e) => log::warn!("reloading the out-of-service list failed: {e}"),
         }
     }
@@ -68,20 +68,20 @@
     }
 
     /// Logs the new state of a server and sets it in the driver.
-    fn apply_state(&self, uid: &str, state: ServiceState) {
+    fn apply_state(&self, name: &str, state: ServiceState) {
         match state {
-            ServiceState::OutOfService => log::info!("server {uid} taken out of service"),
-            ServiceState::InService => log::info!("server {uid} returned to service"),
+            ServiceState::OutOfService => log::info!("server {name} taken out of service"),
+            ServiceState::InService => log::info!("server {name} returned to service"),
         }
-        let server = self.registry.borrow().server_id(uid);
+        let server = self.registry.borrow().server_id(name);
         self.driver.set_out_of_service(server, state == ServiceState::OutOfService);
     }
 
     fn handle_call(&self, call: AdminCall) -> Response {
         match call {
             AdminCall::Ready => self.readiness(),
-            AdminCall::Offline(uid) => self.set_state(&uid, ServiceState::OutOfService),
-            AdminCall::Online(uid) => self.set_state(&uid, ServiceState::InService),
+            AdminCall::Offline(name) => self.set_state(&name, ServiceState::OutOfService),
+            AdminCall::Online(name) => self.set_state(&name, ServiceState::InService),
             AdminCall::OutOfService => {
                 self.clients.take_out_of_service();
                 Response::new(HttpStatus::Ok, "out of service")
@@ -104,20 +104,20 @@
     }
 
     /// Stores the new state of a server and applies it.
-    fn set_state(&self, uid: &str, state: ServiceState) -> Response {
+    fn set_state(&self, name: &str, state: ServiceState) -> Response {
         self.reload_out_of_service_list(); // another process may have stored a change
-        if !self.registry.borrow().has_listed(uid) && !self.out_of_service.contains(uid) {
+        if !self.registry.borrow().has_listed(name) && !self.out_of_service.contains(name) {
             return Response::new(HttpStatus::NotFound, "no such data server was ever listed");
         }
-        let previous = self.out_of_service.state(uid);
-        if let Err(e) = self.out_of_service.set(uid, state) {
-            log::warn!("storing the state {state:?} of server {uid} failed: {e}");
+        let previous = self.out_of_service.state(name);
+        if let Err(e) = self.out_of_service.set(name, state) {
+            log::warn!("storing the state {state:?} of server {name} failed: {e}");
             return Response::new(HttpStatus::InternalServerError, "it could not be written down");
         }
         if previous == state {
             return Response::new(HttpStatus::Ok, "as before");
         }
-        self.apply_state(uid, state);
+        self.apply_state(name, state);
         let text = match state {
             ServiceState::OutOfService => "out",
             ServiceState::InService => "back",
--- a/src/net/admin/out_of_service.rs
+++ b/src/net/admin/out_of_service.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceChange {
     /// Name of the server in the endpoint list.
-    pub uid: String,
+    pub name: String,
     /// New state of the server.
     pub state: ServiceState,
 }
@@ -91,13 +91,13 @@
     }
 
     /// Returns whether the server with this name is out of service.
-    pub fn contains(&self, uid: &str) -> bool {
-        self.servers.borrow().contains(uid)
+    pub fn contains(&self, name: &str) -> bool {
+        self.servers.borrow().contains(name)
     }
 
     /// Returns the state of the server with this name.
-    pub fn state(&self, uid: &str) -> ServiceState {
-        if self.contains(uid) {
+    pub fn state(&self, name: &str) -> ServiceState {
+        if self.contains(name) {
             ServiceState::OutOfService
         } else {
             ServiceState::InService
@@ -109,12 +109,12 @@
     /// # Errors
     ///
     /// Returns an error if the file cannot be read or written. The list is then unchanged.
-    pub fn set(&self, uid: &str, state: ServiceState) -> Result<(), OutOfServiceError> {
+    pub fn set(&self, name: &str, state: ServiceState) -> Result<(), OutOfServiceError> {
         let stored = self.read()?;
         let mut servers = stored.unwrap_or_else(|| self.servers.borrow().clone());
         match state {
-            ServiceState::OutOfService => servers.insert(uid.to_owned()),
-            ServiceState::InService => servers.remove(uid),
+            ServiceState::OutOfService => servers.insert(name.to_owned()),
+            ServiceState::InService => servers.remove(name),
         };
         let list = StoredList { offline: servers };
         if let Some(file) = &self.file {
@@ -140,7 +140,7 @@
         let previous = self.servers.replace(servers);
         let servers = self.servers.borrow();
         let changed = servers.symmetric_difference(&previous);
-        Ok(changed.map(|uid| ServiceChange { uid: uid.clone(), state: self.state(uid) }).collect())
+        Ok(changed.map(|name| ServiceChange { name: name.clone(), state: self.state(name) }).collect())
     }
 
     /// Reads the list from the file. Returns `None` if there is no file.
--- a/tests/handover_format.rs
+++ b/tests/handover_format.rs
@@ -200,8 +200,8 @@
     [out_of_service("store-a"), out_of_service("\u{e9} \"b\"")]
 }
 
-fn out_of_service(uid: &str) -> ServiceChange {
-    ServiceChange { uid: uid.to_owned(), state: ServiceState::OutOfService }
+fn out_of_service(name: &str) -> ServiceChange {
+    ServiceChange { name: name.to_owned(), state: ServiceState::OutOfService }
 }
 
 #[test]
