--- a/src/net/client/mod.rs
+++ b/src/net/client/mod.rs
@@ -1,6 +1,6 @@
 //! The client side of the proxy: the listener, and one task for each client connection.
 //!
-//! A connection task reads simple queries, submits them to the driver and writes complete responses in order.
+//! A connection task reads simple queries, submits them to the driver and writes the responses in order.
 //! [`ClientService`] owns the accept loop, the connections and the service phase. Each connection task is
 //! spawned on the local task set, ends with its connection, and logs the error that ended it.
 
--- a/src/net/client/service.rs
+++ b/src/net/client/service.rs
@@ -21,8 +21,8 @@
 
 /// Idle connections are evicted while the number of clients is at least this share of `reserved_clients`.
 const EVICTION_THRESHOLD_SHARE: f64 = 0.5;
-/// Share of the client limit that clients without a request may use. Beyond it, a new client gets a short
-/// deadline for its first request.
+/// Share of the client limit that clients without a request may use. From this share on, a new client gets a
+/// short deadline for its first request.
 const MAX_SHARE_WITHOUT_REQUEST: f64 = 0.25;
 /// Interval between searches for connections to evict, and between checks for a process pause.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
@@ -32,7 +32,7 @@
 /// Time from the first failing health check to the closing of idle connections. The load balancer checks
 /// every 0.1 s and may send clients for 0.2 s after a failed check.
 const OUT_OF_SERVICE_NOTICE_PERIOD: Duration = Duration::from_millis(600);
-/// Pause after a failed accept, which must neither end the accept loop nor make it spin.
+/// Pause after a failed accept. The accept loop then continues; the pause keeps the loop from spinning.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 const LISTEN_BACKLOG: u32 = 1024;
 
--- a/src/net/client/socket_share.rs
+++ b/src/net/client/socket_share.rs
@@ -16,7 +16,7 @@
     reserved_clients: usize,
     /// Sockets of clients and data servers together.
     sockets: usize,
-    /// Socket limit that was last sent to the data servers' side.
+    /// Socket limit that was last sent to the server side.
     server_sockets: Cell<usize>,
 }
 
