--- a/src/net/client/service.rs
+++ b/src/net/client/service.rs
@@ -19,12 +19,12 @@
 use crate::net::hot_restart::frame::Successor;
 use crate::net::server::PgDriver;
 
-/// Idle connections are evicted while the number of clients is at least this share of the usual number.
+/// Idle connections are evicted while the number of clients is at least this share of `reserved_clients`.
 const EVICTION_THRESHOLD_SHARE: f64 = 0.5;
-/// Share of the client limit that clients without a request may use. Beyond it, a new client gets a short
-/// deadline for its first request.
+/// Share of the client limit that clients without a request may use. From this share on, a new client gets a
+/// short deadline for its first request.
 const MAX_SHARE_WITHOUT_REQUEST: f64 = 0.25;
-/// Interval between searches for connections to evict.
+/// Interval between searches for connections to evict, and between checks for a process pause.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 /// Largest number of clients over the limit that are connected at the same time to receive an error. Further
 /// clients are closed without one.
@@ -32,7 +32,7 @@
 /// Time from the first failing health check to the closing of idle connections. The load balancer checks
 /// every 0.1 s and may send clients for 0.2 s after a failed check.
 const OUT_OF_SERVICE_NOTICE_PERIOD: Duration = Duration::from_millis(600);
-/// Pause after a failed accept, which must neither end the accept loop nor make it spin.
+/// Pause after a failed accept. The accept loop then continues; the pause keeps the loop from spinning.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 const LISTEN_BACKLOG: u32 = 1024;
 
@@ -42,7 +42,7 @@
     pub max_clients: usize,
     /// Number of clients whose sockets are reserved; each further client takes a socket from the data
     /// servers.
-    pub usual_clients: usize,
+    pub reserved_clients: usize,
     /// Number of sockets for clients and data servers together.
     pub sockets: usize,
     /// Classes of requests, by name.
@@ -134,7 +134,7 @@
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(e) => {
-                log::warn!("accept failed: {e}");
+                log::warn!("accept failed on the client listener: {e}");
                 return tokio::time::sleep(ACCEPT_RETRY_INTERVAL).await;
             }
         };
@@ -154,8 +154,8 @@
     }
 
     fn needs_eviction(&self) -> bool {
-        let usual_clients = self.0.usual_clients().min(self.limit());
-        self.0.connections.len() as f64 >= usual_clients as f64 * EVICTION_THRESHOLD_SHARE
+        let reserved_clients = self.0.reserved_clients().min(self.limit());
+        self.0.connections.len() as f64 >= reserved_clients as f64 * EVICTION_THRESHOLD_SHARE
     }
 
     /// Serves an idle connection that the predecessor has handed over, and raises a reduced client limit by
@@ -215,7 +215,8 @@
         self.0.reduced_limit.set(limit);
     }
 
-    /// Restores the full client limit and accepts clients again, because no other process does any more.
+    /// Restores the full client limit and accepts clients again. To be called when no other process accepts
+    /// clients any more.
     pub fn resume_accepting(&self) {
         self.set_limit(None);
         self.0.successor_accepts.send_replace(false);
@@ -230,16 +231,16 @@
         kept
     }
 
-    /// Sets the successor that takes over connections once the listener is closed; `None` if there is none
-    /// any more.
+    /// Sets the successor that takes over connections once the listener is closed; `None` when the successor
+    /// has ended.
     pub fn set_successor(&self, successor: Option<Successor>) {
         self.0.successor.replace(successor);
         self.0.shutdown_notify.notify_waiters();
     }
 
     /// Sets a newer process that serves in parallel with a listener of its own; `None` when it has ended.
-    pub fn set_parallel_successor(&self, other: Option<Successor>) {
-        self.0.parallel_successor.replace(other);
+    pub fn set_parallel_successor(&self, successor: Option<Successor>) {
+        self.0.parallel_successor.replace(successor);
         self.0.shutdown_notify.notify_waiters();
     }
 
--- a/src/net/client/shared.rs
+++ b/src/net/client/shared.rs
@@ -41,8 +41,8 @@
     pub successor_accepts: watch::Sender<bool>,
     /// Successor that takes over connections between requests once the listener is closed.
     pub successor: RefCell<Option<Successor>>,
-    /// Newer process with a listener of its own at the same address, to which clients connect when they
-    /// reconnect. It regards this process as ended when this handle is dropped.
+    /// Newer process with a listener of its own at the same address, which serves clients that reconnect. The
+    /// newer process assumes that this process runs until the connection of this handle closes.
     pub parallel_successor: RefCell<Option<Successor>>,
     pub shutdown: RefCell<Option<GracefulShutdown>>,
     /// Notified of events that may advance a graceful shutdown.
@@ -53,7 +53,7 @@
 
 impl Shared {
     pub(super) fn new(driver: PgDriver, options: ClientOptions, pool: BufferPool) -> Self {
-        let ClientOptions { max_clients, usual_clients, sockets, classes } = options;
+        let ClientOptions { max_clients, reserved_clients, sockets, classes } = options;
         Self {
             driver,
             pool,
@@ -70,7 +70,7 @@
             parallel_successor: RefCell::default(),
             shutdown: RefCell::default(),
             shutdown_notify: Notify::new(),
-            sockets: SocketShare::new(max_clients, usual_clients, sockets),
+            sockets: SocketShare::new(max_clients, reserved_clients, sockets),
             rejections: RejectionLog::default(),
         }
     }
@@ -80,9 +80,9 @@
         self.reduced_limit.get().unwrap_or(self.sockets.max_clients())
     }
 
-    /// Returns the number of clients up to which data servers keep their usual share of the sockets.
-    pub(super) fn usual_clients(&self) -> usize {
-        self.sockets.usual_clients()
+    /// Returns the number of clients whose sockets are reserved.
+    pub(super) fn reserved_clients(&self) -> usize {
+        self.sockets.reserved_clients()
     }
 
     /// Updates the number of sockets that are left to the data servers.
