--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -8,9 +8,9 @@
 /// Error in parsing a line.
 #[derive(Debug, thiserror::Error)]
 pub enum ParseError {
-    #[error("not JSON: {0}")]
+    #[error("the message is not JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    #[error("not an array")]
+    #[error("the message is not an array")]
     NotAnArray,
     #[error("the message does not start with its name")]
     Unnamed,
@@ -21,7 +21,7 @@
     #[error("{field} is too large")]
     TooLarge { field: &'static str },
     /// A string that is not a valid value of its field.
-    #[error("unknown {field} {value}")]
+    #[error("unknown {field} \"{value}\"")]
     Unknown { field: &'static str, value: String },
     #[error("{field} is not hexadecimal: {source}")]
     NotHex { field: &'static str, source: hex::FromHexError },
@@ -40,11 +40,11 @@
     /// The routing engine rejects the settings of an instance.
     #[error("invalid settings: {0}")]
     Settings(#[from] SettingsError),
-    #[error("no list number {number}")]
+    #[error("endpoint list {number} is not registered")]
     UnknownList { number: u64 },
-    #[error("TURN inside a batch")]
+    #[error("TURN is not allowed inside a batch")]
     NestedBatch,
-    #[error("{message} outside a batch")]
+    #[error("{message} is not allowed outside a batch")]
     OutsideBatch { message: String },
     #[error(transparent)]
     Io(#[from] io::Error),
@@ -55,6 +55,6 @@
 pub enum RunError {
     #[error("line {number}: {source}")]
     Line { number: usize, source: LineError },
-    #[error("input ended inside a batch")]
+    #[error("the input ended inside a batch")]
     UnfinishedBatch,
 }
--- a/src/bootstrap.rs
+++ b/src/bootstrap.rs
@@ -7,7 +7,8 @@
 //! All tasks run on one [`LocalSet`], which owns them: a task that is still running when [`run`] returns is
 //! dropped with the set. Most tasks run as long as the process, with these exceptions:
 //!
-//! - The tasks that follow a predecessor and the task that waits for discovery end when their work is done.
+//! - The tasks that receive clients from a predecessor or wait for its exit, and the task that waits for
+//!   discovery, end when their work is done.
 //! - The client task ends when a graceful shutdown has closed the listener. The client task then stops the
 //!   handover task, unless a successor accepts from the same accept queue.
 //!
--- a/src/components.rs
+++ b/src/components.rs
@@ -50,7 +50,7 @@
     pub ready_by: Instant,
 }
 
-/// Returns the client side's options for the given settings and socket budget.
+/// Returns the options of the client service for the given settings and socket budget.
 pub fn client_options(settings: &Settings, names: &NameTable, sockets: SocketBudget) -> ClientOptions {
     ClientOptions {
         max_clients: sockets.max_clients(),
@@ -94,8 +94,8 @@
         self.driver.endpoints_updated(applied.update, applied.addresses);
     }
 
-    /// Spawns the task that follows the file of the servers out of service. If there is a listener, also
-    /// spawns the task of the admin API.
+    /// Spawns the task that watches the out-of-service list. If there is a listener, also spawns the task of
+    /// the admin API.
     ///
     /// # Errors
     ///
--- a/src/listeners.rs
+++ b/src/listeners.rs
@@ -19,7 +19,7 @@
     #[error("cannot listen at {address}: {source}")]
     Bind { address: SocketAddr, source: io::Error },
     /// An open listener cannot be duplicated, or its address cannot be read.
-    #[error("cannot use a listener: {0}")]
+    #[error("cannot duplicate a listener or read its address: {0}")]
     Unusable(#[source] io::Error),
 }
 
@@ -44,7 +44,7 @@
     }
 }
 
-/// Listeners of a process that starts.
+/// Listeners of a starting process.
 pub struct Listeners {
     pub clients: TcpListener,
     pub clients_address: SocketAddr,
@@ -115,7 +115,7 @@
         self.path("sock")
     }
 
-    /// Returns the path of the file that lists the servers out of service.
+    /// Returns the path of the out-of-service list, which names the data servers that are offline.
     pub fn out_of_service_list(&self) -> Option<PathBuf> {
         self.path("json")
     }
--- a/src/logger/tests.rs
+++ b/src/logger/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_line_has_the_name_of_the_component_instead_of_the_file() {
+fn the_component_is_the_module_below_net_or_else_the_crate() {
     let paths =
         ["pipittack::net::discovery::client", "pipittack::net::admin", "pipittack::bootstrap", "pipittack"];
     assert_eq!(paths.map(component), ["discovery", "admin", "pipittack", "pipittack"]);
--- a/src/operator_settings/error.rs
+++ b/src/operator_settings/error.rs
@@ -123,7 +123,7 @@
             Self::KnownSetting => {
                 f.write_str("hold-count, hold-bytes, hold-share, patience, refuse-under or hold-over")
             }
-            Self::UniqueSetting => f.write_str("each name once"),
+            Self::UniqueSetting => f.write_str("each setting once"),
             Self::Number { setting } => write!(f, "({setting} NUMBER)"),
             Self::PositiveWholeNumber => f.write_str("a whole number of 1 or more"),
             Self::InRange(invalid) => write!(f, "{} for {}", invalid.expected, invalid.name),
--- a/src/operator_settings/mod.rs
+++ b/src/operator_settings/mod.rs
@@ -102,7 +102,7 @@
         let invalid = settings.validate().err().filter(|invalid| invalid.name == setting.name);
         if let Some(invalid) = invalid {
             reader.report(setting.datum, Expectation::InRange(invalid));
-            // Resets the invalid value: `validate` returns only the first error, so the value would hide
+            // Resets the settings: `validate` returns only the first error, so the invalid value would hide
             // errors in other settings.
             settings = FailoverSettings::default();
         }
--- a/src/operator_settings/tests.rs
+++ b/src/operator_settings/tests.rs
@@ -28,7 +28,7 @@
 #[case::not_a_form("7", "f:1:1: expected (failover ...), found 7")]
 #[case::unknown_form("(failovr)", "f:1:1: expected (failover ...)")]
 #[case::repeated_form("(failover)\n(failover)", "f:2:1: expected each form once")]
-#[case::repeated_setting("(failover (patience 2)\n(patience 3))", "f:2:1: expected each name once")]
+#[case::repeated_setting("(failover (patience 2)\n(patience 3))", "f:2:1: expected each setting once")]
 #[case::unknown_setting("(failover\n  (hold 7))", "f:2:3: expected hold-count, hold-bytes")]
 #[case::not_a_number("(failover (patience soon))", "f:1:11: expected (patience NUMBER)")]
 #[case::two_numbers("(failover (patience 1 2))", "f:1:11: expected (patience NUMBER)")]
--- a/src/settings/config.rs
+++ b/src/settings/config.rs
@@ -17,9 +17,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(default)]
 pub struct ResourceLimits {
-    /// Memory in megabytes (10^6 bytes).
+    /// Maximum memory of the process, in megabytes (10^6 bytes).
     pub memory_mb: u64,
-    /// Number of open file descriptors.
+    /// Maximum number of open file descriptors.
     pub sockets: usize,
 }
 
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -10,7 +10,7 @@
     #[error("not a configuration: {0}")]
     Malformed(#[source] serde_json::Error),
     /// A required key is absent.
-    #[error("key {key} is missing")]
+    #[error("{key} is missing")]
     MissingKey {
         /// Name of the key. For a reload, also the names of the enclosing objects, as in `settings.Limits`.
         key: String,
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -29,7 +29,7 @@
         })
     }
 
-    /// Returns the class of the given name.
+    /// Returns the class of the given name; `None` if the settings have no such class.
     pub fn class(&self, name: &str) -> Option<ClassId> {
         find_index(&self.classes, name).map(ClassId)
     }
@@ -44,7 +44,7 @@
         self.zones.get(zone.0).map(String::as_str)
     }
 
-    /// Returns the tenant of the given name.
+    /// Returns the tenant of the given name; `None` if the settings have no such tenant.
     pub fn tenant(&self, name: &str) -> Option<TenantId> {
         find_index(&self.tenants, name).map(TenantId)
     }
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -35,7 +35,7 @@
     String::from_utf8(output.stdout).expect("the replies are UTF-8").lines().map(str::to_owned).collect()
 }
 
-/// Returns the line that creates an instance.
+/// Returns the line that starts an instance.
 fn enlist_line(instance: u64) -> String {
     format!("[\"ENLIST\",{instance},5,{}]", SETTINGS.replace('\n', ""))
 }
@@ -52,7 +52,7 @@
     lines.iter().map(|line| (*line).to_owned()).collect()
 }
 
-/// Returns one batch that creates instance 3 with a primary, server 71, and a replica, server 72.
+/// Returns one batch that starts instance 3 with a primary, server 71, and a replica, server 72.
 fn input_with_a_started_instance() -> Vec<String> {
     let mut input = to_lines(&[r#"["TURN",5000,1]"#]);
     input.extend([enlist_line(3), register_line(0, &[(71, 1), (72, 0)])]);
@@ -139,7 +139,7 @@
         (r#"["ANSWER",3,10,0,71,"weird",1.0,true,0,null]"#, "unknown outcome"),
         (r#"["NOVELTY",3]"#, "unknown message"),
         (r#"["BELL",3]"#, "Nonce is missing"),
-        (r#"["VIEW",3,"all",1,15]"#, "no list number 15"),
+        (r#"["VIEW",3,"all",1,15]"#, "endpoint list 15 is not registered"),
     ];
     for (line, expected) in cases {
         let mut input = input_with_a_started_instance();
