--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -37,14 +37,14 @@
     let proxy = start_proxy(&endpoints);
     let mut client = Client::connect(&proxy);
     assert_eq!(message_kinds(&client.request(&write_statement(3000))), "TDCZ");
-    let old = std::fs::read_to_string(&proxy.config).expect("the configuration file can be read");
-    std::fs::write(&proxy.config, "{").expect("the configuration file can be written");
+    let old = std::fs::read_to_string(&proxy.config_path).expect("the configuration file can be read");
+    std::fs::write(&proxy.config_path, "{").expect("the configuration file can be written");
     proxy.signal("HUP");
     assert!(proxy.wait_for_log("configuration").contains("WARN"));
     assert_eq!(message_kinds(&client.request(&write_statement(3000))), "TDCZ");
     let new_discovery = ScriptedDiscovery::start(full_list(5, &endpoints));
     let new = old.replace(&proxy.discovery.address.to_string(), &new_discovery.address.to_string());
-    std::fs::write(&proxy.config, new).expect("the configuration file can be written");
+    std::fs::write(&proxy.config_path, new).expect("the configuration file can be written");
     proxy.signal("HUP");
     let request_line = new_discovery
         .request_lines
@@ -61,9 +61,9 @@
     let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut client = Client::connect(&proxy);
-    let old = std::fs::read_to_string(&proxy.config).expect("the configuration file can be read");
+    let old = std::fs::read_to_string(&proxy.config_path).expect("the configuration file can be read");
     let mut reload = |text: String, log_text: &str| {
-        std::fs::write(&proxy.config, text).expect("the configuration file can be written");
+        std::fs::write(&proxy.config_path, text).expect("the configuration file can be written");
         proxy.signal("HUP");
         proxy.wait_for_log(log_text);
         client.request(&write_statement(3000).replace("usage-write", "usage"))
@@ -90,18 +90,18 @@
     });
 }
 
-/// A request that was sent before a reload may name a class that the reload removed. The request is served
-/// under the rules of that class, unless the name now belongs to another class.
+/// A request that was sent before a reload may name a class that the reload removed. For a grace period, even
+/// across further reloads, the request is served, unless the name now belongs to another class.
 #[test]
-fn a_class_removed_two_reloads_ago_is_served_by_its_own_rules() {
+fn a_removed_class_is_still_served_unless_its_name_was_reused() {
     let server = ScriptedServer::start(ServerRole::Primary, reply_with_row);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut client = Client::connect(&proxy);
-    let first = std::fs::read_to_string(&proxy.config).expect("the configuration file can be read");
+    let first = std::fs::read_to_string(&proxy.config_path).expect("the configuration file can be read");
     let second = first.replace("usage-write", "w2");
     let third = second.replace("own-changes", "r3").replace(r#""w2""#, r#""own-changes""#);
     for text in [&second, &third] {
-        std::fs::write(&proxy.config, text).expect("the configuration file can be written");
+        std::fs::write(&proxy.config_path, text).expect("the configuration file can be written");
         proxy.signal("HUP");
         proxy.wait_for_log("configuration reloaded");
     }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn an_ended_watch_is_reopened_from_the_cached_revision() {
+fn an_ended_watch_is_reopened_from_the_last_revision() {
     let proxy = start_proxy(&[]);
     let next_request_line = || proxy.discovery.request_lines.recv_timeout(TEST_TIMEOUT).expect("a request");
     assert_eq!(next_request_line(), "GET /v1/endpoints?watch=1&from=1 HTTP/1.1");
@@ -59,7 +59,7 @@
         let cached_endpoints =
             [old.endpoint("a", "read-write", "Ready"), new.endpoint("b", "read-only", "Ready")];
         let discovery = ManualDiscovery::start();
-        let proxy = start_proxy_with_discovery(EXAMPLE_CONFIG, &cached_endpoints, discovery.address());
+        let proxy = start_proxy_with_discovery_at(EXAMPLE_CONFIG, &cached_endpoints, discovery.address());
         Self { old, new, cached_endpoints, discovery, proxy }
     }
 }
@@ -89,7 +89,7 @@
     });
 }
 
-/// Changes count as missed 6 s after the last complete message. Within that time, the proxy must reopen a
+/// Changes count as missed if no complete message arrives for 6 s. Within that time, the proxy must reopen a
 /// watch that is silent or delivers only whitespace, even if the first new connection fails.
 #[rstest]
 #[case::silent_from_the_start("", false)]
@@ -101,7 +101,7 @@
     #[case] sends_slowly: bool,
 ) {
     let discovery = ManualDiscovery::start();
-    let _proxy = start_proxy_with_discovery(EXAMPLE_CONFIG, &[], discovery.address());
+    let _proxy = start_proxy_with_discovery_at(EXAMPLE_CONFIG, &[], discovery.address());
     let (_, mut stream) = discovery.accept_watch();
     if !first_chunk.is_empty() {
         send_chunk(&mut stream, first_chunk);
@@ -173,14 +173,14 @@
 }
 
 /// Clients that connect and send nothing can use up the sockets for clients. Discovery and data servers have
-/// sockets of their own.
+/// reserved sockets.
 #[test]
 fn idle_clients_leave_sockets_for_discovery_and_data_servers() {
     let old = ScriptedServer::start(ServerRole::Primary, reply_with_row);
     let discovery = ManualDiscovery::start();
     let endpoints = [old.endpoint("a", "read-write", "Ready")];
     let config = config_with_limits(ProcessLimits { memory_mb: 192, sockets: 64 });
-    let proxy = start_proxy_with_discovery(&config, &endpoints, discovery.address());
+    let proxy = start_proxy_with_discovery_at(&config, &endpoints, discovery.address());
     drop(discovery.accept_request());
     let mut client = Client::connect(&proxy);
     let idle: Vec<_> =
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -76,8 +76,8 @@
 #[test]
 fn a_result_for_an_unknown_attempt_is_dropped() {
     let (driver, mut commands) = start_driver(Clock::start());
-    let key = AttemptId { request: RequestId(99), number: AttemptNumber(0) };
-    driver.attempt_ended(key, attempt_result(Outcome::Success, true, driver.clock().now()));
+    let id = AttemptId { request: RequestId(99), number: AttemptNumber(0) };
+    driver.attempt_ended(id, attempt_result(Outcome::Success, true, driver.clock().now()));
     driver.step();
     assert!(next_attempt(&mut commands).is_none() && driver.requests_in_flight() == 0);
 }
@@ -90,7 +90,9 @@
     let attempt = next_attempt(&mut commands).expect("the driver commands an attempt");
     driver.client_disconnected(id);
     driver.step();
-    assert!(matches!(commands.try_recv(), Ok(ServerCommand::CancelAttempt(key)) if key == attempt.id));
+    assert!(
+        matches!(commands.try_recv(), Ok(ServerCommand::CancelAttempt(cancelled)) if cancelled == attempt.id)
+    );
     assert!(response.try_recv().is_err());
 }
 
@@ -101,16 +103,16 @@
 #[case::draining(EndpointUpdate::Changes(vec![Endpoint { state: EndpointState::Draining, ..endpoint(3, false) }]), &[])]
 #[case::not_in_the_complete_list(EndpointUpdate::Full(vec![endpoint(2, false), endpoint(4, true)]), &[1, 3])]
 #[case::never_listed(EndpointUpdate::Changes(vec![Endpoint { state: EndpointState::Removed, ..endpoint(9, false) }]), &[])]
-fn the_state_of_a_removed_server_is_dropped(#[case] update: EndpointUpdate, #[case] removed: &[u32]) {
+fn removed_servers_are_reported_to_the_server_side(#[case] update: EndpointUpdate, #[case] expected: &[u32]) {
     let (driver, mut commands) = start_driver(Clock::start());
     driver.endpoints_updated(update, []);
-    let mut forgotten = Vec::new();
+    let mut removed = Vec::new();
     while let Ok(command) = commands.try_recv() {
         if let ServerCommand::RemoveServer(server) = command {
-            forgotten.push(server.0);
+            removed.push(server.0);
         }
     }
-    assert_eq!(forgotten, removed);
+    assert_eq!(removed, expected);
     assert!(driver.knows_group(GroupId(1)) && !driver.knows_group(GroupId(9)));
 }
 
@@ -127,11 +129,11 @@
     }
 }
 
-/// The staleness bound must hold at the time at which the query is sent. An attempt at a replica therefore
-/// has a time after which the last known position of the replica is too old, even if the attempt still waits
-/// for a connection. A primary is up to date, so an attempt at a primary has no such limit.
+/// The staleness bound must hold when the query is sent, even if the attempt waited for a connection. An
+/// attempt at a replica therefore has a staleness deadline, after which the replica's last known position is
+/// too old. A primary is up to date, so an attempt at a primary has no such deadline.
 #[test]
-fn an_attempt_at_a_replica_has_a_freshness_deadline() {
+fn an_attempt_at_a_replica_has_a_staleness_deadline() {
     let clock = Clock::start();
     let (driver, mut commands) = start_driver(clock);
     let (mut at_replica, mut at_primary) = (0, 0);
@@ -153,8 +155,8 @@
 }
 
 /// Data servers may close idle connections earlier than the settings say; such a connection breaks at its
-/// next query. Connections are not reused beyond the idle time from which on they break often. If connections
-/// break as often after a short idle time, idle time is not the cause and stays unlimited.
+/// next query. Connections are not reused after an idle time at which they break often. If connections break
+/// as often after a short idle time, the idle time is not the cause and stays unlimited.
 #[rstest::rstest]
 #[case::long_idle_connections_break(0.0, 0.5, true)]
 #[case::long_idle_connections_break_rarely(0.03, 0.05, false)]
--- a/tests/handover_format.rs
+++ b/tests/handover_format.rs
@@ -195,7 +195,7 @@
     names
 }
 
-/// Returns the changes that reading the recorded file yields, in the order of the file.
+/// Returns the changes in the recorded out-of-service file, in the order of the file.
 fn recorded_changes() -> [ServiceChange; 2] {
     [out_of_service("store-a"), out_of_service("\u{e9} \"b\"")]
 }
--- a/tests/network.rs
+++ b/tests/network.rs
@@ -122,15 +122,16 @@
 }
 
 #[test]
-fn a_rejection_is_immediate_and_carries_a_retry_hint() {
+fn a_rejection_carries_a_retry_after_time() {
     let proxy = start_proxy(&[]);
     let sent_at = Instant::now();
     // The routing engine rejects a request with a timeout of 1 ms on arrival, because too little time is
     // left.
     let response = Client::connect(&proxy).request(&read_statement(1));
     assert_error_response(&response, "EZ", "53300");
-    let retry_after: u32 =
-        error_field(&response, b'D').and_then(|d| d.parse().ok()).expect("the DETAIL field has a retry hint");
+    let retry_after: u32 = error_field(&response, b'D')
+        .and_then(|d| d.parse().ok())
+        .expect("the DETAIL field has a number of milliseconds");
     assert!((1..=1000).contains(&retry_after) && sent_at.elapsed() < TEST_TIMEOUT);
 }
 
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -59,7 +59,7 @@
 
 /// Admin connections that send nothing or only part of a request must not block the admin API.
 #[test]
-fn stalled_admin_connections_do_not_delay_other_requests() {
+fn stalled_admin_connections_do_not_block_other_requests() {
     let proxy = start_proxy(&[]);
     wait_until("the proxy is ready", || is_ready(&proxy));
     let stalled: Vec<_> = (0..40)
--- a/tests/support/proxy.rs
+++ b/tests/support/proxy.rs
@@ -22,11 +22,12 @@
 pub struct Proxy {
     pub child: ChildGuard,
     /// Path of the configuration file.
-    pub config: String,
+    pub config_path: String,
     pub address: SocketAddr,
     pub admin_address: SocketAddr,
     /// Log lines that the proxy writes after its start.
     pub log: mpsc::Receiver<String>,
+    /// Scripted discovery service. Unused by a proxy that [`start_proxy_with_discovery_at`] started.
     pub discovery: ScriptedDiscovery,
 }
 
@@ -117,22 +118,24 @@
     start_proxy_with_config(&config_with_limits(limits), endpoints, None)
 }
 
-/// Starts a proxy with a configuration. `folder` is its state directory; `None` starts the proxy without one.
-pub fn start_proxy_with_config(config: &str, endpoints: &[String], folder: Option<&Path>) -> Proxy {
+/// Starts a proxy like [`start_proxy`], with this configuration. `state_dir` is its state directory; `None`
+/// starts the proxy without one.
+pub fn start_proxy_with_config(config: &str, endpoints: &[String], state_dir: Option<&Path>) -> Proxy {
     let discovery = ScriptedDiscovery::start(full_list(1, endpoints));
-    let address = discovery.address;
-    spawn_proxy(config, endpoints, folder, discovery, address)
+    let discovery_address = discovery.address;
+    spawn_proxy(config, endpoints, state_dir, discovery, discovery_address)
 }
 
-/// Starts a proxy that uses the discovery service at `address` in place of a scripted one.
-pub fn start_proxy_with_discovery(config: &str, endpoints: &[String], address: SocketAddr) -> Proxy {
+/// Starts a proxy like [`start_proxy`], with this configuration and the discovery service at `address`, which
+/// the test runs itself.
+pub fn start_proxy_with_discovery_at(config: &str, endpoints: &[String], address: SocketAddr) -> Proxy {
     spawn_proxy(config, endpoints, None, ScriptedDiscovery::start(full_list(1, endpoints)), address)
 }
 
 fn spawn_proxy(
     config: &str,
     endpoints: &[String],
-    folder: Option<&Path>,
+    state_dir: Option<&Path>,
     discovery: ScriptedDiscovery,
     discovery_address: SocketAddr,
 ) -> Proxy {
@@ -142,8 +145,8 @@
         .replace("127.0.0.1:8500", &discovery_address.to_string())
         .replace("127.0.0.1:9800", "127.0.0.1:0")
         .replace(r#""settings""#, &known);
-    let (mut command, config) = serve_command(&config);
-    folder.map(|folder| command.env("TMPDIR", folder));
+    let (mut command, config_path) = serve_command(&config);
+    state_dir.map(|state_dir| command.env("TMPDIR", state_dir));
     let mut child = ChildGuard::spawn(&mut command);
     let mut log_lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
     let mut address_after = |text: &str| loop {
@@ -159,7 +162,7 @@
     let address = address_after("serving at ");
     let (sender, log) = mpsc::channel();
     std::thread::spawn(move || log_lines.map_while(Result::ok).for_each(|line| drop(sender.send(line))));
-    Proxy { child, config, address, admin_address, log, discovery }
+    Proxy { child, config_path, address, admin_address, log, discovery }
 }
 
 /// Sends bytes to the admin API and returns the status code of the response; `None` if the connection ends
