--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -162,15 +162,15 @@
 #[case::long_idle_connections_break_rarely(0.03, 0.05, false)]
 #[case::short_idle_connections_break_as_often(0.4, 0.4, false)]
 fn idle_connections_are_reused_up_to_the_idle_time_at_which_they_break(
-    #[case] short_idle_share: f64,
-    #[case] long_idle_share: f64,
+    #[case] short_idle_break_share: f64,
+    #[case] long_idle_break_share: f64,
     #[case] is_limited: bool,
 ) {
     let mut statistics = ReuseStatistics::default();
     let (mut due_breaks, mut now) = ([0.0, 0.0], 0.0);
     for _ in 0..100 {
         for (due, (share, idle_ms)) in
-            due_breaks.iter_mut().zip([(short_idle_share, 10), (long_idle_share, 300)])
+            due_breaks.iter_mut().zip([(short_idle_break_share, 10), (long_idle_break_share, 300)])
         {
             *due += share;
             statistics.record(now, ms(idle_ms), *due >= 1.0);
--- a/tests/handover_format.rs
+++ b/tests/handover_format.rs
@@ -16,7 +16,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-use support::{create_folder, start_proxy_with_config, wait_until, Proxy, EXAMPLE_CONFIG, TEST_TIMEOUT};
+use support::{create_state_dir, start_proxy_with_config, wait_until, Proxy, EXAMPLE_CONFIG, TEST_TIMEOUT};
 
 mod support;
 
@@ -178,17 +178,17 @@
     assert!(serde_json::from_str::<EndpointList>(content).is_err());
 }
 
-/// Writes an out-of-service file into a folder of its own, and returns the path of the file.
+/// Writes an out-of-service file into a state directory of its own, and returns the path of the file.
 fn write_out_of_service_file(test: &str, content: &str) -> PathBuf {
-    let folder = create_folder(test);
-    let file = folder.join("pipittack-n0-127.0.0.1:0.json");
+    let state_dir = create_state_dir(test);
+    let file = state_dir.join("pipittack-n0-127.0.0.1:0.json");
     fs::write(&file, content).expect("the file can be written");
     file
 }
 
-/// Returns the names of the files in a folder in alphabetical order.
-fn file_names(folder: &Path) -> Vec<String> {
-    let entries = fs::read_dir(folder).expect("the folder can be read");
+/// Returns the names of the files in a directory in alphabetical order.
+fn file_names(dir: &Path) -> Vec<String> {
+    let entries = fs::read_dir(dir).expect("the directory can be read");
     let name = |entry: fs::DirEntry| entry.file_name().into_string().expect("the name is UTF-8");
     let mut names: Vec<_> = entries.map(|entry| name(entry.expect("the entry can be read"))).collect();
     names.sort();
@@ -213,7 +213,7 @@
     servers.set("store-a", ServiceState::OutOfService).expect("the file can be written");
     assert_eq!(fs::read_to_string(&file).expect("the file can be read"), OUT_OF_SERVICE);
     assert_eq!(
-        file_names(file.parent().expect("the file has a parent folder")),
+        file_names(file.parent().expect("the file has a parent directory")),
         ["pipittack-n0-127.0.0.1:0.json"]
     );
 }
@@ -264,8 +264,8 @@
     assert!(servers.set("store-b", ServiceState::OutOfService).is_ok());
 }
 
-fn start_proxy_in(folder: &Path) -> Proxy {
-    start_proxy_with_config(EXAMPLE_CONFIG, &[], Some(folder))
+fn start_proxy_in(state_dir: &Path) -> Proxy {
+    start_proxy_with_config(EXAMPLE_CONFIG, &[], Some(state_dir))
 }
 
 fn is_socket(path: &Path) -> bool {
@@ -289,11 +289,11 @@
 
 #[test]
 fn successor_is_served_at_the_recorded_socket() {
-    let folder = create_folder("successor");
-    let _proxy = start_proxy_in(&folder);
-    let socket = folder.join("pipittack-n0-127.0.0.1:0.2.sock");
+    let state_dir = create_state_dir("successor");
+    let _proxy = start_proxy_in(&state_dir);
+    let socket = state_dir.join("pipittack-n0-127.0.0.1:0.2.sock");
     wait_until("the handover socket exists", || is_socket(&socket));
-    assert_eq!(file_names(&folder), ["pipittack-n0-127.0.0.1:0.2.sock"]);
+    assert_eq!(file_names(&state_dir), ["pipittack-n0-127.0.0.1:0.2.sock"]);
     let mut successor =
         with_read_timeout(UnixStream::connect(&socket).expect("the proxy listens at the handover socket"));
     successor.write_all(HELLO).expect("the predecessor keeps the connection open");
@@ -324,11 +324,11 @@
 #[case::current("2.sock", HELLO)]
 #[case::legacy("sock", b"")]
 fn predecessor_is_contacted_at_the_recorded_socket(#[case] suffix: &str, #[case] hello: &[u8]) {
-    let folder = create_folder(&format!("hello-{suffix}"));
-    let socket = folder.join(format!("pipittack-n0-127.0.0.1:0.{suffix}"));
+    let state_dir = create_state_dir(&format!("hello-{suffix}"));
+    let socket = state_dir.join(format!("pipittack-n0-127.0.0.1:0.{suffix}"));
     let _ = fs::remove_file(&socket); // an earlier run with the same process id may have left it
     let predecessor = UnixListener::bind(&socket).expect("the path is free");
-    let proxy = std::thread::spawn(move || start_proxy_in(&folder));
+    let proxy = std::thread::spawn(move || start_proxy_in(&state_dir));
     let stream = accept(&predecessor);
     let mut bytes = vec![0; hello.len()];
     with_read_timeout(stream).read_exact(&mut bytes).expect("the successor sends its hello");
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -18,8 +18,8 @@
     let second = ScriptedServer::start(ServerRole::Primary, reply_with_row);
     let endpoints =
         |state| [first.endpoint("a", "read-write", state), second.endpoint("b", "read-only", "Ready")];
-    let folder = create_folder("offline");
-    let proxy = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints("Ready"), Some(&folder));
+    let state_dir = create_state_dir("offline");
+    let proxy = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints("Ready"), Some(&state_dir));
     let mut client = Client::connect(&proxy);
     assert_eq!(
         (message_kinds(&client.request(&write_statement(3000))), first.statement_count()),
@@ -44,7 +44,7 @@
     (0..10).for_each(|_| drop(client.request(&write_statement(3000))));
     drop((client, proxy));
     // The killed process has stored the offline state, and the next process reads it.
-    let proxy = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints("Ready"), Some(&folder));
+    let proxy = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints("Ready"), Some(&state_dir));
     let mut client = Client::connect(&proxy);
     (0..10).for_each(|_| drop(client.request(&write_statement(3000))));
     assert_eq!(first.statement_count(), count_before, "expected no request to the offline server");
@@ -159,7 +159,7 @@
     HalfRead,
     Connecting,
     InFlight,
-    InListenQueue,
+    InAcceptQueue,
     BeforeEndpointList,
 }
 
@@ -167,7 +167,7 @@
 #[case::half_read(Stage::HalfRead, "TDCZ")]
 #[case::connecting(Stage::Connecting, "TDCZ")]
 #[case::in_flight(Stage::InFlight, "EZ")]
-#[case::in_listen_queue(Stage::InListenQueue, "RZTDCZ")]
+#[case::in_accept_queue(Stage::InAcceptQueue, "RZTDCZ")]
 #[case::before_endpoint_list(Stage::BeforeEndpointList, "EZ")]
 fn graceful_shutdown_answers_requests_in_every_stage(#[case] stage: Stage, #[case] expected_kinds: &str) {
     let is_in_flight = stage == Stage::InFlight;
@@ -187,7 +187,7 @@
     let mut proxy = start_proxy_with_config(&config_with_extended_connect_timeout(), &endpoints, None);
     let request = query(&write_statement(2000));
     let sent_length = if stage == Stage::HalfRead { request.len() / 2 } else { request.len() };
-    let mut client = if stage == Stage::InListenQueue {
+    let mut client = if stage == Stage::InAcceptQueue {
         proxy.signal("STOP");
         let mut client = Client::open(&proxy);
         client.send(&[startup(), request.clone()].concat());
@@ -212,7 +212,7 @@
             .write_all(&[row(b"v"), message(b'Z', b"I")].concat())
             .expect("the proxy keeps the connection open");
     }
-    let startup_messages = if stage == Stage::InListenQueue { client.read_response() } else { Vec::new() };
+    let startup_messages = if stage == Stage::InAcceptQueue { client.read_response() } else { Vec::new() };
     assert_eq!(message_kinds(&[startup_messages, client.read_response()].concat()), expected_kinds);
     assert_eq!(read_once(&mut client.stream, &mut [0]).expect("a close without a reset"), 0);
     assert!(proxy.child.wait().expect("the process exits").success());
@@ -223,15 +223,15 @@
 fn a_hot_restart_hands_over_the_listener_and_the_clients() {
     let server = start_server_with_marked_reply("id=9", || Reply::Nothing);
     let endpoints = [server.endpoint("a", "read-write", "Ready")];
-    let folder = create_folder("upgrade");
-    let mut predecessor = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&folder));
+    let state_dir = create_state_dir("upgrade");
+    let mut predecessor = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&state_dir));
     let mut idle = Client::connect(&predecessor);
     let mut silent = Client::open(&predecessor);
     let mut busy = Client::connect(&predecessor);
     assert_eq!(message_kinds(&idle.request(&write_statement(3000))), "TDCZ");
     busy.send(&query(&write_statement(3000).replace("id=2", "id=9")));
     wait_until("the request is sent to the server", || server.statement_count() == 2);
-    let successor = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&folder));
+    let successor = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&state_dir));
     assert_eq!(successor.address, predecessor.address);
     wait_until("the proxy is ready", || is_ready(&successor));
     assert_eq!(message_kinds(&idle.request(&write_statement(3000))), "TDCZ");
@@ -249,6 +249,6 @@
     }
     // A killed process must not prevent the next one from starting.
     drop(successor);
-    let next = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&folder));
+    let next = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&state_dir));
     assert_eq!(message_kinds(&Client::connect(&next).request(&write_statement(3000))), "TDCZ");
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -30,11 +30,11 @@
 /// Time limit for each event that a test waits for.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Creates a folder for one test; its name contains the id of the test process.
-pub fn create_folder(name: &str) -> PathBuf {
-    let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("the folder can be created");
-    folder
+/// Creates a state directory for one test; its name contains the id of the test process.
+pub fn create_state_dir(name: &str) -> PathBuf {
+    let state_dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{}-{name}", std::process::id()));
+    std::fs::create_dir_all(&state_dir).expect("the directory can be created");
+    state_dir
 }
 
 /// Waits until `condition` holds. Panics with `expectation` after [`TEST_TIMEOUT`].
