--- a/src/config_files.rs
+++ b/src/config_files.rs
@@ -53,7 +53,7 @@
     ///
     /// Returns an error that names each invalid file and describes the problem.
     pub fn load(&self) -> Result<LoadedConfig, LoadError> {
-        self.load_with(Config::read)
+        self.load_with(Config::parse)
     }
 
     /// Loads the files to replace the current configuration.
@@ -61,9 +61,9 @@
     /// # Errors
     ///
     /// Returns an error as [`Self::load`] does, and if the configuration file lacks a key that a reload
-    /// needs; see [`Config::read_replacement`].
+    /// needs; see [`Config::parse_replacement`].
     pub fn load_replacement(&self, current: &Config) -> Result<LoadedConfig, LoadError> {
-        self.load_with(|text| current.read_replacement(text))
+        self.load_with(|text| current.parse_replacement(text))
     }
 
     fn load_with(
--- a/src/operator_settings/mod.rs
+++ b/src/operator_settings/mod.rs
@@ -38,7 +38,7 @@
         let Some(path) = path else { return Ok(Self::default()) };
         let text = std::fs::read_to_string(path)
             .map_err(|source| OperatorSettingsFileError::Unreadable { path: path.to_owned(), source })?;
-        Ok(Self::read(&path.display().to_string(), &text)?)
+        Ok(Self::parse(&path.display().to_string(), &text)?)
     }
 
     /// Parses the text of an operators' file. `name` is the name of the text in error messages.
@@ -46,7 +46,7 @@
     /// # Errors
     ///
     /// Returns an error that lists all problems in the text.
-    pub fn read(name: &str, text: &str) -> Result<Self, OperatorSettingsError> {
+    pub fn parse(name: &str, text: &str) -> Result<Self, OperatorSettingsError> {
         let mut reader = FormReader::default();
         let settings = read_forms(&mut reader, text);
         if reader.problems.is_empty() {
--- a/src/operator_settings/tests.rs
+++ b/src/operator_settings/tests.rs
@@ -7,8 +7,8 @@
 #[test]
 fn the_file_in_deploy_and_an_empty_file_have_the_defaults() {
     let text = include_str!("../../deploy/operators.lisp");
-    assert_eq!(OperatorSettings::read("operators.lisp", text), Ok(OperatorSettings::default()));
-    assert_eq!(OperatorSettings::read("empty", "; nothing"), Ok(OperatorSettings::default()));
+    assert_eq!(OperatorSettings::parse("operators.lisp", text), Ok(OperatorSettings::default()));
+    assert_eq!(OperatorSettings::parse("empty", "; nothing"), Ok(OperatorSettings::default()));
 }
 
 #[test]
@@ -20,7 +20,7 @@
         min_late_recovery_chance: 0.25,
         ..FailoverSettings::default()
     };
-    assert_eq!(OperatorSettings::read("f", text), Ok(OperatorSettings { failover: expected }));
+    assert_eq!(OperatorSettings::parse("f", text), Ok(OperatorSettings { failover: expected }));
 }
 
 #[rstest::rstest]
@@ -36,13 +36,13 @@
 #[case::fraction("(failover (hold-bytes 0.5))", "f:1:11: expected a whole number of 1 or more")]
 #[case::out_of_range("(failover (hold-over 1.5))", "f:1:11: expected a share from 0 to 1 for hold-over")]
 fn a_problem_is_reported_with_its_position_and_expectation(#[case] text: &str, #[case] start: &str) {
-    let problems = OperatorSettings::read("f", text).expect_err("the text has a problem").to_string();
+    let problems = OperatorSettings::parse("f", text).expect_err("the text has a problem").to_string();
     assert!(problems.starts_with(start), "{problems}");
 }
 
 #[test]
 fn all_problems_are_reported_together() {
     let text = "(failover (patience 0)\n (hold-share 2))\n(other)";
-    let problems = OperatorSettings::read("f", text).expect_err("the text has problems").to_string();
+    let problems = OperatorSettings::parse("f", text).expect_err("the text has problems").to_string();
     assert_eq!(problems.lines().count(), 3, "{problems}");
 }
--- a/src/settings/config.rs
+++ b/src/settings/config.rs
@@ -59,7 +59,7 @@
 pub struct LoadedConfig {
     /// Content of the configuration file.
     pub config: Config,
-    /// Settings of the routing engine. [`Config::read`] leaves the failover settings at their defaults.
+    /// Settings of the routing engine. [`Config::parse`] leaves the failover settings at their defaults.
     pub settings: Settings,
     /// Settings of the connections to clients and data servers.
     pub connections: ConnectionSettings,
@@ -71,7 +71,7 @@
     /// # Errors
     ///
     /// Returns an error if the text is not a configuration, or if a value in it is invalid.
-    pub fn read(text: &str) -> Result<LoadedConfig, ConfigError> {
+    pub fn parse(text: &str) -> Result<LoadedConfig, ConfigError> {
         let config: Self = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
         let (settings, connections) = super::read(&config.settings)?;
         settings.validate()?;
@@ -86,10 +86,10 @@
     ///
     /// # Errors
     ///
-    /// Returns an error as [`Self::read`] does. Also returns an error if the text lacks `name`, `limits` or a
+    /// Returns an error as [`Self::parse`] does. Also returns an error if the text lacks `name`, `limits` or a
     /// key of this configuration's settings, so that a file that is only partly written is rejected. Other
     /// optional keys take effect only at the start and may be missing.
-    pub fn read_replacement(&self, text: &str) -> Result<LoadedConfig, ConfigError> {
+    pub fn parse_replacement(&self, text: &str) -> Result<LoadedConfig, ConfigError> {
         let replacement: Value = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
         let missing_key = ["name", "limits"].into_iter().find(|key| replacement.get(*key).is_none());
         if let Some(key) = missing_key {
@@ -98,7 +98,7 @@
         let settings = replacement.get("settings").unwrap_or(&Value::Null);
         match find_missing_key(&self.settings, settings, "settings") {
             Some(key) => Err(ConfigError::MissingKey { key }),
-            None => Self::read(text),
+            None => Self::parse(text),
         }
     }
 
