--- a/src/settings/config.rs
+++ b/src/settings/config.rs
@@ -86,8 +86,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error as [`Self::parse`] does. Also returns an error if the text lacks `name`, `limits` or a
-    /// key of this configuration's settings, so that a file that is only partly written is rejected. Other
+    /// Returns an error as [`Self::parse`] does. Also returns an error if the text lacks `name`, `limits` or
+    /// a key of this configuration's settings, so that a file that is only partly written is rejected. Other
     /// optional keys take effect only at the start and may be missing.
     pub fn parse_replacement(&self, text: &str) -> Result<LoadedConfig, ConfigError> {
         let replacement: Value = serde_json::from_str(text).map_err(ConfigError::Malformed)?;
--- a/tests/driver.rs
+++ b/tests/driver.rs
@@ -313,7 +313,7 @@
 /// pause, the driver therefore assumes that any session has just written. The shorter times between two steps
 /// of an idle process do not count as a pause.
 #[tokio::test(start_paused = true)]
-async fn session_tokens_are_not_trusted_after_a_process_pause() {
+async fn a_process_pause_raises_the_session_floor() {
     let settings = Settings { session_tokens: SessionTokens::Tracked, ..settings() };
     let parts: DriverParts<&str, &str> =
         DriverParts::new(settings, 7, Clock::start()).expect("the settings are valid");
