--- a/testkit/src/bin/failover-trial.rs
+++ b/testkit/src/bin/failover-trial.rs
@@ -100,9 +100,9 @@
         println!("{kind:<16} {rounds:>6} {writes:>7} {served:>7} {rejected:>7} {failed:>7}");
     }
     println!(
-        "served value ratio {:.3}, of writes {:.3}; medians: first write {:.1} ms, buffered write {:.0} ms",
-        report.served_value_ratio,
-        report.write_served_value_ratio,
+        "served share {:.3}, of writes {:.3}; medians: first write {:.1} ms, buffered write {:.0} ms",
+        report.served_weight_share,
+        report.write_served_weight_share,
         report.time_to_first_write_p50_ms,
         report.buffered_p50_ms
     );
--- a/testkit/src/bin/fleet-trial.rs
+++ b/testkit/src/bin/fleet-trial.rs
@@ -113,9 +113,9 @@
         "scenario": cli.scenario.file_stem().map(|name| name.to_string_lossy()),
         "stepped": cli.stepped,
         "proxies": plan.proxies,
-        "servers": plan.sets * plan.members,
+        "servers": plan.replica_set_count * plan.members_per_set,
         "seed": plan.seed,
-        "share": report.share(),
+        "share": report.served_share(),
         "served_within_1s": report.served_within(1.0),
         "last_told_s": report.last_notified(),
         "report": report,
@@ -127,19 +127,24 @@
 }
 
 fn print_report(plan: &Plan, report: &Report) {
-    println!("{} proxies, {} servers, seed {}", plan.proxies, plan.sets * plan.members, plan.seed);
+    println!(
+        "{} proxies, {} servers, seed {}",
+        plan.proxies,
+        plan.replica_set_count * plan.members_per_set,
+        plan.seed
+    );
     print_clients(report);
     print_servers(report);
     print_violations(report);
 }
 
 fn print_clients(report: &Report) {
-    println!("  weight served          {:.1} %", percent(report.share()));
+    println!("  weight served          {:.1} %", percent(report.served_share()));
     for (class, weight) in report.classes.iter().enumerate() {
-        println!("    class {class}              {:.1} %", percent(weight.share()));
+        println!("    class {class}              {:.1} %", percent(weight.served_share()));
     }
     let seconds: Vec<_> =
-        report.seconds.iter().map(|weight| format!("{:.0}", percent(weight.share()))).collect();
+        report.seconds.iter().map(|weight| format!("{:.0}", percent(weight.served_share()))).collect();
     println!("  by second              {}", seconds.join(" "));
     let Report { tries, rejected, failed, unreachable, .. } = report;
     println!(
--- a/testkit/src/client.rs
+++ b/testkit/src/client.rs
@@ -152,9 +152,9 @@
                 Ok(n) if n > 0 => {}
                 _ => return Err(io::ErrorKind::TimedOut.into()),
             }
-            let (kind, body) = read_message(stream).ok_or(io::ErrorKind::TimedOut)?;
+            let (message_type, body) = read_message(stream).ok_or(io::ErrorKind::TimedOut)?;
             has_response_started = true;
-            match kind {
+            match message_type {
                 b'D' => response = Some(Response::Served),
                 b'E' => response = Some(error_response(&body)),
                 b'Z' => return response.ok_or(io::ErrorKind::InvalidData.into()),
@@ -178,8 +178,8 @@
 
 /// Returns the outcome that an ErrorResponse stands for.
 fn error_response(body: &[u8]) -> Response {
-    let field = |kind: u8| {
-        let field = body.split(|b| *b == 0).find(|f| f.first() == Some(&kind))?;
+    let field = |field_type: u8| {
+        let field = body.split(|b| *b == 0).find(|f| f.first() == Some(&field_type))?;
         Some(String::from_utf8_lossy(&field[1..]).into_owned())
     };
     let code = field(b'C').unwrap_or_default();
--- a/testkit/src/failover_trial/load.rs
+++ b/testkit/src/failover_trial/load.rs
@@ -37,41 +37,42 @@
 /// Maximum sleep between two checks of whether the trial has stopped.
 const MAX_STOP_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Total value of requests by class and latency. A request and its retries count as one.
+/// Total priority weight of requests. A request and its retries count as one.
 #[derive(Debug, Default, Clone, Copy)]
-pub(super) struct ServedValue {
-    /// Value of all requests, if each had been served within its latency objective.
+pub(super) struct WeightTotals {
+    /// Weight of all requests, without those that clients abandon.
     pub(super) offered: f64,
-    /// Value of the served requests, reduced for those served after their latency objective.
+    /// Weight of the served requests. A request that was served after its latency objective counts with the
+    /// late weight of its class.
     pub(super) served: f64,
 }
 
-impl ServedValue {
+impl WeightTotals {
     pub(super) fn add(&mut self, other: Self) {
         self.offered += other.offered;
         self.served += other.served;
     }
 
-    /// Returns the ratio of served value to offered value.
-    pub(super) fn ratio(self) -> f64 {
+    /// Returns the served share of the offered weight, from 0 to 1. Returns 0 if no weight was offered.
+    pub(super) fn served_share(self) -> f64 {
         self.served / self.offered.max(1e-9)
     }
 }
 
-/// Requests of one client and their value.
+/// Requests of one client and their weight.
 #[derive(Default)]
 pub(super) struct LoadResult {
     /// All requests that the client sent, retries included.
     pub(super) records: Vec<RequestRecord>,
-    pub(super) value: ServedValue,
+    pub(super) weight: WeightTotals,
 }
 
-/// Name, value and times of a request class.
+/// Name, weights and times of a request class.
 struct RequestClass {
     name: &'static str,
-    value: f64,
-    /// Share of `value` that a response after the latency objective is worth.
-    late_value_share: f64,
+    priority_weight: f64,
+    /// Share of `priority_weight` that a response earns after the latency objective, from 0 to 1.
+    late_weight: f64,
     times: ClassTimes,
 }
 
@@ -143,16 +144,16 @@
     }
 
     /// Sends one request and retries it while it is rejected and time is left. An abandoned request is not
-    /// retried and has no value.
+    /// retried and has no weight.
     fn send_with_retries(&mut self, trial: &Trial, rng: &mut Pcg64Mcg, result: &mut LoadResult) {
         let started_at = Instant::now();
         let class = self.class();
         let objective = trial.plan.scaled(class.times.objective_ms);
-        let max_wait = trial.plan.scaled(class.times.max_wait_ms);
+        let max_wait = trial.plan.scaled(class.times.deadline_ms);
         let is_abandoned = self.is_write && rng.random_bool(ABANDONED_SHARE);
         let abandon_after = is_abandoned.then(|| trial.plan.random_duration(rng, ABANDON_MS));
         if !is_abandoned {
-            result.value.offered += class.value;
+            result.weight.offered += class.priority_weight;
         }
         for _ in 0..=MAX_RETRIES {
             let time_left = max_wait.saturating_sub(started_at.elapsed());
@@ -177,8 +178,8 @@
             match response {
                 Response::Served if !is_abandoned => {
                     let within_objective = started_at.elapsed() <= objective;
-                    result.value.served +=
-                        class.value * if within_objective { 1.0 } else { class.late_value_share };
+                    result.weight.served +=
+                        class.priority_weight * if within_objective { 1.0 } else { class.late_weight };
                     return;
                 }
                 Response::Rejected(retry_after) if !is_abandoned => {
@@ -198,11 +199,16 @@
 
     fn class(&self) -> RequestClass {
         if self.is_write {
-            RequestClass { name: "usage-write", value: 4.0, late_value_share: 0.5, times: WRITE_TIMES }
+            RequestClass { name: "usage-write", priority_weight: 4.0, late_weight: 0.5, times: WRITE_TIMES }
         } else if self.number.is_multiple_of(READERS_PER_SESSION_READER) {
-            RequestClass { name: "own-changes", value: 2.0, late_value_share: 0.2, times: SESSION_READ_TIMES }
+            RequestClass {
+                name: "own-changes",
+                priority_weight: 2.0,
+                late_weight: 0.2,
+                times: SESSION_READ_TIMES,
+            }
         } else {
-            RequestClass { name: "font-lookup", value: 1.0, late_value_share: 0.0, times: READ_TIMES }
+            RequestClass { name: "font-lookup", priority_weight: 1.0, late_weight: 0.0, times: READ_TIMES }
         }
     }
 }
--- a/testkit/src/failover_trial/mod.rs
+++ b/testkit/src/failover_trial/mod.rs
@@ -25,7 +25,7 @@
 use crate::discovery_server::{DiscoveryServer, Endpoint};
 use crate::proxy_process::{ProcessError, ProxyProcess};
 use crate::replica_set::{ReplicaSet, ReplicaSetConfig};
-use load::{LoadClient, LoadResult, ServedValue};
+use load::{LoadClient, LoadResult, WeightTotals};
 use round::Round;
 
 /// Number of members of each replica set.
@@ -52,7 +52,7 @@
 /// State that the threads of a trial share.
 struct Trial {
     plan: Plan,
-    sets: Vec<ReplicaSet>,
+    replica_sets: Vec<ReplicaSet>,
     discovery: DiscoveryServer,
     proxy: Mutex<ProxyProcess>,
     /// Synchronizes the threads of all replica sets before a round that injects a fault into all of them at
@@ -67,8 +67,8 @@
     records: Vec<Vec<RequestRecord>>,
     /// Rounds of each replica set.
     rounds: Vec<Vec<Round>>,
-    read_value: ServedValue,
-    write_value: ServedValue,
+    read_weight: WeightTotals,
+    write_weight: WeightTotals,
     proxy_survived: bool,
 }
 
@@ -98,17 +98,17 @@
     // sleep below lets servers that were paused complete their executions.
     trial.stop.store(true, Ordering::Relaxed);
     let mut records: Vec<Vec<RequestRecord>> = (0..trial.plan.sets).map(|_| Vec::new()).collect();
-    let mut read_value = ServedValue::default();
-    let mut write_value = ServedValue::default();
+    let mut read_weight = WeightTotals::default();
+    let mut write_weight = WeightTotals::default();
     for (set, is_write, client) in clients {
-        let LoadResult { records: client_records, value } = join(client)?;
+        let LoadResult { records: client_records, weight } = join(client)?;
         records[set].extend(client_records);
-        let total = if is_write { &mut write_value } else { &mut read_value };
-        total.add(value);
+        let total = if is_write { &mut write_weight } else { &mut read_weight };
+        total.add(weight);
     }
     thread::sleep(trial.plan.scaled(SETTLE_MS));
     let proxy_survived = trial.proxy().is_running();
-    let observations = Observations { records, rounds, read_value, write_value, proxy_survived };
+    let observations = Observations { records, rounds, read_weight, write_weight, proxy_survived };
     Ok(report::build(&trial, &observations))
 }
 
@@ -125,7 +125,7 @@
             execution_time: plan.scaled(EXECUTION_MS),
             replication_delay: Duration::from_millis(5),
         };
-        let mut sets = Vec::new();
+        let mut replica_sets = Vec::new();
         let mut endpoints = Vec::new();
         for set in 0..plan.sets {
             let replica_set = ReplicaSet::start(MEMBERS_PER_SET, config)?;
@@ -136,13 +136,13 @@
                 state: "Ready",
                 is_primary: member == 0,
             }));
-            sets.push(replica_set);
+            replica_sets.push(replica_set);
         }
         let discovery = DiscoveryServer::start(endpoints)?;
         let proxy = ProxyProcess::start(&plan.program, &plan.folder, &plan.proxy_config(&discovery))?;
         let barrier = Barrier::new(plan.sets);
         let stop = AtomicBool::new(false);
-        Ok(Self { plan, sets, discovery, proxy: Mutex::new(proxy), barrier, stop })
+        Ok(Self { plan, replica_sets, discovery, proxy: Mutex::new(proxy), barrier, stop })
     }
 
     fn proxy(&self) -> MutexGuard<'_, ProxyProcess> {
--- a/testkit/src/failover_trial/plan.rs
+++ b/testkit/src/failover_trial/plan.rs
@@ -16,15 +16,15 @@
 /// Latency objective and deadline of a request class, in platform milliseconds (before scaling).
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ClassTimes {
-    /// Latency objective; a later response has less value or none.
+    /// Latency objective; a later response has less weight or none.
     pub(super) objective_ms: f64,
-    /// Deadline: time that a client waits for a response, retries included.
-    pub(super) max_wait_ms: f64,
+    /// Time that a client waits for a response, retries included.
+    pub(super) deadline_ms: f64,
 }
 
-pub(super) const WRITE_TIMES: ClassTimes = ClassTimes { objective_ms: 600.0, max_wait_ms: 3000.0 };
-pub(super) const READ_TIMES: ClassTimes = ClassTimes { objective_ms: 500.0, max_wait_ms: 1200.0 };
-pub(super) const SESSION_READ_TIMES: ClassTimes = ClassTimes { objective_ms: 500.0, max_wait_ms: 1500.0 };
+pub(super) const WRITE_TIMES: ClassTimes = ClassTimes { objective_ms: 600.0, deadline_ms: 3000.0 };
+pub(super) const READ_TIMES: ClassTimes = ClassTimes { objective_ms: 500.0, deadline_ms: 1200.0 };
+pub(super) const SESSION_READ_TIMES: ClassTimes = ClassTimes { objective_ms: 500.0, deadline_ms: 1500.0 };
 
 /// Options of a failover trial.
 #[derive(Debug, Clone)]
@@ -71,12 +71,12 @@
             "settings": {
                 "Classes": [
                     {"Name": "font-lookup", "Credit": 1, "OnTimeMs": scaled_ms(read.objective_ms),
-                        "DeadlineMs": scaled_ms(read.max_wait_ms), "Effect": "repeatable"},
+                        "DeadlineMs": scaled_ms(read.deadline_ms), "Effect": "repeatable"},
                     {"Name": "own-changes", "Credit": 2, "OnTimeMs": scaled_ms(session_read.objective_ms),
-                        "DeadlineMs": scaled_ms(session_read.max_wait_ms), "LateValue": 0.2,
+                        "DeadlineMs": scaled_ms(session_read.deadline_ms), "LateValue": 0.2,
                         "Effect": "repeatable"},
                     {"Name": "usage-write", "Credit": 4, "OnTimeMs": scaled_ms(write.objective_ms),
-                        "DeadlineMs": scaled_ms(write.max_wait_ms), "LateValue": 0.5, "Effect": "once"},
+                        "DeadlineMs": scaled_ms(write.deadline_ms), "LateValue": 0.5, "Effect": "once"},
                 ],
                 "Contract": {"AnswerSlackMs": 20, "AskEveryMs": 10000, "ColdShare": 0.27, "OverloadFactor": 2,
                     "OverloadForMs": 1000, "StopSendingWithinMs": 2000, "WarmUpMs": scaled_ms(2000.0)},
--- a/testkit/src/failover_trial/report.rs
+++ b/testkit/src/failover_trial/report.rs
@@ -8,7 +8,7 @@
 use serde::Serialize;
 
 use super::round::Round;
-use super::{Observations, ServedValue, Trial};
+use super::{Observations, Trial, WeightTotals};
 use crate::client::{RequestRecord, Response};
 use crate::write_checker::{check_writes, Violations};
 
@@ -75,12 +75,13 @@
     /// 90th percentile of the time, in milliseconds, from a promotion to the new primary's first write.
     #[serde(rename = "first_write_after_takeover_p90_ms")]
     pub time_to_first_write_p90_ms: f64,
-    /// Ratio of served value to offered value over all requests; a request and its retries count as one.
+    /// Served share of the offered weight over all requests, from 0 to 1; a request and its retries count as
+    /// one.
     #[serde(rename = "worth_kept")]
-    pub served_value_ratio: f64,
-    /// Ratio of served value to offered value over writes only.
+    pub served_weight_share: f64,
+    /// Served share of the offered weight over writes only, from 0 to 1.
     #[serde(rename = "write_worth_kept")]
-    pub write_served_value_ratio: f64,
+    pub write_served_weight_share: f64,
     /// Whether the proxy was still running at the end of the trial.
     #[serde(rename = "survived")]
     pub proxy_survived: bool,
@@ -124,7 +125,7 @@
     let mut violations = Violations::default();
     let mut buffered_latencies = DurationHistogram::new();
     let mut times_to_first_write = DurationHistogram::new();
-    let by_set = observations.records.iter().zip(&observations.rounds).zip(&trial.sets);
+    let by_set = observations.records.iter().zip(&observations.rounds).zip(&trial.replica_sets);
     for ((records, rounds), replica_set) in by_set {
         violations.extend(check_writes(records, &replica_set.write_log()));
         for round in rounds {
@@ -146,11 +147,11 @@
     report.buffered_p99_ms = buffered_latencies.quantile_ms(0.99);
     report.time_to_first_write_p50_ms = times_to_first_write.quantile_ms(0.5);
     report.time_to_first_write_p90_ms = times_to_first_write.quantile_ms(0.9);
-    let mut total = ServedValue::default();
-    total.add(observations.read_value);
-    total.add(observations.write_value);
-    report.served_value_ratio = total.ratio();
-    report.write_served_value_ratio = observations.write_value.ratio();
+    let mut total = WeightTotals::default();
+    total.add(observations.read_weight);
+    total.add(observations.write_weight);
+    report.served_weight_share = total.served_share();
+    report.write_served_weight_share = observations.write_weight.served_share();
     print_violations(&violations, observations);
     report.duplicates = violations.duplicates.len() as u64;
     report.lost_writes = violations.lost_writes.len() as u64;
--- a/testkit/src/failover_trial/round.rs
+++ b/testkit/src/failover_trial/round.rs
@@ -84,8 +84,8 @@
                 .collect(),
         };
         kinds.shuffle(&mut rng);
-        // The first sets run the remaining rounds. The barrier requires the same number of simultaneous
-        // rounds for each set.
+        // If the rounds do not divide evenly, the first sets run one round more. The barrier requires the
+        // same number of simultaneous rounds for each set.
         let common_rounds = self.plan.rounds / self.plan.sets;
         let set_rounds = common_rounds + usize::from(set < self.plan.rounds % self.plan.sets);
         let mut rounds = Vec::new();
@@ -99,14 +99,14 @@
             }
             rounds.push(self.run_round(set, kind, &mut rng));
             if self.plan.verbose {
-                eprintln!("replica set {set} after {kind:?}: {}", self.sets[set].describe());
+                eprintln!("replica set {set} after {kind:?}: {}", self.replica_sets[set].describe());
             }
         }
         rounds
     }
 
     fn run_round(&self, set: usize, kind: FaultKind, rng: &mut Pcg64Mcg) -> Round {
-        let replica_set = &self.sets[set];
+        let replica_set = &self.replica_sets[set];
         let started_at = Instant::now();
         let primary = replica_set.primary().expect("the previous round ended with a primary");
         let discovery_delay = self.plan.random_duration(rng, DISCOVERY_DELAY_MS);
--- a/testkit/src/fleet/fleet_model.rs
+++ b/testkit/src/fleet/fleet_model.rs
@@ -1,7 +1,7 @@
 //! The models that the simulation and the trial with processes share.
 //!
-//! Owns the plan, the site, the links, the workload, the rule checker and the report of one trial. Times are
-//! in seconds, and the trial starts at [`START_S`]. The order of the random draws must not change: a seed
+//! Owns the plan, the backends, the links, the workload, the rule checker and the report of one trial. Times
+//! are in seconds, and the trial starts at [`START_S`]. The order of the random draws must not change: a seed
 //! always gives the same simulation.
 
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use super::plan::Plan;
 use super::report::{ProcessStart, Report};
 use super::rule_checker::RuleChecker;
-use super::site::Site;
+use super::site::Backends;
 use super::workload::{ClientRequest, TryFailure, Workload};
 
 /// Time in seconds at which a trial starts. It is large because times before the start must not be negative.
@@ -30,7 +30,7 @@
 const START_TOLERANCE_S: f64 = 1e-6;
 
 /// Converts seconds to a duration. A negative value becomes zero.
-pub fn duration(seconds: f64) -> Duration {
+pub fn duration_from_secs(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds.max(0.0))
 }
 
@@ -56,7 +56,7 @@
     /// Random number generator for everything except the workload.
     pub rng: Pcg64Mcg,
     /// Servers, replica sets and discovery service.
-    pub site: Site,
+    pub backends: Backends,
     /// Active faults of the network links.
     pub links: LinkFaults,
     /// Generator of the clients' requests.
@@ -79,18 +79,23 @@
     pub fn new(plan: Plan) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
         let workload_rng = Pcg64Mcg::seed_from_u64(rng.random());
-        let workload =
-            Workload::new(plan.workload.clone(), plan.requests_per_s, plan.proxies, plan.sets, workload_rng);
-        let site = Site::new(&plan, START_S);
-        let cached_versions = vec![site.initial_list_version(START_S); plan.proxies];
+        let workload = Workload::new(
+            plan.workload.clone(),
+            plan.requests_per_s,
+            plan.proxies,
+            plan.replica_set_count,
+            workload_rng,
+        );
+        let backends = Backends::new(&plan, START_S);
+        let cached_versions = vec![backends.initial_list_version(START_S); plan.proxies];
         let mut fleet = Self {
             rng,
-            site,
+            backends,
             links: LinkFaults::default(),
             workload,
             checker: RuleChecker::new(plan.settings.clone()),
             report: Report::new(plan.settings.classes.len()),
-            proxy_zones: (0..plan.proxies).map(|proxy| proxy % plan.zones).collect(),
+            proxy_zones: (0..plan.proxies).map(|proxy| proxy % plan.zone_count).collect(),
             cached_versions,
             burst: Burst { factor: 1.0, until: 0.0 },
             handshake_work: Vec::new(),
@@ -100,9 +105,9 @@
         fleet
     }
 
-    /// Registers the servers that the site has added since the last call.
+    /// Registers the servers that the backends have added since the last call.
     pub fn register_new_servers(&mut self) {
-        let zones = self.site.zones();
+        let zones = self.backends.zones();
         for (server, zone) in zones.into_iter().enumerate().skip(self.handshake_work.len()) {
             self.checker.set_server_zone(server, zone);
             self.handshake_work.push(HandshakeWork::default());
@@ -141,7 +146,7 @@
     /// Returns the one-way delay in seconds between a proxy and a server, with the delay of active link
     /// faults.
     pub fn one_way_delay(&self, proxy: usize, server: usize, now: f64) -> f64 {
-        let same_zone = self.proxy_zones[proxy] == self.site.servers[server].zone;
+        let same_zone = self.proxy_zones[proxy] == self.backends.servers[server].zone;
         let delay = if same_zone { self.plan.intra_zone_delay_s } else { self.plan.cross_zone_delay_s };
         delay + self.link_state(proxy, LinkEnd::Server(server), now).delay_s
     }
@@ -150,7 +155,7 @@
     /// connection limit is reached.
     pub fn open_connection(&mut self, server: usize, now: f64) -> bool {
         self.report.handshakes += 1;
-        let model = &mut self.site.servers[server].model;
+        let model = &mut self.backends.servers[server].model;
         let handshake_work = &mut self.handshake_work[server];
         let second = now as u64;
         if handshake_work.second != second {
@@ -170,7 +175,7 @@
     /// Returns whether `known_start`, the start time of a server that a proxy has received, is that of the
     /// server's last start. Returns true if the server has not started during the trial.
     pub fn is_informed_of_start(&self, server: usize, known_start: Option<f64>) -> bool {
-        let Some(started_at) = self.site.servers[server].model.started_at else { return true };
+        let Some(started_at) = self.backends.servers[server].model.started_at else { return true };
         known_start.unwrap_or(0.0) + START_TOLERANCE_S > started_at
     }
 
@@ -206,7 +211,7 @@
 
     /// Records the start of a process, and returns the index of its entry in the report.
     pub fn record_start(&mut self, now: f64) -> usize {
-        self.report.starts.push(ProcessStart { at: now - START_S, ..ProcessStart::default() });
+        self.report.starts.push(ProcessStart { started_at: now - START_S, ..ProcessStart::default() });
         self.report.starts.len() - 1
     }
 
@@ -215,11 +220,11 @@
     pub fn finish(&mut self, end: f64) -> Report {
         self.checker.finish(end);
         let mut report = std::mem::take(&mut self.report);
-        report.polls = self.site.discovery.polls;
-        report.failed_polls = self.site.discovery.failed_polls;
-        report.longest_poll_s = self.site.discovery.longest_wait_s;
-        report.max_overload_ratio = self.site.max_overload_ratio();
-        report.overload_crashes = self.site.overload_crashes;
+        report.polls = self.backends.discovery.polls;
+        report.failed_polls = self.backends.discovery.failed_polls;
+        report.longest_poll_s = self.backends.discovery.longest_wait_s;
+        report.max_overload_ratio = self.backends.max_overload_ratio();
+        report.overload_crashes = self.backends.overload_crashes;
         report.violations.extend(self.checker.descriptions(START_S));
         report
     }
--- a/testkit/src/fleet/link_faults.rs
+++ b/testkit/src/fleet/link_faults.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LinkFault {
     /// The link is down: new connections are refused, and open connections are reset.
-    Cut,
+    Down,
     /// All data is dropped in both directions, and neither side is notified.
     Blackhole,
     /// Data to the proxy is dropped, and neither side is notified. Data from the proxy arrives.
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct LinkState {
     /// Whether the link is down: new connections are refused, and open connections are reset.
-    pub cut: bool,
+    pub down: bool,
     /// Whether data from the proxy is dropped.
     pub requests_dropped: bool,
     /// Whether data to the proxy is dropped.
@@ -35,7 +35,7 @@
 impl LinkState {
     /// Returns whether data passes in both directions.
     pub fn is_open(&self) -> bool {
-        !(self.cut || self.requests_dropped || self.responses_dropped)
+        !(self.down || self.requests_dropped || self.responses_dropped)
     }
 }
 
@@ -86,7 +86,7 @@
         for active in self.active.iter().filter(|active| now < active.until && active.applies_to(proxy, end))
         {
             match active.fault {
-                LinkFault::Cut => state.cut = true,
+                LinkFault::Down => state.down = true,
                 LinkFault::Blackhole => {
                     state.requests_dropped = true;
                     state.responses_dropped = true;
--- a/testkit/src/fleet/mod.rs
+++ b/testkit/src/fleet/mod.rs
@@ -1,6 +1,6 @@
 //! Trials of a fleet: many proxies, their data servers and the discovery service.
 //!
-//! A [`plan`] describes the fleet and its faults. A [`scenario`] is a script that is parsed into a plan.
+//! A [`plan`] describes the fleet and its faults. A [`scenario`] describes a plan as text.
 //! [`server_model`], [`replication`], [`discovery_model`] and [`link_faults`] are models without a clock and
 //! I/O. [`site`] and [`fleet_model`] combine the models, and [`workload`] generates the clients' requests.
 //! [`simulation`] runs routing engines against the models in virtual time; a seed determines its result.
--- a/testkit/src/fleet/plan.rs
+++ b/testkit/src/fleet/plan.rs
@@ -22,11 +22,11 @@
     /// Number of proxies.
     pub proxies: usize,
     /// Number of zones.
-    pub zones: usize,
+    pub zone_count: usize,
     /// Number of replica sets at the start.
-    pub sets: usize,
+    pub replica_set_count: usize,
     /// Number of members of each replica set at the start.
-    pub members: usize,
+    pub members_per_set: usize,
     /// Parameters of each data server.
     pub server: ServerModelSettings,
     /// Whether the servers start at the start of the trial and have to warm up.
--- a/testkit/src/fleet/process_trial/clients.rs
+++ b/testkit/src/fleet/process_trial/clients.rs
@@ -190,7 +190,7 @@
     }
     fleet.request_served(request, now);
     if let Some(start) = trial.process_start_entry(request.proxy) {
-        start.first_served.get_or_insert(now - START_S - start.at);
+        start.first_served.get_or_insert(now - START_S - start.started_at);
     }
 }
 
--- a/testkit/src/fleet/process_trial/discovery_service.rs
+++ b/testkit/src/fleet/process_trial/discovery_service.rs
@@ -1,8 +1,8 @@
 //! Discovery service on sockets, with a separate address for each proxy.
 //!
 //! Owns the connections of the service. A request is answered with the endpoint list, or with a watch on its
-//! changes. A change is sent only after its publication. It counts as received by the proxy when it is
-//! written.
+//! changes. A change is sent only after its publication, and counts as received by the proxy when it is
+//! written to the socket.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 use super::proxy_config::endpoint_entry;
 use super::state::{SharedTrial, TrialState};
 
-/// Time in seconds without a write after which a watch sends an empty line as a keepalive.
+/// Time in seconds without a write after which a watch sends an empty line as a keep-alive.
 const KEEP_ALIVE_INTERVAL_S: f64 = 2.0;
 /// Interval between the checks for changes of the endpoint list and of the link.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -56,7 +56,7 @@
         return Ok(());
     }
     let clock = shared.clock();
-    match shared.with(|trial| trial.fleet.site.discovery.poll(clock.now())) {
+    match shared.with(|trial| trial.fleet.backends.discovery.poll(clock.now())) {
         PollOutcome::Answered { at } => clock.sleep_until(at).await,
         PollOutcome::Failed { at } => {
             clock.sleep_until(at).await;
@@ -64,19 +64,19 @@
         }
     }
     let connection_usable = wait_for_link(shared, proxy).await;
-    if !connection_usable || shared.with(|trial| trial.fleet.site.discovery.is_down(clock.now())) {
+    if !connection_usable || shared.with(|trial| trial.fleet.backends.discovery.is_down(clock.now())) {
         stream.reset();
         return Ok(());
     }
     shared.with(|trial| {
         if let Some(start) = trial.process_start_entry(proxy) {
-            start.notified.get_or_insert(clock.now() - START_S - start.at);
+            start.notified.get_or_insert(clock.now() - START_S - start.started_at);
         }
     });
     match watch_revision(&request) {
         Some(revision) => watch(shared, proxy, &mut stream, revision.checked_sub(1)).await,
         None => {
-            let version = shared.with(|trial| trial.fleet.site.discovery.version(clock.now()));
+            let version = shared.with(|trial| trial.fleet.backends.discovery.version(clock.now()));
             let body = list_update(shared, proxy, None, version).to_string();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             stream.write_all(&[head.as_bytes(), body.as_bytes()].concat()).await
@@ -98,7 +98,7 @@
 async fn wait_for_link(shared: &SharedTrial, proxy: usize) -> bool {
     loop {
         let link = shared.link_state(proxy, LinkEnd::Discovery);
-        if link.cut {
+        if link.down {
             return false;
         }
         if link.is_open() {
@@ -112,14 +112,14 @@
 }
 
 /// Returns the changes of the endpoint list between two versions, or the full list of `version` if `after` is
-/// `None` or later than `version`. Records that the proxy has received it.
+/// `None` or later than `version`. Records that the proxy has received the returned endpoints.
 fn list_update(shared: &SharedTrial, proxy: usize, after: Option<usize>, version: usize) -> Value {
     shared.with(|trial| {
         let now = trial.clock.now();
         let known_version = after.filter(|after| *after <= version);
         let endpoints = match known_version {
-            Some(known_version) => trial.fleet.site.discovery.changes_since(known_version, version),
-            None => trial.fleet.site.discovery.full_list(version),
+            Some(known_version) => trial.fleet.backends.discovery.changes_since(known_version, version),
+            None => trial.fleet.backends.discovery.full_list(version),
         };
         for endpoint in &endpoints {
             let server = endpoint.server.0 as usize;
@@ -169,7 +169,7 @@
     let clock = shared.clock();
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
     let notification_delay_s = shared.with(|trial| {
-        let spread_s = trial.fleet.site.discovery.settings().notification_spread_s;
+        let spread_s = trial.fleet.backends.discovery.settings().notification_spread_s;
         spread_s * trial.fleet.rng.random::<f64>()
     });
     let mut is_initial = true;
@@ -177,11 +177,11 @@
     loop {
         let now = clock.now();
         let link = shared.link_state(proxy, LinkEnd::Discovery);
-        if link.cut || shared.with(|trial| trial.fleet.site.discovery.is_down(now)) {
+        if link.down || shared.with(|trial| trial.fleet.backends.discovery.is_down(now)) {
             return Ok(());
         }
         let publication_cutoff = if is_initial { now } else { now - notification_delay_s };
-        let version = shared.with(|trial| trial.fleet.site.discovery.version(publication_cutoff));
+        let version = shared.with(|trial| trial.fleet.backends.discovery.version(publication_cutoff));
         let has_update = sent_version.is_none_or(|sent| version > sent || (is_initial && version < sent));
         if !link.is_open() {
             // The link drops the update, and neither side is notified.
--- a/testkit/src/fleet/process_trial/exchange.rs
+++ b/testkit/src/fleet/process_trial/exchange.rs
@@ -91,7 +91,7 @@
     shared.with(|trial| {
         let now = trial.clock.now();
         if let Some(start) = trial.process_start_entry(request.proxy) {
-            start.first_request.get_or_insert(now - START_S - start.at);
+            start.first_request.get_or_insert(now - START_S - start.started_at);
         }
     });
     match exchange_on(shared, stream, request, statement).await {
--- a/testkit/src/fleet/process_trial/faults.rs
+++ b/testkit/src/fleet/process_trial/faults.rs
@@ -10,14 +10,14 @@
 use super::{lifecycle, server_connections};
 
 fn select_servers(shared: &SharedTrial, servers: Selection) -> Vec<usize> {
-    shared.with(|trial| servers.resolve(&trial.fleet.site.zones(), &mut trial.fleet.rng))
+    shared.with(|trial| servers.resolve(&trial.fleet.backends.zones(), &mut trial.fleet.rng))
 }
 
 fn select_proxies(shared: &SharedTrial, proxies: Selection) -> Vec<usize> {
     shared.with(|trial| proxies.resolve(&trial.fleet.proxy_zones, &mut trial.fleet.rng))
 }
 
-/// Runs a fault. Starts it, waits for its duration and ends it; returns earlier if the fault ends by itself.
+/// Runs a fault from its start to its end. Returns after the start if the fault ends by itself.
 pub async fn run_fault(shared: &SharedTrial, fault: Fault) {
     let now = shared.now();
     match fault {
@@ -29,16 +29,16 @@
             run_server_fault(shared, fault, servers).await;
         }
         Fault::SlowReplication { set, factor, duration_s } => {
-            shared.with(|trial| trial.fleet.site.set_replication_slowdown(set, factor));
+            shared.with(|trial| trial.fleet.backends.set_replication_slowdown(set, factor));
             shared.clock().sleep_until(now + duration_s).await;
-            shared.with(|trial| trial.fleet.site.set_replication_slowdown(set, 1.0));
+            shared.with(|trial| trial.fleet.backends.set_replication_slowdown(set, 1.0));
         }
         Fault::DiscoveryDown { duration_s } => {
-            shared.with(|trial| trial.fleet.site.discovery.take_down(now, duration_s));
+            shared.with(|trial| trial.fleet.backends.discovery.take_down(now, duration_s));
             shared.handle_effects(Vec::new());
         }
         Fault::DiscoveryRestored { backup_age_s } => {
-            shared.with(|trial| trial.fleet.site.discovery.restore_backup(now, backup_age_s));
+            shared.with(|trial| trial.fleet.backends.discovery.restore_backup(now, backup_age_s));
         }
         Fault::Link { proxies, target, fault, duration_s } => {
             let proxies = select_proxies(shared, proxies);
@@ -75,23 +75,23 @@
     match fault {
         Fault::FailServers { state, duration_s, .. } => {
             shared.with(|trial| {
-                servers.retain(|server| trial.fleet.site.fail_server(*server, state, now, &mut effects));
+                servers.retain(|server| trial.fleet.backends.fail_server(*server, state, now, &mut effects));
             });
             shared.handle_effects(std::mem::take(&mut effects));
             clock.sleep_until(now + duration_s).await;
             shared.with(|trial| {
-                servers.iter().for_each(|s| trial.fleet.site.recover(*s, clock.now(), &mut effects));
+                servers.iter().for_each(|s| trial.fleet.backends.recover(*s, clock.now(), &mut effects));
             });
             shared.handle_effects(effects);
         }
         Fault::SlowServers { factor, duration_s, .. } => {
-            shared.with(|trial| servers.iter().for_each(|s| trial.fleet.site.set_slowdown(*s, factor)));
+            shared.with(|trial| servers.iter().for_each(|s| trial.fleet.backends.set_slowdown(*s, factor)));
             clock.sleep_until(now + duration_s).await;
-            shared.with(|trial| servers.iter().for_each(|s| trial.fleet.site.set_slowdown(*s, 1.0)));
+            shared.with(|trial| servers.iter().for_each(|s| trial.fleet.backends.set_slowdown(*s, 1.0)));
         }
         Fault::ReplaceServers { drain_s, .. } => {
             shared.with(|trial| {
-                servers.retain(|server| trial.fleet.site.drain(*server, now, &mut effects));
+                servers.retain(|server| trial.fleet.backends.drain(*server, now, &mut effects));
             });
             shared.handle_effects(std::mem::take(&mut effects));
             clock.sleep_until(now + drain_s).await;
@@ -101,7 +101,7 @@
             admin::set_service_state(shared, &servers, ServiceState::OutOfService).await;
             clock.sleep_until(now + duration_s).await;
             shared.with(|trial| {
-                servers.iter().for_each(|s| trial.fleet.site.restart(*s, clock.now(), &mut effects));
+                servers.iter().for_each(|s| trial.fleet.backends.restart(*s, clock.now(), &mut effects));
             });
             shared.handle_effects(effects);
             admin::set_service_state(shared, &servers, ServiceState::InService).await;
@@ -114,11 +114,11 @@
 fn replace_servers(shared: &SharedTrial, servers: &[usize]) {
     let clock = shared.clock();
     let mut effects = Vec::new();
-    let proxies = shared.with(|trial| {
-        servers.iter().for_each(|server| trial.fleet.site.replace(*server, clock.now(), &mut effects));
+    let proxy_count = shared.with(|trial| {
+        servers.iter().for_each(|server| trial.fleet.backends.replace(*server, clock.now(), &mut effects));
         trial.fleet.plan.proxies
     });
-    if let Err(error) = (0..proxies).try_for_each(|proxy| server_connections::listen(shared, proxy)) {
+    if let Err(error) = (0..proxy_count).try_for_each(|proxy| server_connections::listen(shared, proxy)) {
         let violation = format!("trial error: failed to open listening sockets for new servers: {error}");
         shared.with(|trial| trial.fleet.report.violations.push(violation));
     }
--- a/testkit/src/fleet/process_trial/lifecycle.rs
+++ b/testkit/src/fleet/process_trial/lifecycle.rs
@@ -48,7 +48,7 @@
 fn process_config(trial: &mut TrialState, proxy: usize) -> String {
     let settings = trial.fleet.proxy_settings(proxy);
     let cached_list = trial.fleet.cached_versions[proxy].map(|version| {
-        let endpoints = trial.fleet.site.discovery.full_list(version);
+        let endpoints = trial.fleet.backends.discovery.full_list(version);
         trial.record_start_times(proxy, &endpoints);
         discovery_service::full_list(trial, proxy, &endpoints, version)
     });
@@ -61,7 +61,7 @@
         "seed": format!("{seed:016x}"),
         "limits": { "memory_mb": MAX_MEMORY_MB, "sockets": MAX_SOCKETS },
         "known": cached_list,
-        "settings": proxy_config::settings(&settings, plan.zones, plan.idle_timeout_s),
+        "settings": proxy_config::settings(&settings, plan.zone_count, plan.idle_timeout_s),
     })
     .to_string()
 }
--- a/testkit/src/fleet/process_trial/message_stream.rs
+++ b/testkit/src/fleet/process_trial/message_stream.rs
@@ -36,8 +36,8 @@
         Ok(Self { stream, buffer: Vec::new() })
     }
 
-    /// Reads more bytes into the buffer. Returns an error if the connection has ended. Cancelling it loses no
-    /// data.
+    /// Reads more bytes into the buffer. Returns an error if the connection has ended. Cancelling the
+    /// read loses no data.
     async fn fill_buffer(&mut self) -> io::Result<()> {
         loop {
             self.stream.readable().await?;
--- a/testkit/src/fleet/process_trial/process_table.rs
+++ b/testkit/src/fleet/process_trial/process_table.rs
@@ -131,12 +131,12 @@
 
 impl ProcessTable {
     /// Creates a table without processes, and a folder and a listen address for each proxy.
-    pub fn new(paths: TrialPaths, proxies: usize) -> io::Result<Self> {
+    pub fn new(paths: TrialPaths, proxy_count: usize) -> io::Result<Self> {
         // The first port depends on the process id, so trials that run at the same time try different ports.
         let next_port =
             LISTEN_PORTS.start + std::process::id() * 997 % (LISTEN_PORTS.end - LISTEN_PORTS.start);
         let mut table = Self { paths, proxies: Vec::new(), next_port };
-        for proxy in 0..proxies {
+        for proxy in 0..proxy_count {
             let folder = table.paths.folder.join(format!("p{proxy}"));
             std::fs::create_dir_all(&folder)?;
             let listen_address = table.free_address()?;
--- a/testkit/src/fleet/process_trial/server_connections.rs
+++ b/testkit/src/fleet/process_trial/server_connections.rs
@@ -25,7 +25,7 @@
 
 /// Opens the listening sockets for a proxy of all servers that were added since the last call.
 pub fn listen(shared: &SharedTrial, proxy: usize) -> io::Result<()> {
-    let servers = shared.with(|trial| trial.fleet.site.servers.len());
+    let servers = shared.with(|trial| trial.fleet.backends.servers.len());
     for server in 0..servers {
         if shared.with(|trial| trial.server_addresses.contains_key(&(proxy, server))) {
             continue;
@@ -93,7 +93,7 @@
 
 impl ServerConnection {
     fn new(shared: &SharedTrial, proxy: usize, server: usize) -> Self {
-        let incarnation = shared.with(|trial| trial.fleet.site.servers[server].model.incarnation);
+        let incarnation = shared.with(|trial| trial.fleet.backends.servers[server].model.incarnation);
         Self {
             shared: shared.clone(),
             proxy,
@@ -108,11 +108,11 @@
     fn state(&self) -> ConnectionState {
         let link = self.shared.link_state(self.proxy, LinkEnd::Server(self.server));
         self.shared.with(|trial| {
-            let server = &trial.fleet.site.servers[self.server];
+            let server = &trial.fleet.backends.servers[self.server];
             let model = &server.model;
             let exited =
                 server.removed || model.incarnation != self.incarnation || model.state == ServerState::Dead;
-            let reset = link.cut || exited || trial.was_reset_since(self.proxy, self.server, self.opened_at);
+            let reset = link.down || exited || trial.was_reset_since(self.proxy, self.server, self.opened_at);
             ConnectionState { link, server: model.state, reset }
         })
     }
@@ -163,7 +163,7 @@
     /// Removes the connection from the count of open connections at the server.
     fn record_closed(&self) {
         self.shared.with(|trial| {
-            let model = &mut trial.fleet.site.servers[self.server].model;
+            let model = &mut trial.fleet.backends.servers[self.server].model;
             if model.incarnation == self.incarnation {
                 model.connections = model.connections.saturating_sub(1);
             }
@@ -238,8 +238,8 @@
         end
     }
 
-    /// Records that the proxy closed the connection during an attempt. The execution of the attempt
-    /// continues.
+    /// Records that the proxy closed the connection during an attempt, and returns this end of the
+    /// connection. The execution of the attempt continues.
     fn record_abandoned_attempt(&self, text: &str) -> ConnectionEnd {
         if let Some(id) = request_id(text) {
             self.shared.with(|trial| {
--- a/testkit/src/fleet/process_trial/server_execution.rs
+++ b/testkit/src/fleet/process_trial/server_execution.rs
@@ -140,7 +140,7 @@
 fn may_read_stale(trial: &TrialState, proxy: usize, server: usize, now: f64) -> bool {
     let informed_at = trial.not_primary_since.get(&(proxy, server));
     let informed = informed_at.is_some_and(|at| at + RESPONSE_PROCESSING_S < now);
-    trial.fleet.site.servers[server].was_primary && !informed
+    trial.fleet.backends.servers[server].was_primary && !informed
 }
 
 impl Attempt {
@@ -155,18 +155,18 @@
             };
             let fleet = &mut trial.fleet;
             fleet.report.attempts += 1;
-            if !fleet.is_write(self.class) && fleet.site.is_primary(self.server) {
+            if !fleet.is_write(self.class) && fleet.backends.is_primary(self.server) {
                 fleet.report.reads_at_primaries += 1;
             }
             fleet.checker.attempt_sent(self.request, self.server, self.sent_at);
             fleet.checker.statement_written(self.request, self.server, self.sent_at);
-            fleet.site.admit(self.server, request, self.sent_at)
+            fleet.backends.admit(self.server, request, self.sent_at)
         })
     }
 
     /// Returns the response to an attempt that was not executed, with the present status of the server.
     fn rejection_response(&self, outcome: Outcome, body: Vec<u8>) -> ServerResponse {
-        let status = self.shared.with(|trial| trial.fleet.site.status(self.server, trial.clock.now()));
+        let status = self.shared.with(|trial| trial.fleet.backends.status(self.server, trial.clock.now()));
         self.new_response(outcome, body, status)
     }
 
@@ -197,7 +197,7 @@
         self.shared.with(|trial| {
             let now = trial.clock.now();
             trial.fleet.checker.server_crashed(self.server, informed_share, now);
-            trial.fleet.site.crash(self.server, now, &mut effects);
+            trial.fleet.backends.crash(self.server, now, &mut effects);
         });
         self.shared.handle_effects(effects);
     }
@@ -205,7 +205,8 @@
     /// Executes the attempt between two times. Returns `None` if the server fails before the execution ends.
     async fn execute(self, starts_at: f64, ends_at: f64) -> Option<Completion> {
         let clock = self.shared.clock();
-        let incarnation = self.shared.with(|trial| trial.fleet.site.servers[self.server].model.incarnation);
+        let incarnation =
+            self.shared.with(|trial| trial.fleet.backends.servers[self.server].model.incarnation);
         clock.sleep_until(starts_at).await;
         if !self.is_executing(incarnation) {
             return None;
@@ -221,7 +222,7 @@
     /// Returns whether the server is up in the incarnation that started the attempt.
     fn is_executing(&self, incarnation: u32) -> bool {
         self.shared.with(|trial| {
-            let model = &trial.fleet.site.servers[self.server].model;
+            let model = &trial.fleet.backends.servers[self.server].model;
             model.incarnation == incarnation && model.state == ServerState::Up
         })
     }
@@ -231,7 +232,7 @@
         self.shared.with(|trial| {
             let now = trial.clock.now();
             let fleet = &mut trial.fleet;
-            let position = fleet.site.start_execution(self.server, self.class, self.work_s, now);
+            let position = fleet.backends.start_execution(self.server, self.class, self.work_s, now);
             if let Some(position) = position {
                 let read = ReplicaRead {
                     request: self.request,
@@ -249,7 +250,7 @@
         self.shared.with(|trial| {
             let now = trial.clock.now();
             let fleet = &mut trial.fleet;
-            let completion = fleet.site.finish_execution(self.server, self.class, now);
+            let completion = fleet.backends.finish_execution(self.server, self.class, now);
             if fleet.is_write(self.class) && completion.outcome == Outcome::Success {
                 fleet.checker.write_executed(self.request, self.class, now);
                 if let Some(commit) = completion.status.position {
@@ -268,13 +269,13 @@
     let done_at = shared.with(|trial| {
         trial.fleet.report.health_checks += 1;
         let work_s = trial.fleet.plan.health_check_work_s;
-        let model = &mut trial.fleet.site.servers[server].model;
+        let model = &mut trial.fleet.backends.servers[server].model;
         (model.state == ServerState::Up).then(|| model.add_work(clock.now(), work_s))
     })?;
     clock.sleep_until(done_at).await;
     let body = shared.with(|trial| {
         let age_s = trial.fleet.plan.load_report_age_s * trial.fleet.rng.random::<f64>();
-        let report = trial.fleet.site.load_report(server, age_s, clock.now());
+        let report = trial.fleet.backends.load_report(server, age_s, clock.now());
         if text != LOAD_REPORT_STATEMENT {
             return row(b"1");
         }
--- a/testkit/src/fleet/process_trial/state.rs
+++ b/testkit/src/fleet/process_trial/state.rs
@@ -35,7 +35,8 @@
     pub clock: Clock,
     /// The client request of each try, by the id of the try.
     pub client_requests: HashMap<u64, ClientRequest>,
-    /// Id of the last try. The id is in the comment of the statement.
+    /// Id of the last try, which is in the comment of its statement. For the proxy and the rule checker, each
+    /// try is a request of its own.
     pub last_request_id: u64,
     /// Commit times in seconds of the writes whose response no client has received yet, by the id of the try.
     pub unacknowledged_commits: HashMap<u64, f64>,
@@ -135,7 +136,7 @@
         clock.sleep_until(now + factor * delay).await;
     }
 
-    /// Handles the effects of an operation on the site: schedules elections, registers new servers and
+    /// Handles the effects of an operation on the backends: schedules elections, registers new servers and
     /// notifies the connections. Publications need no handling, because each watch checks the version of the
     /// endpoint list.
     pub fn handle_effects(&self, effects: Vec<Effect>) {
@@ -154,7 +155,7 @@
         let clock = self.clock();
         clock.sleep_until(at).await;
         let mut effects = Vec::new();
-        self.with(|trial| trial.fleet.site.elect(set, clock.now(), &mut effects));
+        self.with(|trial| trial.fleet.backends.elect(set, clock.now(), &mut effects));
         self.handle_effects(effects);
     }
 }
--- a/testkit/src/fleet/replication.rs
+++ b/testkit/src/fleet/replication.rs
@@ -57,11 +57,11 @@
 
 impl ReplicaSet {
     /// Creates a replica set whose first member is the primary and whose replicas are up to date.
-    pub fn new(members: usize, settings: ReplicationSettings, now: f64) -> Self {
+    pub fn new(member_count: usize, settings: ReplicationSettings, now: f64) -> Self {
         let progress = ApplyProgress { next_commit: 0, idle_at: now, position: now };
         Self {
             settings,
-            apply_progress: vec![progress; members],
+            apply_progress: vec![progress; member_count],
             primary: Some(0),
             primary_lost_at: None,
             commits: VecDeque::new(),
@@ -71,7 +71,7 @@
     }
 
     /// Returns the number of members, including removed members.
-    pub fn members(&self) -> usize {
+    pub fn member_count(&self) -> usize {
         self.apply_progress.len()
     }
 
--- a/testkit/src/fleet/report.rs
+++ b/testkit/src/fleet/report.rs
@@ -16,7 +16,8 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct ProcessStart {
     /// Time of the start, in seconds since the start of the trial.
-    pub at: f64,
+    #[serde(rename = "at")]
+    pub started_at: f64,
     /// Time until the discovery service first answered a poll of the process.
     #[serde(rename = "told")]
     pub notified: Option<f64>,
@@ -28,10 +29,11 @@
     pub first_served: Option<f64>,
 }
 
-/// Total priority weight of some requests. It is serialized as the pair of `offered` and `served`.
+/// Total priority weight of the requests of one class or of one second. Serialized as the pair of `offered`
+/// and `served`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 #[serde(into = "(f64, f64)")]
-pub struct Weight {
+pub struct WeightTotals {
     /// Weight of all requests that clients created.
     pub offered: f64,
     /// Weight of the served requests. A request that was served after its latency objective counts with the
@@ -39,15 +41,15 @@
     pub served: f64,
 }
 
-impl From<Weight> for (f64, f64) {
-    fn from(weight: Weight) -> Self {
+impl From<WeightTotals> for (f64, f64) {
+    fn from(weight: WeightTotals) -> Self {
         (weight.offered, weight.served)
     }
 }
 
-impl Weight {
+impl WeightTotals {
     /// Returns the served share of the offered weight, from 0 to 1. Returns 0 if no weight was offered.
-    pub fn share(&self) -> f64 {
+    pub fn served_share(&self) -> f64 {
         self.served / self.offered.max(1e-9)
     }
 }
@@ -60,9 +62,9 @@
     /// Priority weight of the served requests, with a deduction for late responses.
     pub served: f64,
     /// Weights by class, in the order of the classes in the settings.
-    pub classes: Vec<Weight>,
+    pub classes: Vec<WeightTotals>,
     /// Weights by the second of the trial in which clients created the requests.
-    pub seconds: Vec<Weight>,
+    pub seconds: Vec<WeightTotals>,
     /// Tries of client requests, including retries.
     pub tries: usize,
     /// Tries that a proxy rejected without executing them.
@@ -111,8 +113,8 @@
 
 impl Report {
     /// Returns an empty report for a number of classes.
-    pub fn new(classes: usize) -> Self {
-        Self { classes: vec![Weight::default(); classes], ..Self::default() }
+    pub fn new(class_count: usize) -> Self {
+        Self { classes: vec![WeightTotals::default(); class_count], ..Self::default() }
     }
 
     /// Records a new request of a client. `at` is the time of its creation, in seconds since the start of the
@@ -122,13 +124,13 @@
         self.classes[request.class.0].offered += class.priority_weight;
         let second = at.max(0.0) as usize;
         if self.seconds.len() <= second {
-            self.seconds.resize(second + 1, Weight::default());
+            self.seconds.resize(second + 1, WeightTotals::default());
         }
         self.seconds[second].offered += class.priority_weight;
     }
 
     /// Records a request that was served at `now`. `created_at` is the time of its creation, in seconds since
-    /// the start of the trial. `now` has the time base of `request`.
+    /// the start of the trial. `now` is on the same clock as the times of `request`.
     pub fn request_served(&mut self, request: &ClientRequest, class: &Class, now: f64, created_at: f64) {
         let in_time = now <= request.created_at + class.latency_objective.as_secs_f64();
         let weight = class.priority_weight * if in_time { 1.0 } else { class.late_weight };
@@ -145,8 +147,8 @@
     }
 
     /// Returns the served share of the offered weight over all requests, from 0 to 1.
-    pub fn share(&self) -> f64 {
-        Weight { offered: self.offered, served: self.served }.share()
+    pub fn served_share(&self) -> f64 {
+        WeightTotals { offered: self.offered, served: self.served }.served_share()
     }
 
     /// Returns the longest time in seconds from the start of a process to its first answered poll. Returns
--- a/testkit/src/fleet/scenario.rs
+++ b/testkit/src/fleet/scenario.rs
@@ -69,7 +69,7 @@
     let apply = plan.replication.apply_work_s * writes_per_set(plan);
     plan.proxies = proxies.unwrap_or(plan.proxies).max(1);
     if let Some(servers) = servers {
-        plan.sets = (servers / plan.members).max(1);
+        plan.replica_set_count = (servers / plan.members_per_set).max(1);
     }
     plan.seed = seed.unwrap_or(plan.seed);
     compute_derived_values(plan, &Utilization { load, apply });
@@ -81,7 +81,7 @@
 
 /// Returns the rate, in requests per second, at which all servers together can execute requests.
 fn max_requests_per_s(plan: &Plan) -> f64 {
-    let cores = (plan.sets * plan.members * plan.server.cores) as f64;
+    let cores = (plan.replica_set_count * plan.members_per_set * plan.server.cores) as f64;
     cores * plan.server.speed / plan.server.mean_work_s
 }
 
@@ -90,7 +90,7 @@
     let classes = plan.workload.class_loads.iter().zip(&plan.settings.classes);
     let writes = classes.filter(|(_, class)| class.consistency == Consistency::Write);
     let share: f64 = writes.map(|(load, _)| load.share).sum();
-    plan.requests_per_s * share / total_share(plan) / plan.sets as f64
+    plan.requests_per_s * share / total_share(plan) / plan.replica_set_count as f64
 }
 
 /// Computes the values of a plan that depend on its other values and on the utilizations.
--- a/testkit/src/fleet/scenario/classes.rs
+++ b/testkit/src/fleet/scenario/classes.rs
@@ -11,7 +11,7 @@
 /// Parses `(repeatable (NAME VALUE) ...)`, a class of idempotent requests, or `(once (NAME VALUE) ...)`, a
 /// class of writes that are not idempotent.
 pub fn parse_class(datum: Ref<'_>) -> Result<(Class, ClassLoad), SyntaxError> {
-    let form = split_form(datum, "(repeatable NAME VALUE ...) or (once NAME VALUE ...)")?;
+    let form = split_form(datum, "(repeatable (NAME VALUE) ...) or (once (NAME VALUE) ...)")?;
     let (idempotency, consistency) = match form.name {
         "repeatable" => (Idempotency::Idempotent, Consistency::Eventual),
         "once" => (Idempotency::NonIdempotent, Consistency::Write),
--- a/testkit/src/fleet/scenario/default_plan.rs
+++ b/testkit/src/fleet/scenario/default_plan.rs
@@ -24,9 +24,9 @@
     Plan {
         settings: settings(),
         proxies: 40,
-        zones: 3,
-        sets: 8,
-        members: 3,
+        zone_count: 3,
+        replica_set_count: 8,
+        members_per_set: 3,
         server: ServerModelSettings {
             cores: 5,
             speed: 1.0,
@@ -58,7 +58,7 @@
             class_loads: [0.64, 0.15, 0.21].map(class_load).to_vec(),
             read_after_write_share: 0.65,
             read_after_write_gap_s: 0.4,
-            retries: 2,
+            max_tries: 2,
             retry_delay_s: 0.08,
         },
         requests_per_s: 0.0,
--- a/testkit/src/fleet/scenario/faults.rs
+++ b/testkit/src/fleet/scenario/faults.rs
@@ -12,7 +12,7 @@
     if datum.value().as_symbol() == Some("all") {
         return Ok(Selection::All);
     }
-    let expected = "all, (one NUMBER), (share SHARE) or (zone NUMBER)";
+    let expected = "all, (one INDEX), (share SHARE) or (zone INDEX)";
     let form = split_form(datum, expected)?;
     let value = form.single_number()?;
     match form.name {
@@ -107,7 +107,7 @@
 fn parse_link_fault_kind(datum: Ref<'_>) -> Result<LinkFault, SyntaxError> {
     let expected = "cut, silent, deaf, reset or (slow MS)";
     match datum.value().as_symbol() {
-        Some("cut") => return Ok(LinkFault::Cut),
+        Some("cut") => return Ok(LinkFault::Down),
         Some("silent") => return Ok(LinkFault::Blackhole),
         Some("deaf") => return Ok(LinkFault::DropResponses),
         Some("reset") => return Ok(LinkFault::Reset),
--- a/testkit/src/fleet/scenario/parameters.rs
+++ b/testkit/src/fleet/scenario/parameters.rs
@@ -44,9 +44,9 @@
 fn parse_fleet(form: &Form<'_>, plan: &mut Plan, utilization: &mut Utilization) -> Result<(), SyntaxError> {
     match form.name {
         "proxies" => plan.proxies = parse_count(form)?,
-        "zones" => plan.zones = parse_count(form)?,
-        "sets" => plan.sets = parse_count(form)?,
-        "members" => plan.members = parse_count(form)?,
+        "zones" => plan.zone_count = parse_count(form)?,
+        "sets" => plan.replica_set_count = parse_count(form)?,
+        "members" => plan.members_per_set = parse_count(form)?,
         "load" => utilization.load = form.single_number()?,
         _ => return Err(unknown_parameter("fleet", form)),
     }
@@ -108,7 +108,7 @@
     match form.name {
         "follows" => workload.read_after_write_share = form.single_number()?,
         "gap" => workload.read_after_write_gap_s = form.single_number()?,
-        "retries" => workload.retries = form.single_number()? as u32,
+        "retries" => workload.max_tries = form.single_number()? as u32,
         "pause" => workload.retry_delay_s = form.single_number()?,
         _ => return Err(unknown_parameter("clients", form)),
     }
--- a/testkit/src/fleet/scenario/tests.rs
+++ b/testkit/src/fleet/scenario/tests.rs
@@ -28,7 +28,7 @@
     assert_eq!(plan.faults[1].fault, link);
     let mut resized = plan.clone();
     resize(&mut resized, Some(300), Some(60), None);
-    assert_eq!((resized.sets, resized.settings.instance_count), (20, 300));
+    assert_eq!((resized.replica_set_count, resized.settings.instance_count), (20, 300));
     assert!((resized.requests_per_s / plan.requests_per_s - 10.0).abs() < 1e-6);
     assert!((resized.replication.apply_work_s - plan.replication.apply_work_s).abs() < 1e-9);
 }
--- a/testkit/src/fleet/simulation/attempts.rs
+++ b/testkit/src/fleet/simulation/attempts.rs
@@ -8,7 +8,7 @@
 };
 use rand::Rng;
 
-use super::super::fleet_model::{duration, START_S};
+use super::super::fleet_model::{duration_from_secs, START_S};
 use super::super::link_faults::{LinkEnd, LinkState};
 use super::super::rule_checker::FinalAnswer;
 use super::super::server_model::ServerState;
@@ -29,7 +29,7 @@
     /// Closes connections to a server. `incarnations` has the server's incarnation for each connection; those
     /// of earlier incarnations are closed already.
     pub(super) fn close_connections(&mut self, server: usize, incarnations: impl IntoIterator<Item = u32>) {
-        let model = &mut self.fleet.site.servers[server].model;
+        let model = &mut self.fleet.backends.servers[server].model;
         let current = model.incarnation;
         let closed = incarnations.into_iter().filter(|incarnation| *incarnation == current).count();
         model.connections = model.connections.saturating_sub(closed);
@@ -38,7 +38,7 @@
     /// Removes an open connection to a server from the idle ones. Returns false if there is none.
     fn take_idle_connection(&mut self, process: usize, server: usize) -> bool {
         let Some(idle) = self.processes[process].idle_connections.get_mut(&server) else { return false };
-        let incarnation = self.fleet.site.servers[server].model.incarnation;
+        let incarnation = self.fleet.backends.servers[server].model.incarnation;
         let oldest = self.now - self.fleet.plan.idle_timeout_s;
         let is_stale = |c: &mut IdleConnection| c.incarnation != incarnation || c.idle_since < oldest;
         let stale: Vec<_> = idle.extract_if(.., is_stale).collect();
@@ -66,14 +66,14 @@
         let consistency = self.fleet.plan.settings.classes[class.0].consistency;
         self.fleet.report.attempts += 1;
         self.fleet.checker.attempt_sent(request.0, server, now);
-        if consistency != Consistency::Write && self.fleet.site.is_primary(server) {
+        if consistency != Consistency::Write && self.fleet.backends.is_primary(server) {
             self.fleet.report.reads_at_primaries += 1;
         }
         let reuses_connection = self.take_idle_connection(process, server);
         let observations = &self.processes[process].observations;
         let attempt = InFlightAttempt {
             server,
-            incarnation: self.fleet.site.servers[server].model.incarnation,
+            incarnation: self.fleet.backends.servers[server].model.incarnation,
             class,
             session,
             sent_at: now,
@@ -87,7 +87,7 @@
                 }
                 _ => None,
             },
-            may_read_stale: self.fleet.site.servers[server].was_primary
+            may_read_stale: self.fleet.backends.servers[server].was_primary
                 && !observations.not_primary.contains(&server),
         };
         self.processes[process].in_flight.insert(id, attempt);
@@ -108,8 +108,8 @@
         let delay = self.one_way_delay(process, server);
         let timeout = self.fleet.plan.settings.limits.connect_timeout.as_secs_f64();
         let failed = SimulationEvent::AttemptEnds { process, id, result: Outcome::ConnectFailed.into() };
-        let state = self.fleet.site.servers[server].model.state;
-        if link.cut || state == ServerState::Dead || self.fleet.site.servers[server].removed {
+        let state = self.fleet.backends.servers[server].model.state;
+        if link.down || state == ServerState::Dead || self.fleet.backends.servers[server].removed {
             return self.schedule(now + 2.0 * delay, failed);
         }
         if link.requests_dropped || state == ServerState::Unresponsive {
@@ -160,7 +160,7 @@
             attempt: id.number,
             server: ServerId(attempt.server as u32),
             outcome,
-            round_trip: duration(self.now - attempt.sent_at),
+            round_trip: duration_from_secs(self.now - attempt.sent_at),
             request_complete: served || !self.processes[process].open_requests.contains_key(&id.request),
             status,
             load_report: None,
@@ -177,7 +177,7 @@
             _ => false,
         };
         let incarnation = attempt.incarnation;
-        if reusable && self.fleet.site.servers[attempt.server].model.incarnation == incarnation {
+        if reusable && self.fleet.backends.servers[attempt.server].model.incarnation == incarnation {
             let connection = IdleConnection { incarnation, idle_since: self.now };
             self.processes[process].idle_connections.entry(attempt.server).or_default().push(connection);
         } else if !attempt.on_new_connection || attempt.written {
@@ -227,7 +227,7 @@
         }
         fleet.request_served(&open_request.client_request, now);
         let start = &mut fleet.report.starts[self.processes[process].start_index];
-        start.first_served.get_or_insert(now - START_S - start.at);
+        start.first_served.get_or_insert(now - START_S - start.started_at);
         true
     }
 
@@ -239,8 +239,8 @@
         let timeout = self.fleet.plan.settings.limits.connect_timeout.as_secs_f64();
         let link = self.link_state(process, LinkEnd::Server(server));
         let failed = SimulationEvent::HealthChecked { process, server, ok: false, load_report: None };
-        let target = &mut self.fleet.site.servers[server];
-        if link.cut || target.model.state == ServerState::Dead || target.removed {
+        let target = &mut self.fleet.backends.servers[server];
+        if link.down || target.model.state == ServerState::Dead || target.removed {
             return self.schedule(now + 2.0 * delay, failed);
         }
         if !link.is_open() || matches!(target.model.state, ServerState::Unresponsive | ServerState::Hung) {
@@ -248,7 +248,7 @@
         }
         let done_at = target.model.add_work(now, self.fleet.plan.health_check_work_s);
         let age_s = self.fleet.plan.load_report_age_s * self.fleet.rng.random::<f64>();
-        let load_report = self.fleet.site.load_report(server, age_s, now);
+        let load_report = self.fleet.backends.load_report(server, age_s, now);
         let ok = SimulationEvent::HealthChecked { process, server, ok: true, load_report };
         self.schedule(done_at + 2.0 * delay, ok);
     }
--- a/testkit/src/fleet/simulation/clients.rs
+++ b/testkit/src/fleet/simulation/clients.rs
@@ -3,7 +3,7 @@
 use pipittack_core::api::{Consistency, Event, GroupId, Request, RequestId};
 use rand::Rng;
 
-use super::super::fleet_model::{duration, START_S};
+use super::super::fleet_model::{duration_from_secs, START_S};
 use super::super::rule_checker::AcceptedRequest;
 use super::super::workload::{ClientRequest, TryFailure};
 use super::event_queue::SimulationEvent;
@@ -38,7 +38,7 @@
         self.last_request_id += 1;
         let id = RequestId(self.last_request_id);
         let start = &mut self.fleet.report.starts[self.processes[process].start_index];
-        start.first_request.get_or_insert(self.now - START_S - start.at);
+        start.first_request.get_or_insert(self.now - START_S - start.started_at);
         let token_commit = self.fleet.token_commit(&client_request);
         let request = self.proxy_request(id, &client_request, token_commit);
         self.fleet.checker.request_accepted(AcceptedRequest {
@@ -75,12 +75,12 @@
             class: client_request.class,
             group: GroupId(client_request.set as u64),
             tenant: None,
-            time_left: duration(client_request.deadline - self.now),
+            time_left: duration_from_secs(client_request.deadline - self.now),
             is_retry: client_request.tries > 1,
             statement_bytes: STATEMENT_BYTES,
             expected_work: None,
             session: has_session.then(|| client_request.session.to_string()),
-            last_write_age: token_commit.map(|commit| duration(self.now - commit)),
+            last_write_age: token_commit.map(|commit| duration_from_secs(self.now - commit)),
         }
     }
 
--- a/testkit/src/fleet/simulation/discovery.rs
+++ b/testkit/src/fleet/simulation/discovery.rs
@@ -19,7 +19,7 @@
             let event = SimulationEvent::PollEnds { process, ok: false };
             return self.schedule(self.now + CONNECT_TIMEOUT_S, event);
         }
-        match self.fleet.site.discovery.poll(self.now) {
+        match self.fleet.backends.discovery.poll(self.now) {
             PollOutcome::Answered { at } => {
                 self.schedule(at, SimulationEvent::PollEnds { process, ok: true });
             }
@@ -34,15 +34,15 @@
         if !self.processes[process].alive {
             return;
         }
-        let reachable = !self.fleet.site.discovery.is_down(self.now)
+        let reachable = !self.fleet.backends.discovery.is_down(self.now)
             && self.link_state(process, LinkEnd::Discovery).is_open();
         if !ok || !reachable {
             return self.enqueue_event(process, Event::Endpoints(EndpointUpdate::Failed));
         }
         self.processes[process].watching = true;
         let start = &mut self.fleet.report.starts[self.processes[process].start_index];
-        start.notified.get_or_insert(self.now - START_S - start.at);
-        self.endpoints_changed(process, self.fleet.site.discovery.version(self.now));
+        start.notified.get_or_insert(self.now - START_S - start.started_at);
+        self.endpoints_changed(process, self.fleet.backends.discovery.version(self.now));
     }
 
     /// Notifies a process that its watch is broken. If the process has opened another watch meanwhile, ends
@@ -74,8 +74,8 @@
         let known_version =
             state.list_version.replace(version).filter(|known_version| *known_version <= version);
         let endpoints = match known_version {
-            Some(known_version) => self.fleet.site.discovery.changes_since(known_version, version),
-            None => self.fleet.site.discovery.full_list(version),
+            Some(known_version) => self.fleet.backends.discovery.changes_since(known_version, version),
+            None => self.fleet.backends.discovery.full_list(version),
         };
         for endpoint in &endpoints {
             let server = endpoint.server.0 as usize;
@@ -94,7 +94,7 @@
 
     /// Records the start times of servers from endpoints that a process has received.
     pub(super) fn record_start_times(&mut self, process: usize, endpoints: &[Endpoint]) {
-        let start_times = &mut self.processes[process].observations.started_at;
+        let start_times = &mut self.processes[process].observations.known_starts;
         for endpoint in endpoints {
             if let Some(started_at) = endpoint.started_at {
                 start_times.insert(endpoint.server.0 as usize, started_at.as_secs_f64());
@@ -105,7 +105,7 @@
     /// Schedules the delivery of a published version to all running processes, each after a random delay of
     /// at most the notification spread.
     pub(super) fn list_published(&mut self, publication: Publication) {
-        let spread_s = self.fleet.site.discovery.settings().notification_spread_s;
+        let spread_s = self.fleet.backends.discovery.settings().notification_spread_s;
         for process in 0..self.processes.len() {
             if self.processes[process].alive {
                 let at = publication.at + spread_s * self.fleet.rng.random::<f64>();
--- a/testkit/src/fleet/simulation/faults.rs
+++ b/testkit/src/fleet/simulation/faults.rs
@@ -28,16 +28,16 @@
                 self.handle_effects(effects);
             }
             Fault::SlowReplication { set, factor, duration_s } => {
-                self.fleet.site.set_replication_slowdown(set, factor);
+                self.fleet.backends.set_replication_slowdown(set, factor);
                 let affected = vec![set];
                 self.schedule(self.now + duration_s, SimulationEvent::FaultEnds { fault, affected });
             }
             Fault::DiscoveryDown { duration_s } => {
-                self.fleet.site.discovery.take_down(self.now, duration_s);
+                self.fleet.backends.discovery.take_down(self.now, duration_s);
                 (0..self.processes.len()).for_each(|process| self.break_watch(process, self.now));
             }
             Fault::DiscoveryRestored { backup_age_s } => {
-                self.fleet.site.discovery.restore_backup(self.now, backup_age_s);
+                self.fleet.backends.discovery.restore_backup(self.now, backup_age_s);
             }
             Fault::Link { proxies, target, fault, duration_s } => {
                 let proxies = self.select_proxies(proxies);
@@ -58,7 +58,7 @@
     }
 
     fn select_servers(&mut self, servers: Selection) -> Vec<usize> {
-        servers.resolve(&self.fleet.site.zones(), &mut self.fleet.rng)
+        servers.resolve(&self.fleet.backends.zones(), &mut self.fleet.rng)
     }
 
     fn select_proxies(&mut self, proxies: Selection) -> Vec<usize> {
@@ -70,20 +70,19 @@
     fn start_server_fault(&mut self, fault: Fault, affected: &mut Vec<usize>) -> Vec<Effect> {
         let now = self.now;
         let mut effects = Vec::new();
-        let site = &mut self.fleet.site;
+        let backends = &mut self.fleet.backends;
         match fault {
             Fault::FailServers { state, .. } => {
-                affected.retain(|server| site.fail_server(*server, state, now, &mut effects));
+                affected.retain(|server| backends.fail_server(*server, state, now, &mut effects));
             }
             Fault::SlowServers { factor, .. } => {
-                affected.iter().for_each(|server| site.set_slowdown(*server, factor));
+                affected.iter().for_each(|server| backends.set_slowdown(*server, factor));
             }
             Fault::ReplaceServers { .. } => {
-                affected.retain(|server| site.drain(*server, now, &mut effects));
+                affected.retain(|server| backends.drain(*server, now, &mut effects));
             }
             Fault::TakeOutOfService { .. } => {
-                affected
-                    .retain(|server| !site.servers[*server].removed && !self.out_of_service.contains(server));
+                affected.retain(|s| !backends.servers[*s].removed && !self.out_of_service.contains(s));
                 for server in &*affected {
                     self.out_of_service.push(*server);
                     let event = Event::TakenOutOfService(ServerId(*server as u32));
@@ -141,7 +140,7 @@
     /// connection.
     fn apply_link_fault(&mut self, process: usize, ends: &[LinkEnd], fault: LinkFault) {
         let resets = match fault {
-            LinkFault::Cut | LinkFault::Reset => true,
+            LinkFault::Down | LinkFault::Reset => true,
             LinkFault::Blackhole | LinkFault::DropResponses => false,
             LinkFault::Delay(_) => return,
         };
@@ -184,14 +183,14 @@
         let now = self.now;
         let mut effects = Vec::new();
         for &index in affected {
-            let site = &mut self.fleet.site;
+            let backends = &mut self.fleet.backends;
             match fault {
-                Fault::FailServers { .. } => site.recover(index, now, &mut effects),
-                Fault::SlowServers { .. } => site.set_slowdown(index, 1.0),
-                Fault::SlowReplication { .. } => site.set_replication_slowdown(index, 1.0),
-                Fault::ReplaceServers { .. } => site.replace(index, now, &mut effects),
+                Fault::FailServers { .. } => backends.recover(index, now, &mut effects),
+                Fault::SlowServers { .. } => backends.set_slowdown(index, 1.0),
+                Fault::SlowReplication { .. } => backends.set_replication_slowdown(index, 1.0),
+                Fault::ReplaceServers { .. } => backends.replace(index, now, &mut effects),
                 Fault::TakeOutOfService { .. } => {
-                    site.restart(index, now, &mut effects);
+                    backends.restart(index, now, &mut effects);
                     self.out_of_service.retain(|server| *server != index);
                     let event = Event::ReturnedToService(ServerId(index as u32));
                     self.apply_operator_action(index, &event, EndpointState::Healthy);
--- a/testkit/src/fleet/simulation/lifecycle.rs
+++ b/testkit/src/fleet/simulation/lifecycle.rs
@@ -39,7 +39,7 @@
             self.enqueue_event(process, Event::TakenOutOfService(ServerId(server as u32)));
         }
         if let Some(version) = list_version {
-            let endpoints = self.fleet.site.discovery.full_list(version);
+            let endpoints = self.fleet.backends.discovery.full_list(version);
             self.record_start_times(process, &endpoints);
             self.enqueue_event(process, Event::Endpoints(EndpointUpdate::Cached(endpoints)));
         }
--- a/testkit/src/fleet/simulation/mod.rs
+++ b/testkit/src/fleet/simulation/mod.rs
@@ -42,7 +42,8 @@
     live_processes: Vec<Vec<usize>>,
     /// Servers that operators have taken out of service and not returned.
     out_of_service: Vec<usize>,
-    /// Id of the last request that a proxy accepted. Each try of a client gets a new id.
+    /// Id of the last try that a proxy accepted. For the proxy and the rule checker, each try is a request of
+    /// its own.
     last_request_id: u64,
 }
 
@@ -50,17 +51,17 @@
     /// Creates the simulation of a plan, and schedules the first start and request of each proxy and the
     /// faults.
     pub fn new(plan: Plan) -> Self {
-        let proxies = plan.proxies;
+        let proxy_count = plan.proxies;
         let mut simulation = Self {
             fleet: FleetModel::new(plan),
             now: START_S,
             queue: EventQueue::default(),
             processes: Vec::new(),
-            live_processes: vec![Vec::new(); proxies],
+            live_processes: vec![Vec::new(); proxy_count],
             out_of_service: Vec::new(),
             last_request_id: 0,
         };
-        for proxy in 0..proxies {
+        for proxy in 0..proxy_count {
             let fleet = &mut simulation.fleet;
             let start_at = START_S + fleet.plan.start_spread_s * fleet.rng.random::<f64>();
             let first_request_at =
@@ -122,7 +123,7 @@
             SimulationEvent::FaultEnds { fault, affected } => self.end_fault(fault, &affected),
             SimulationEvent::Election { set } => {
                 let mut effects = Vec::new();
-                self.fleet.site.elect(set, self.now, &mut effects);
+                self.fleet.backends.elect(set, self.now, &mut effects);
                 self.handle_effects(effects);
             }
             SimulationEvent::StartProcess { proxy } => self.start_process(proxy),
--- a/testkit/src/fleet/simulation/process.rs
+++ b/testkit/src/fleet/simulation/process.rs
@@ -56,7 +56,7 @@
     /// Servers whose last reported role is replica.
     pub not_primary: HashSet<usize>,
     /// Start time of each server in the endpoint list.
-    pub started_at: HashMap<usize, f64>,
+    pub known_starts: HashMap<usize, f64>,
 }
 
 /// Simulated process of a proxy.
--- a/testkit/src/fleet/simulation/servers.rs
+++ b/testkit/src/fleet/simulation/servers.rs
@@ -24,7 +24,7 @@
         if self.link_state(process, LinkEnd::Server(server)).requests_dropped {
             return;
         }
-        let model = &self.fleet.site.servers[server].model;
+        let model = &self.fleet.backends.servers[server].model;
         if model.incarnation != attempt.incarnation || model.state == ServerState::Dead {
             let outcome = if attempt.on_new_connection { Outcome::ConnectFailed } else { Outcome::Reset };
             let result = outcome.into();
@@ -51,20 +51,20 @@
     /// crashes.
     fn admit(&mut self, execution: Execution) {
         let Execution { process, server, id, .. } = execution;
-        let known_start = self.processes[process].observations.started_at.get(&server).copied();
+        let known_start = self.processes[process].observations.known_starts.get(&server).copied();
         let request = IncomingRequest {
             class: execution.class,
             work_s: execution.work_s,
             sender_informed: self.fleet.is_informed_of_start(server, known_start),
         };
-        match self.fleet.site.admit(server, request, self.now) {
+        match self.fleet.backends.admit(server, request, self.now) {
             RequestAdmission::NoResponse => {}
             RequestAdmission::NotPrimary => self.respond(process, server, id, Outcome::Misdirected, None),
             RequestAdmission::Rejected => self.respond(process, server, id, Outcome::Rejected, None),
             RequestAdmission::Crashed { informed_share } => {
                 self.fleet.checker.server_crashed(server, informed_share, self.now);
                 let mut effects = Vec::new();
-                self.fleet.site.crash(server, self.now, &mut effects);
+                self.fleet.backends.crash(server, self.now, &mut effects);
                 self.handle_effects(effects);
             }
             RequestAdmission::Executing { starts_at, ends_at } => {
@@ -85,7 +85,7 @@
         status: Option<ServerStatus>,
     ) {
         let arrives_at = self.now + self.one_way_delay(process, server);
-        let status = status.unwrap_or_else(|| self.fleet.site.status(server, self.now));
+        let status = status.unwrap_or_else(|| self.fleet.backends.status(server, self.now));
         if !self.link_state(process, LinkEnd::Server(server)).responses_dropped {
             let result = AttemptResult { outcome, status: Some(status) };
             self.schedule(arrives_at, SimulationEvent::AttemptEnds { process, id, result });
@@ -94,7 +94,7 @@
 
     /// Returns whether the server is up in the incarnation that started the execution.
     fn is_executing(&self, execution: &Execution) -> bool {
-        let model = &self.fleet.site.servers[execution.server].model;
+        let model = &self.fleet.backends.servers[execution.server].model;
         model.incarnation == execution.incarnation && model.state == ServerState::Up
     }
 
@@ -104,7 +104,7 @@
             return;
         }
         let Execution { process, server, id, class, work_s, .. } = execution;
-        let position = self.fleet.site.start_execution(server, class, work_s, self.now);
+        let position = self.fleet.backends.start_execution(server, class, work_s, self.now);
         let Some(position) = position else { return };
         if self.processes[process].in_flight.contains_key(&id) {
             let read = ReplicaRead {
@@ -123,7 +123,7 @@
             return;
         }
         let Execution { process, server, id, class, .. } = execution;
-        let Completion { outcome, status } = self.fleet.site.finish_execution(server, class, self.now);
+        let Completion { outcome, status } = self.fleet.backends.finish_execution(server, class, self.now);
         if self.fleet.is_write(class) && outcome == Outcome::Success {
             self.fleet.checker.write_executed(id.request.0, class, self.now);
         }
--- a/testkit/src/fleet/simulation/stepping.rs
+++ b/testkit/src/fleet/simulation/stepping.rs
@@ -4,7 +4,7 @@
 
 use pipittack_core::api::{Action, AttemptId, Event, Outcome, PeerMessage, RequestId};
 
-use super::super::fleet_model::duration;
+use super::super::fleet_model::duration_from_secs;
 use super::super::rule_checker::FinalAnswer;
 use super::super::workload::TryFailure;
 use super::event_queue::SimulationEvent;
@@ -70,7 +70,7 @@
 
     /// Passes the pending events of a process to its routing engine, and performs the returned actions.
     pub(super) fn step(&mut self, process: usize) {
-        let now = duration(self.now);
+        let now = duration_from_secs(self.now);
         let state = &mut self.processes[process];
         if !state.alive {
             return;
@@ -122,7 +122,7 @@
                 self.close_connections(server, idle.iter().map(|connection| connection.incarnation));
             }
             Action::SetTimer { after, id } => {
-                let at = duration(self.now) + after;
+                let at = duration_from_secs(self.now) + after;
                 self.processes[process].timers.push(Reverse((at, id.0)));
             }
             Action::Log(_) | Action::Gossip { .. } => {}
--- a/testkit/src/fleet/site.rs
+++ b/testkit/src/fleet/site.rs
@@ -1,4 +1,4 @@
-//! Model of a trial's deployment behind the proxies: data servers, replica sets and the discovery service.
+//! Model of the services behind the proxies: data servers, replica sets and the discovery service.
 //!
 //! Owns the model of each server, the replica sets and the discovery model. Its methods take the current time
 //! and use no clock and no I/O, so that the stepped simulation and the process trial can share them. A method
@@ -13,7 +13,7 @@
 };
 
 use super::discovery_model::{DiscoveryModel, Publication};
-use super::fleet_model::duration;
+use super::fleet_model::duration_from_secs;
 use super::plan::{CachedList, Plan};
 use super::replication::ReplicaSet;
 use super::server_model::{Arrival, ServerModel, ServerState};
@@ -103,7 +103,7 @@
 
 /// Data servers, replica sets and discovery service of a trial.
 #[derive(Debug)]
-pub struct Site {
+pub struct Backends {
     /// Servers by id, including removed servers.
     pub servers: Vec<Server>,
     /// Model of the discovery service.
@@ -112,46 +112,46 @@
     pub overload_crashes: usize,
     replica_sets: Vec<ReplicaSet>,
     plan: Plan,
-    /// Largest overload ratio of the server processes that ended in [`Site::crash`].
+    /// Largest overload ratio of the server processes that ended in [`Backends::crash`].
     exited_max_overload_ratio: f64,
 }
 
 /// Time after which an election without an eligible member is repeated, in seconds.
 const ELECTION_RETRY_INTERVAL_S: f64 = 0.5;
 
-impl Site {
+impl Backends {
     /// Creates the servers, replica sets and discovery service of a plan at the start of the trial.
     pub fn new(plan: &Plan, start: f64) -> Self {
-        let replica_set = || ReplicaSet::new(plan.members, plan.replication, start);
-        let mut site = Self {
+        let replica_set = || ReplicaSet::new(plan.members_per_set, plan.replication, start);
+        let mut backends = Self {
             servers: Vec::new(),
             discovery: DiscoveryModel::new(plan.discovery, Vec::new()),
             overload_crashes: 0,
-            replica_sets: (0..plan.sets).map(|_| replica_set()).collect(),
+            replica_sets: (0..plan.replica_set_count).map(|_| replica_set()).collect(),
             plan: plan.clone(),
             exited_max_overload_ratio: 0.0,
         };
-        for set in 0..plan.sets {
-            for member in 0..plan.members {
+        for set in 0..plan.replica_set_count {
+            for member in 0..plan.members_per_set {
                 let mut model = ServerModel::new(plan.server);
                 if plan.cold_start {
                     model.start(start);
                 }
-                site.add_server(model, set, member, (set + member) % plan.zones);
+                backends.add_server(model, set, member, (set + member) % plan.zone_count);
             }
         }
         match plan.cached_list {
             CachedList::Absent | CachedList::Current => {
-                site.discovery = DiscoveryModel::new(plan.discovery, site.endpoints());
+                backends.discovery = DiscoveryModel::new(plan.discovery, backends.endpoints());
             }
-            CachedList::Outdated { replaced_share } => site.publish_after_outdated_list(replaced_share),
+            CachedList::Outdated { replaced_share } => backends.publish_outdated_and_current(replaced_share),
         }
-        site
+        backends
     }
 
     /// Publishes an outdated endpoint list as version 0, in which removed servers are listed in place of a
     /// share of the current servers, and the current list as version 1.
-    fn publish_after_outdated_list(&mut self, replaced_share: f64) {
+    fn publish_outdated_and_current(&mut self, replaced_share: f64) {
         let replaced_every = (1.0 / replaced_share.clamp(0.01, 1.0)).round() as usize;
         let mut outdated = Vec::new();
         let mut changes = Vec::new();
@@ -220,7 +220,7 @@
     pub fn status(&mut self, server: usize, now: f64) -> ServerStatus {
         let primary = Some(self.is_primary(server));
         let position = if self.plan.settings.responses_carry_position {
-            Some(duration(self.reported_position(server, now)))
+            Some(duration_from_secs(self.reported_position(server, now)))
         } else {
             None
         };
@@ -235,7 +235,7 @@
         }
         let primary = Some(self.is_primary(server));
         // Approximates the position at that time. The result never exceeds the current position.
-        let position = Some(duration(self.reported_position(server, now) - age_s));
+        let position = Some(duration_from_secs(self.reported_position(server, now) - age_s));
         Some(LoadReport { position, primary, ..LoadReport::default() })
     }
 
@@ -292,7 +292,7 @@
         self.replica_sets[self.servers[server].set].commit(now);
         // Positions of commits are rounded up to milliseconds and reported positions are rounded down, so
         // that a reported position never covers a commit that is not applied.
-        status.position = Some(duration((now * 1e3).ceil() / 1e3));
+        status.position = Some(duration_from_secs((now * 1e3).ceil() / 1e3));
         Completion { outcome: Outcome::Success, status }
     }
 
@@ -318,7 +318,7 @@
             listed_primary,
             state,
             relative_capacity: 1.0,
-            started_at: server.model.started_at.map(duration),
+            started_at: server.model.started_at.map(duration_from_secs),
         }
     }
 
--- a/testkit/src/fleet/site/operations.rs
+++ b/testkit/src/fleet/site/operations.rs
@@ -6,9 +6,9 @@
 use pipittack_core::api::ListedRole;
 
 use super::super::server_model::{ServerModel, ServerState};
-use super::{Effect, Site, ELECTION_RETRY_INTERVAL_S};
+use super::{Backends, Effect, ELECTION_RETRY_INTERVAL_S};
 
-impl Site {
+impl Backends {
     fn publish(&mut self, server: usize, now: f64, effects: &mut Vec<Effect>) {
         let endpoint = self.endpoint(server);
         effects.push(Effect::Published(self.discovery.record_change(now, endpoint)));
@@ -80,7 +80,7 @@
         self.publish(server, now, effects);
         let set = self.servers[server].set;
         let zone = self.servers[server].zone;
-        let member = self.replica_sets[set].members();
+        let member = self.replica_sets[set].member_count();
         let mut model = ServerModel::new(self.plan.server);
         model.start(now);
         self.replica_sets[set].restore_member(member, now, self.plan.snapshot_age_s);
--- a/testkit/src/fleet/workload.rs
+++ b/testkit/src/fleet/workload.rs
@@ -35,7 +35,7 @@
     /// write whose age is less than 3 times this value.
     pub read_after_write_gap_s: f64,
     /// Number of tries, including the first one, after which a client gives up. The first try is always sent.
-    pub retries: u32,
+    pub max_tries: u32,
     /// Delay before a retry if the response has no `Retry-After`, in seconds.
     pub retry_delay_s: f64,
 }
@@ -84,7 +84,7 @@
     /// Commit time, in seconds.
     commit: f64,
     /// Time at which the client received the acknowledgement, in seconds.
-    at: f64,
+    acknowledged_at: f64,
 }
 
 /// Generator of the clients' requests.
@@ -105,11 +105,11 @@
     pub fn new(
         settings: WorkloadSettings,
         rate: f64,
-        proxies: usize,
+        proxy_count: usize,
         replica_set_count: usize,
         mut rng: Pcg64Mcg,
     ) -> Self {
-        let weights: Vec<f64> = (0..proxies).map(|_| -rng.random::<f64>().max(1e-6).ln() + 0.1).collect();
+        let weights: Vec<f64> = (0..proxy_count).map(|_| -rng.random::<f64>().max(1e-6).ln() + 0.1).collect();
         let total: f64 = weights.iter().sum();
         let rates = weights.iter().map(|weight| rate * weight / total).collect();
         Self {
@@ -118,7 +118,7 @@
             replica_set_count,
             rng,
             session_count: 0,
-            recent_writes: vec![Vec::new(); proxies],
+            recent_writes: vec![Vec::new(); proxy_count],
         }
     }
 
@@ -172,7 +172,7 @@
             return None;
         }
         let max_age = 3.0 * self.settings.read_after_write_gap_s;
-        self.recent_writes[proxy].retain(|write| now - write.at < max_age);
+        self.recent_writes[proxy].retain(|write| now - write.acknowledged_at < max_age);
         let count = self.recent_writes[proxy].len();
         (count > 0).then(|| self.recent_writes[proxy][self.rng.random_range(0..count)])
     }
@@ -185,12 +185,12 @@
 
     /// Records that a client received the acknowledgement of a write. `commit` is its commit time.
     pub fn write_acknowledged(&mut self, request: &ClientRequest, commit: f64, now: f64) {
-        let write = SessionWrite { session: request.session, set: request.set, commit, at: now };
+        let write = SessionWrite { session: request.session, set: request.set, commit, acknowledged_at: now };
         self.recent_writes[request.proxy].push(write);
     }
 
     /// Returns the time at which a client retries a request after a failed try; `None` if the client gives up
-    /// because a retry is unsafe, no retry is left, or the deadline would have passed.
+    /// because a retry is unsafe, no try is left, or the deadline would have passed.
     pub fn retry_at(
         &self,
         request: &ClientRequest,
@@ -203,7 +203,7 @@
             TryFailure::Failed => (class.idempotency == Idempotency::Idempotent, None),
         };
         let at = now + retry_after.map_or(self.settings.retry_delay_s, |delay| delay.as_secs_f64());
-        let retries_left = request.tries < self.settings.retries;
-        (retryable && retries_left && at < request.deadline).then_some(at)
+        let has_tries_left = request.tries < self.settings.max_tries;
+        (retryable && has_tries_left && at < request.deadline).then_some(at)
     }
 }
--- a/testkit/src/wire.rs
+++ b/testkit/src/wire.rs
@@ -5,10 +5,10 @@
 /// Maximum number of bytes of a startup packet's body that a stand-in reads.
 const MAX_STARTUP_BYTES: usize = 10_000;
 
-/// Returns the encoding of a message: its kind, its length and its body.
-pub fn message(kind: u8, body: &[u8]) -> Vec<u8> {
+/// Returns the encoding of a message: its type, its length and its body.
+pub fn message(message_type: u8, body: &[u8]) -> Vec<u8> {
     let length = (body.len() as u32 + 4).to_be_bytes();
-    [&[kind][..], &length, body].concat()
+    [&[message_type][..], &length, body].concat()
 }
 
 /// Returns a result of one row with this value: RowDescription, DataRow and CommandComplete.
@@ -52,7 +52,7 @@
     [parameter_status("mode", mode), parameter_status("wal_time", &position_unix_ms.to_string())].concat()
 }
 
-/// Reads one message. Returns its kind and its body, or `None` at the end of the stream or on an error.
+/// Reads one message. Returns its type and its body, or `None` at the end of the stream or on an error.
 pub fn read_message(stream: &mut impl Read) -> Option<(u8, Vec<u8>)> {
     let mut header = [0; 5];
     stream.read_exact(&mut header).ok()?;
--- a/testkit/tests/rules.rs
+++ b/testkit/tests/rules.rs
@@ -154,7 +154,7 @@
 
 fn link_fault() -> impl Strategy<Value = LinkFault> {
     prop_oneof![
-        Just(LinkFault::Cut),
+        Just(LinkFault::Down),
         Just(LinkFault::Blackhole),
         Just(LinkFault::DropResponses),
         Just(LinkFault::Reset),
@@ -247,30 +247,31 @@
 
 /// Generates a fleet of up to five proxies with up to seven faults.
 fn plan() -> impl Strategy<Value = Plan> {
-    let site = (1usize..6, 1usize..4, 1usize..4, 2usize..5, 1usize..6);
+    let topology = (1usize..6, 1usize..4, 1usize..4, 2usize..5, 1usize..6);
     let replication = (1e-3..12e-3f64, 0.3..0.7f64, any::<bool>(), 0.2..1.2f64, 0.2..0.9f64);
     let discovery = (20.0..200.0f64, 0.3..4.0f64, cached_list(), prop::bool::weighted(0.1));
     let workload = (0.3..1.1f64, 0u32..3, 0.05..0.6f64);
     let faults = prop::collection::vec(scheduled_fault(), 1..8);
-    (settings(), site, replication, discovery, workload, faults, any::<u64>()).prop_map(
-        |((settings, class_loads), site, replication, discovery, workload, faults, seed)| {
-            let (proxies, zones, sets, members, cores) = site;
+    (settings(), topology, replication, discovery, workload, faults, any::<u64>()).prop_map(
+        |((settings, class_loads), topology, replication, discovery, workload, faults, seed)| {
+            let (proxies, zone_count, replica_set_count, members_per_set, cores) = topology;
             let (shipping_delay_s, apply_utilization, synchronous, detection_s, switchover_s) = replication;
             let (polls_per_s, publication_delay_s, cached_list, cold_start) = discovery;
-            let (load, retries, read_after_write_gap_s) = workload;
+            let (load, max_tries, read_after_write_gap_s) = workload;
             let mean_work_s = mean_work(&class_loads);
-            let requests_per_s = (load * (sets * members * cores) as f64 / mean_work_s).clamp(5.0, 400.0);
+            let requests_per_s =
+                (load * (replica_set_count * members_per_set * cores) as f64 / mean_work_s).clamp(5.0, 400.0);
             let writes_per_s = requests_per_s * write_share(&settings, &class_loads);
             Plan {
                 proxies,
-                zones,
-                sets,
-                members,
+                zone_count,
+                replica_set_count,
+                members_per_set,
                 server: server_settings(cores, &settings.rules, mean_work_s),
                 cold_start,
                 replication: ReplicationSettings {
                     shipping_delay_s,
-                    apply_work_s: apply_utilization * sets as f64 / writes_per_s.max(1.0),
+                    apply_work_s: apply_utilization * replica_set_count as f64 / writes_per_s.max(1.0),
                     synchronous,
                     detection_s,
                     election_s: detection_s,
@@ -286,7 +287,7 @@
                     class_loads,
                     read_after_write_share: 0.7,
                     read_after_write_gap_s,
-                    retries,
+                    max_tries,
                     retry_delay_s: 0.05,
                 },
                 requests_per_s,
