--- a/testkit/src/bin/fleet-trial.rs
+++ b/testkit/src/bin/fleet-trial.rs
@@ -112,7 +112,7 @@
     json!({
         "scenario": cli.scenario.file_stem().map(|name| name.to_string_lossy()),
         "stepped": cli.stepped,
-        "proxies": plan.proxies,
+        "proxies": plan.proxy_count,
         "servers": plan.replica_set_count * plan.members_per_set,
         "seed": plan.seed,
         "share": report.served_share(),
@@ -129,7 +129,7 @@
 fn print_report(plan: &Plan, report: &Report) {
     println!(
         "{} proxies, {} servers, seed {}",
-        plan.proxies,
+        plan.proxy_count,
         plan.replica_set_count * plan.members_per_set,
         plan.seed
     );
--- a/testkit/src/fleet/fleet_model.rs
+++ b/testkit/src/fleet/fleet_model.rs
@@ -82,12 +82,12 @@
         let workload = Workload::new(
             plan.workload.clone(),
             plan.requests_per_s,
-            plan.proxies,
+            plan.proxy_count,
             plan.replica_set_count,
             workload_rng,
         );
         let backends = Backends::new(&plan, START_S);
-        let cached_versions = vec![backends.initial_list_version(START_S); plan.proxies];
+        let cached_versions = vec![backends.initial_list_version(START_S); plan.proxy_count];
         let mut fleet = Self {
             rng,
             backends,
@@ -95,7 +95,7 @@
             workload,
             checker: RuleChecker::new(plan.settings.clone()),
             report: Report::new(plan.settings.classes.len()),
-            proxy_zones: (0..plan.proxies).map(|proxy| proxy % plan.zone_count).collect(),
+            proxy_zones: (0..plan.proxy_count).map(|proxy| proxy % plan.zone_count).collect(),
             cached_versions,
             burst: Burst { factor: 1.0, until: 0.0 },
             handshake_work: Vec::new(),
@@ -118,7 +118,7 @@
     pub fn proxy_settings(&self, proxy: usize) -> Settings {
         Settings {
             instance_index: proxy as u32,
-            instance_count: self.plan.proxies as u32,
+            instance_count: self.plan.proxy_count as u32,
             zone: ZoneId(self.proxy_zones[proxy]),
             ..self.plan.settings.clone()
         }
--- a/testkit/src/fleet/plan.rs
+++ b/testkit/src/fleet/plan.rs
@@ -20,7 +20,7 @@
     /// Settings of every proxy. Each proxy replaces the instance index and the zone by its own.
     pub settings: Settings,
     /// Number of proxies.
-    pub proxies: usize,
+    pub proxy_count: usize,
     /// Number of zones.
     pub zone_count: usize,
     /// Number of replica sets at the start.
--- a/testkit/src/fleet/process_trial/faults.rs
+++ b/testkit/src/fleet/process_trial/faults.rs
@@ -116,7 +116,7 @@
     let mut effects = Vec::new();
     let proxy_count = shared.with(|trial| {
         servers.iter().for_each(|server| trial.fleet.backends.replace(*server, clock.now(), &mut effects));
-        trial.fleet.plan.proxies
+        trial.fleet.plan.proxy_count
     });
     if let Err(error) = (0..proxy_count).try_for_each(|proxy| server_connections::listen(shared, proxy)) {
         let violation = format!("trial error: failed to open listening sockets for new servers: {error}");
--- a/testkit/src/fleet/process_trial/mod.rs
+++ b/testkit/src/fleet/process_trial/mod.rs
@@ -53,17 +53,17 @@
 async fn run_trial(plan: Plan, paths: &TrialPaths) -> io::Result<Report> {
     std::fs::create_dir_all(&paths.folder)?;
     rlimit::increase_nofile_limit(u64::MAX)?;
-    let processes = ProcessTable::new(paths.clone(), plan.proxies)?;
+    let processes = ProcessTable::new(paths.clone(), plan.proxy_count)?;
     let end = START_S + plan.duration_s + SETTLE_S;
     let shared = SharedTrial::new(TrialState::new(plan.clone(), processes));
-    for proxy in 0..plan.proxies {
+    for proxy in 0..plan.proxy_count {
         let address = discovery_service::listen(&shared, proxy)?;
         shared.with(|trial| trial.discovery_addresses.push(address));
         server_connections::listen(&shared, proxy)?;
     }
     // The clock starts only now, because all sockets must listen before the first process starts.
     shared.with(|trial| trial.clock = clock::Clock::start());
-    for proxy in 0..plan.proxies {
+    for proxy in 0..plan.proxy_count {
         let spread_s = shared.with(|trial| plan.start_spread_s * trial.fleet.rng.random::<f64>());
         spawn_local(run_proxy(shared.clone(), proxy, START_S + spread_s));
     }
--- a/testkit/src/fleet/process_trial/state.rs
+++ b/testkit/src/fleet/process_trial/state.rs
@@ -67,7 +67,7 @@
             unacknowledged_commits: HashMap::new(),
             server_addresses: HashMap::new(),
             discovery_addresses: Vec::new(),
-            balancer_targets: (0..plan.proxies).map(|_| BalancerTarget::default()).collect(),
+            balancer_targets: (0..plan.proxy_count).map(|_| BalancerTarget::default()).collect(),
             processes,
             not_primary_since: BTreeMap::new(),
             known_starts: HashMap::new(),
--- a/testkit/src/fleet/scenario.rs
+++ b/testkit/src/fleet/scenario.rs
@@ -67,7 +67,7 @@
 pub fn resize(plan: &mut Plan, proxies: Option<usize>, servers: Option<usize>, seed: Option<u64>) {
     let load = plan.requests_per_s / max_requests_per_s(plan);
     let apply = plan.replication.apply_work_s * writes_per_set(plan);
-    plan.proxies = proxies.unwrap_or(plan.proxies).max(1);
+    plan.proxy_count = proxies.unwrap_or(plan.proxy_count).max(1);
     if let Some(servers) = servers {
         plan.replica_set_count = (servers / plan.members_per_set).max(1);
     }
@@ -105,7 +105,7 @@
         overload_duration_s: rules.overload_duration.as_secs_f64(),
         ..plan.server
     };
-    plan.settings.instance_count = plan.proxies as u32;
+    plan.settings.instance_count = plan.proxy_count as u32;
     plan.requests_per_s = utilization.load * max_requests_per_s(plan);
     let apply_work_s = utilization.apply / writes_per_set(plan).max(1e-9);
     plan.replication.apply_work_s = apply_work_s.min(1.0);
--- a/testkit/src/fleet/scenario/default_plan.rs
+++ b/testkit/src/fleet/scenario/default_plan.rs
@@ -23,7 +23,7 @@
 pub fn default_plan() -> Plan {
     Plan {
         settings: settings(),
-        proxies: 40,
+        proxy_count: 40,
         zone_count: 3,
         replica_set_count: 8,
         members_per_set: 3,
--- a/testkit/src/fleet/scenario/parameters.rs
+++ b/testkit/src/fleet/scenario/parameters.rs
@@ -43,7 +43,7 @@
 
 fn parse_fleet(form: &Form<'_>, plan: &mut Plan, utilization: &mut Utilization) -> Result<(), SyntaxError> {
     match form.name {
-        "proxies" => plan.proxies = parse_count(form)?,
+        "proxies" => plan.proxy_count = parse_count(form)?,
         "zones" => plan.zone_count = parse_count(form)?,
         "sets" => plan.replica_set_count = parse_count(form)?,
         "members" => plan.members_per_set = parse_count(form)?,
--- a/testkit/src/fleet/scenario/tests.rs
+++ b/testkit/src/fleet/scenario/tests.rs
@@ -12,7 +12,7 @@
         (at 2 (kill (share 0.7) 1.5) (link (zone 1) (servers (zone 0)) deaf 4))
         (at 3 (list-down 20) (link (share 0.3) list (slow 40) 1))";
     let plan = parse(text).expect("the scenario is valid");
-    assert_eq!((plan.proxies, plan.settings.instance_count, plan.settings.classes.len()), (12, 12, 2));
+    assert_eq!((plan.proxy_count, plan.settings.instance_count, plan.settings.classes.len()), (12, 12, 2));
     let capacity = (2 * 3 * 5) as f64 / 0.07;
     assert!((plan.requests_per_s - 0.4 * capacity).abs() < 1e-6);
     assert!((plan.server.mean_work_s - 0.07).abs() < 1e-9);
--- a/testkit/src/fleet/simulation/faults.rs
+++ b/testkit/src/fleet/simulation/faults.rs
@@ -173,7 +173,7 @@
         for process in 0..self.processes.len() {
             self.enqueue_event(process, event.clone());
         }
-        for proxy in 0..self.fleet.plan.proxies {
+        for proxy in 0..self.fleet.plan.proxy_count {
             self.fleet.checker.endpoint_listed(proxy, server, state, self.now);
         }
     }
--- a/testkit/src/fleet/simulation/mod.rs
+++ b/testkit/src/fleet/simulation/mod.rs
@@ -51,7 +51,7 @@
     /// Creates the simulation of a plan, and schedules the first start and request of each proxy and the
     /// faults.
     pub fn new(plan: Plan) -> Self {
-        let proxy_count = plan.proxies;
+        let proxy_count = plan.proxy_count;
         let mut simulation = Self {
             fleet: FleetModel::new(plan),
             now: START_S,
--- a/testkit/tests/rules.rs
+++ b/testkit/tests/rules.rs
@@ -254,7 +254,7 @@
     let faults = prop::collection::vec(scheduled_fault(), 1..8);
     (settings(), topology, replication, discovery, workload, faults, any::<u64>()).prop_map(
         |((settings, class_loads), topology, replication, discovery, workload, faults, seed)| {
-            let (proxies, zone_count, replica_set_count, members_per_set, cores) = topology;
+            let (proxy_count, zone_count, replica_set_count, members_per_set, cores) = topology;
             let (shipping_delay_s, apply_utilization, synchronous, detection_s, switchover_s) = replication;
             let (polls_per_s, publication_delay_s, cached_list, cold_start) = discovery;
             let (load, max_tries, read_after_write_gap_s) = workload;
@@ -263,7 +263,7 @@
                 (load * (replica_set_count * members_per_set * cores) as f64 / mean_work_s).clamp(5.0, 400.0);
             let writes_per_s = requests_per_s * write_share(&settings, &class_loads);
             Plan {
-                proxies,
+                proxy_count,
                 zone_count,
                 replica_set_count,
                 members_per_set,
--- a/tests/sessions.rs
+++ b/tests/sessions.rs
@@ -12,7 +12,7 @@
         scenario::parse(include_str!("../testkit/scenarios/sessions.scm")).expect("the scenario is valid");
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("sessions-{}", std::process::id()));
     let paths = TrialPaths { program: env!("CARGO_BIN_EXE_pipittack").into(), folder };
-    let proxies = plan.proxies;
+    let proxy_count = plan.proxy_count;
     let report = run(plan, &paths).expect("the trial can be run");
     assert_eq!(
         report.violations,
@@ -22,7 +22,7 @@
     );
     assert_eq!(
         report.starts.len(),
-        5 * proxies,
+        5 * proxy_count,
         "expected one start, two upgrades and two restarts of each proxy"
     );
     assert!(
