--- a/testkit/src/scripted_server.rs
+++ b/testkit/src/scripted_server.rs
@@ -24,7 +24,7 @@
     /// Sends these bytes and nothing else.
     Raw(Vec<u8>),
     /// Sends nothing and reads the next statement.
-    Nothing,
+    NoResponse,
     /// Closes the connection without a response.
     Close,
 }
@@ -149,7 +149,7 @@
                     stream.write_all(&bytes)?;
                     continue;
                 }
-                Reply::Nothing => continue,
+                Reply::NoResponse => continue,
                 Reply::Close => return Ok(()),
             };
             let report = load_report(self.role == ServerRole::Primary, position_unix_ms);
--- a/tests/client_limits.rs
+++ b/tests/client_limits.rs
@@ -31,7 +31,7 @@
 
 #[test]
 fn clients_over_the_limit_are_rejected_and_use_no_capacity() {
-    let server = ScriptedServer::start(ServerRole::Primary, |_| Reply::Nothing);
+    let server = ScriptedServer::start(ServerRole::Primary, |_| Reply::NoResponse);
     let proxy = start_proxy_with_limits(
         ProcessLimits { memory_mb: 192, sockets: 64 },
         &[server.endpoint("a", "read-write", "Ready")],
@@ -142,7 +142,7 @@
 /// The memory limit bounds the buffers and not the number of clients.
 #[test]
 fn a_small_memory_limit_allows_many_clients() {
-    let server = ScriptedServer::start(ServerRole::Primary, |_| Reply::Nothing);
+    let server = ScriptedServer::start(ServerRole::Primary, |_| Reply::NoResponse);
     let proxy = start_proxy_with_limits(
         ProcessLimits { memory_mb: 32, sockets: 256 },
         &[server.endpoint("a", "read-write", "Ready")],
--- a/tests/network.rs
+++ b/tests/network.rs
@@ -136,7 +136,7 @@
 
 #[test]
 fn a_client_disconnect_cancels_the_attempt() {
-    let server = ScriptedServer::start(ServerRole::Primary, |_| Reply::Nothing);
+    let server = ScriptedServer::start(ServerRole::Primary, |_| Reply::NoResponse);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut client = Client::connect(&proxy);
     client.send(&query(&write_statement(3000)));
@@ -195,7 +195,7 @@
 /// Data servers identify requests by id, so two requests in flight must not have the same one.
 #[test]
 fn a_request_with_the_id_of_a_request_in_flight_is_rejected() {
-    let server = start_server_with_marked_reply("id=9", || Reply::Nothing);
+    let server = start_server_with_marked_reply("id=9", || Reply::NoResponse);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut first = Client::connect(&proxy);
     let mut second = Client::connect(&proxy);
--- a/tests/operations.rs
+++ b/tests/operations.rs
@@ -173,7 +173,7 @@
     let is_in_flight = stage == Stage::InFlight;
     let server = ScriptedServer::start(ServerRole::Primary, move |text| {
         if is_in_flight {
-            Reply::Nothing
+            Reply::NoResponse
         } else {
             reply_with_row(text)
         }
@@ -221,7 +221,7 @@
 /// A hot restart must not close any client connection, not even an idle one.
 #[test]
 fn a_hot_restart_hands_over_the_listener_and_the_clients() {
-    let server = start_server_with_marked_reply("id=9", || Reply::Nothing);
+    let server = start_server_with_marked_reply("id=9", || Reply::NoResponse);
     let endpoints = [server.endpoint("a", "read-write", "Ready")];
     let folder = create_folder("upgrade");
     let mut predecessor = start_proxy_with_config(EXAMPLE_CONFIG, &endpoints, Some(&folder));
--- a/tests/race_conditions.rs
+++ b/tests/race_conditions.rs
@@ -36,7 +36,7 @@
 /// timeout.
 #[test]
 fn the_deadline_of_a_pipelined_request_counts_from_its_arrival() {
-    let server = start_server_with_marked_reply("id=a,", || Reply::Nothing);
+    let server = start_server_with_marked_reply("id=a,", || Reply::NoResponse);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut client = Client::connect(&proxy);
     client.send(
@@ -62,7 +62,7 @@
 /// Pipelined bytes are still in the socket's receive buffer when the client closes the connection.
 #[test]
 fn a_disconnect_after_pipelined_bytes_is_noticed() {
-    let server = ScriptedServer::start(ServerRole::Primary, |_| Reply::Nothing);
+    let server = ScriptedServer::start(ServerRole::Primary, |_| Reply::NoResponse);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut client = Client::connect(&proxy);
     client.send(&query(&write_statement(3000)));
@@ -104,7 +104,7 @@
 /// connection is closed.
 #[test]
 fn a_retry_after_a_disconnect_may_use_the_same_id() {
-    let server = start_server_with_marked_reply("'pending'", || Reply::Nothing);
+    let server = start_server_with_marked_reply("'pending'", || Reply::NoResponse);
     let proxy = start_proxy(&[server.endpoint("a", "read-write", "Ready")]);
     let mut first = Client::connect(&proxy);
     let mut second = Client::connect(&proxy);
