--- a/testkit/src/bin/failover-trial.rs
+++ b/testkit/src/bin/failover-trial.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use clap::Parser;
-use pipittack_testkit::failover_trial::{run, FaultKind, FaultTally, Plan, Report};
+use pipittack_testkit::failover_trial::{run, FaultKind, FaultTally, Report, TrialOptions};
 
 /// Inject faults into replica sets under load and check the outcome of every write
 #[derive(Parser)]
@@ -51,21 +51,24 @@
 fn main() -> ExitCode {
     let cli = Cli::parse();
     let default_folder = || std::env::temp_dir().join(format!("failover-trial-{}", std::process::id()));
-    let plan = Plan {
+    let options = TrialOptions {
         program: cli.program,
         folder: cli.folder.unwrap_or_else(default_folder),
         rounds: cli.rounds,
-        sets: cli.sets.clamp(1, cli.rounds.max(1)),
+        replica_set_count: cli.sets.clamp(1, cli.rounds.max(1)),
         seed: cli.seed,
         scale: cli.scale,
         response_slack: Duration::from_millis(cli.slack_ms),
-        only: cli.only,
+        only_kind: cli.only,
         verbose: cli.verbose,
     };
-    let comparison_plan =
-        cli.beside.map(|program| Plan { program, folder: plan.folder.join("beside"), ..plan.clone() });
-    let result = run(plan).and_then(|report| {
-        let comparison = comparison_plan.map(run).transpose()?.map(Box::new);
+    let comparison_options = cli.beside.map(|program| TrialOptions {
+        program,
+        folder: options.folder.join("beside"),
+        ..options.clone()
+    });
+    let result = run(options).and_then(|report| {
+        let comparison = comparison_options.map(run).transpose()?.map(Box::new);
         Ok(Report { comparison, ..report })
     });
     let report = match result {
--- a/testkit/src/failover_trial/load.rs
+++ b/testkit/src/failover_trial/load.rs
@@ -124,7 +124,7 @@
     pub(super) fn run(mut self, trial: &Trial) -> LoadResult {
         let client_seed = ((self.set * 1000 + self.number) as u64) << 20;
         let kind_seed = u64::from(self.is_write) << 50;
-        let mut rng = Pcg64Mcg::seed_from_u64(trial.plan.seed ^ client_seed ^ kind_seed);
+        let mut rng = Pcg64Mcg::seed_from_u64(trial.options.seed ^ client_seed ^ kind_seed);
         let mut result = LoadResult::default();
         let mut next_request_at = Instant::now() + self.start_delay;
         loop {
@@ -148,10 +148,10 @@
     fn send_with_retries(&mut self, trial: &Trial, rng: &mut Pcg64Mcg, result: &mut LoadResult) {
         let started_at = Instant::now();
         let class = self.class();
-        let objective = trial.plan.scaled(class.times.objective_ms);
-        let max_wait = trial.plan.scaled(class.times.deadline_ms);
+        let objective = trial.options.scaled(class.times.objective_ms);
+        let max_wait = trial.options.scaled(class.times.deadline_ms);
         let is_abandoned = self.is_write && rng.random_bool(ABANDONED_SHARE);
-        let abandon_after = is_abandoned.then(|| trial.plan.random_duration(rng, ABANDON_MS));
+        let abandon_after = is_abandoned.then(|| trial.options.random_duration(rng, ABANDON_MS));
         if !is_abandoned {
             result.weight.offered += class.priority_weight;
         }
@@ -167,7 +167,7 @@
                 is_write: self.is_write,
                 group: self.set as u64,
                 max_wait: time_left,
-                response_slack: trial.plan.response_slack,
+                response_slack: trial.options.response_slack,
             };
             let record = match abandon_after {
                 Some(abandon_after) => self.client.send_and_abandon(&request, abandon_after),
--- a/testkit/src/failover_trial/mod.rs
+++ b/testkit/src/failover_trial/mod.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 pub use fault::FaultKind;
-pub use plan::Plan;
+pub use plan::TrialOptions;
 pub use report::{FaultTally, Report};
 
 use crate::client::RequestRecord;
@@ -51,7 +51,7 @@
 
 /// State that the threads of a trial share.
 struct Trial {
-    plan: Plan,
+    options: TrialOptions,
     replica_sets: Vec<ReplicaSet>,
     discovery: DiscoveryServer,
     proxy: Mutex<ProxyProcess>,
@@ -78,18 +78,18 @@
 }
 
 /// Runs a trial and returns its report.
-pub fn run(plan: Plan) -> Result<Report, TrialError> {
-    let trial = Arc::new(Trial::start(plan)?);
+pub fn run(options: TrialOptions) -> Result<Report, TrialError> {
+    let trial = Arc::new(Trial::start(options)?);
     let address = trial.proxy().address;
     let mut clients = Vec::new();
-    for set in 0..trial.plan.sets {
+    for set in 0..trial.options.replica_set_count {
         for client in LoadClient::of_set(set, address) {
             let trial = trial.clone();
             clients.push((set, client.is_write, thread::spawn(move || client.run(&trial))));
         }
     }
     let mut round_threads = Vec::new();
-    for set in 0..trial.plan.sets {
+    for set in 0..trial.options.replica_set_count {
         let trial = trial.clone();
         round_threads.push(thread::spawn(move || trial.run_rounds(set)));
     }
@@ -97,7 +97,8 @@
     // Before the records are compared, joining the clients waits for the responses to open requests, and the
     // sleep below lets servers that were paused complete their executions.
     trial.stop.store(true, Ordering::Relaxed);
-    let mut records: Vec<Vec<RequestRecord>> = (0..trial.plan.sets).map(|_| Vec::new()).collect();
+    let mut records: Vec<Vec<RequestRecord>> =
+        (0..trial.options.replica_set_count).map(|_| Vec::new()).collect();
     let mut read_weight = WeightTotals::default();
     let mut write_weight = WeightTotals::default();
     for (set, is_write, client) in clients {
@@ -106,7 +107,7 @@
         let total = if is_write { &mut write_weight } else { &mut read_weight };
         total.add(weight);
     }
-    thread::sleep(trial.plan.scaled(SETTLE_MS));
+    thread::sleep(trial.options.scaled(SETTLE_MS));
     let proxy_survived = trial.proxy().is_running();
     let observations = Observations { records, rounds, read_weight, write_weight, proxy_survived };
     Ok(report::build(&trial, &observations))
@@ -118,16 +119,16 @@
 
 impl Trial {
     /// Starts the replica sets, the discovery service and the proxy.
-    fn start(plan: Plan) -> Result<Self, TrialError> {
+    fn start(options: TrialOptions) -> Result<Self, TrialError> {
         let config = ReplicaSetConfig {
             synchronous: true,
             max_concurrency: 5,
-            execution_time: plan.scaled(EXECUTION_MS),
+            execution_time: options.scaled(EXECUTION_MS),
             replication_delay: Duration::from_millis(5),
         };
         let mut replica_sets = Vec::new();
         let mut endpoints = Vec::new();
-        for set in 0..plan.sets {
+        for set in 0..options.replica_set_count {
             let replica_set = ReplicaSet::start(MEMBERS_PER_SET, config)?;
             endpoints.extend(replica_set.addresses().iter().enumerate().map(|(member, address)| Endpoint {
                 uid: member_uid(set, member),
@@ -139,10 +140,11 @@
             replica_sets.push(replica_set);
         }
         let discovery = DiscoveryServer::start(endpoints)?;
-        let proxy = ProxyProcess::start(&plan.program, &plan.folder, &plan.proxy_config(&discovery))?;
-        let barrier = Barrier::new(plan.sets);
+        let proxy =
+            ProxyProcess::start(&options.program, &options.folder, &options.proxy_config(&discovery))?;
+        let barrier = Barrier::new(options.replica_set_count);
         let stop = AtomicBool::new(false);
-        Ok(Self { plan, replica_sets, discovery, proxy: Mutex::new(proxy), barrier, stop })
+        Ok(Self { options, replica_sets, discovery, proxy: Mutex::new(proxy), barrier, stop })
     }
 
     fn proxy(&self) -> MutexGuard<'_, ProxyProcess> {
--- a/testkit/src/failover_trial/plan.rs
+++ b/testkit/src/failover_trial/plan.rs
@@ -1,7 +1,7 @@
-//! Plan of a failover trial: its options, the time scale and the proxy's configuration.
+//! Options of a failover trial, its time scale and the proxy's configuration.
 //!
 //! The times of the platform, such as those of execution, failure detection, election and discovery, are
-//! defined in platform milliseconds. A trial multiplies them by [`Plan::scale`].
+//! defined in platform milliseconds. A trial multiplies them by [`TrialOptions::scale`].
 
 use std::ops::Range;
 use std::path::PathBuf;
@@ -28,7 +28,7 @@
 
 /// Options of a failover trial.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct TrialOptions {
     /// Path of the proxy program.
     pub program: PathBuf,
     /// Folder for the proxy's configuration, logs and temporary files.
@@ -36,7 +36,7 @@
     /// Number of rounds over all replica sets. A round injects one fault.
     pub rounds: usize,
     /// Number of replica sets that run concurrently.
-    pub sets: usize,
+    pub replica_set_count: usize,
     /// Seed of all random numbers.
     pub seed: u64,
     /// Factor by which all times of the platform are multiplied.
@@ -44,12 +44,12 @@
     /// Time after a request's deadline at which the request counts as unanswered.
     pub response_slack: Duration,
     /// The only kind of fault to inject, or `None` for all kinds.
-    pub only: Option<FaultKind>,
+    pub only_kind: Option<FaultKind>,
     /// Whether to print the state of the replica set to standard error after each round.
     pub verbose: bool,
 }
 
-impl Plan {
+impl TrialOptions {
     /// Returns a time of the platform in the trial's scale.
     pub(super) fn scaled(&self, platform_ms: f64) -> Duration {
         Duration::from_secs_f64(platform_ms * self.scale / 1e3)
--- a/testkit/src/failover_trial/report.rs
+++ b/testkit/src/failover_trial/report.rs
@@ -120,7 +120,7 @@
 
 /// Builds the report of a trial and prints violations to standard error.
 pub(super) fn build(trial: &Trial, observations: &Observations) -> Report {
-    let mut report = Report { seed: trial.plan.seed, ..Report::default() };
+    let mut report = Report { seed: trial.options.seed, ..Report::default() };
     report.proxy_survived = observations.proxy_survived;
     let mut violations = Violations::default();
     let mut buffered_latencies = DurationHistogram::new();
--- a/testkit/src/failover_trial/round.rs
+++ b/testkit/src/failover_trial/round.rs
@@ -75,8 +75,8 @@
 impl Trial {
     /// Runs all rounds of a replica set.
     pub(super) fn run_rounds(&self, set: usize) -> Vec<Round> {
-        let mut rng = Pcg64Mcg::seed_from_u64(self.plan.seed ^ (set as u64) << 40);
-        let mut kinds: Vec<FaultKind> = match self.plan.only {
+        let mut rng = Pcg64Mcg::seed_from_u64(self.options.seed ^ (set as u64) << 40);
+        let mut kinds: Vec<FaultKind> = match self.options.only_kind {
             Some(kind) => vec![kind],
             None => FaultKind::ALL
                 .into_iter()
@@ -86,19 +86,20 @@
         kinds.shuffle(&mut rng);
         // If the rounds do not divide evenly, the first sets run one round more. The barrier requires the
         // same number of simultaneous rounds for each set.
-        let common_rounds = self.plan.rounds / self.plan.sets;
-        let set_rounds = common_rounds + usize::from(set < self.plan.rounds % self.plan.sets);
+        let common_rounds = self.options.rounds / self.options.replica_set_count;
+        let set_rounds =
+            common_rounds + usize::from(set < self.options.rounds % self.options.replica_set_count);
         let mut rounds = Vec::new();
-        thread::sleep(self.plan.scaled(SETTLE_MS));
+        thread::sleep(self.options.scaled(SETTLE_MS));
         for number in 0..set_rounds {
             let mut kind = kinds[number % kinds.len()];
             let is_last_of_interval = number % SIMULTANEOUS_ROUND_INTERVAL == SIMULTANEOUS_ROUND_INTERVAL - 1;
             if is_last_of_interval && number < common_rounds {
                 self.barrier.wait();
-                kind = self.plan.only.unwrap_or(FaultKind::PrimaryPaused);
+                kind = self.options.only_kind.unwrap_or(FaultKind::PrimaryPaused);
             }
             rounds.push(self.run_round(set, kind, &mut rng));
-            if self.plan.verbose {
+            if self.options.verbose {
                 eprintln!("replica set {set} after {kind:?}: {}", self.replica_sets[set].describe());
             }
         }
@@ -109,12 +110,12 @@
         let replica_set = &self.replica_sets[set];
         let started_at = Instant::now();
         let primary = replica_set.primary().expect("the previous round ended with a primary");
-        let discovery_delay = self.plan.random_duration(rng, DISCOVERY_DELAY_MS);
+        let discovery_delay = self.options.random_duration(rng, DISCOVERY_DELAY_MS);
         let mut round =
             ActiveRound { trial: self, set, replica_set, rng, discovery_delay, last_promotion: None };
         round.inject(kind, primary);
         let last_promotion = round.last_promotion;
-        thread::sleep(self.plan.scaled(SETTLE_MS));
+        thread::sleep(self.options.scaled(SETTLE_MS));
         let failover = last_promotion.map(|promotion| Failover {
             promoted_at: promotion.at,
             time_to_first_write: replica_set.time_to_first_write(promotion.member),
@@ -265,7 +266,7 @@
     }
 
     fn announce_draining(&mut self, member: usize) {
-        let delay = self.trial.plan.random_duration(self.rng, DRAIN_NOTICE_DELAY_MS);
+        let delay = self.trial.options.random_duration(self.rng, DRAIN_NOTICE_DELAY_MS);
         let uid = member_uid(self.set, member);
         self.trial.discovery.update(&uid, delay, |endpoint| endpoint.state = "Terminating");
     }
@@ -277,6 +278,6 @@
 
     /// Sleeps for a random time from a range of platform milliseconds.
     fn wait(&mut self, range_ms: Range<f64>) {
-        thread::sleep(self.trial.plan.random_duration(self.rng, range_ms));
+        thread::sleep(self.trial.options.random_duration(self.rng, range_ms));
     }
 }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -4,22 +4,22 @@
 use std::path::Path;
 use std::time::Duration;
 
-use pipittack_testkit::failover_trial::{run, FaultKind, Plan};
+use pipittack_testkit::failover_trial::{run, FaultKind, TrialOptions};
 use rstest::rstest;
 
-/// Returns the plan of a trial with two replica sets and one kind of fault. Whether the trial passes depends
-/// only on the records of clients and servers and not on the speed of the machine.
-fn plan(name: &str, fault: Option<FaultKind>, rounds: usize) -> Plan {
-    Plan {
+/// Returns the options of a trial with two replica sets and one kind of fault. Whether the trial passes
+/// depends only on the records of clients and servers and not on the speed of the machine.
+fn options(name: &str, fault: Option<FaultKind>, rounds: usize) -> TrialOptions {
+    TrialOptions {
         program: env!("CARGO_BIN_EXE_pipittack").into(),
         folder: Path::new(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("failover-{}-{name}", std::process::id())),
         rounds,
-        sets: 2,
+        replica_set_count: 2,
         seed: 11,
         scale: 0.3,
         response_slack: Duration::from_secs(10),
-        only: fault,
+        only_kind: fault,
         verbose: false,
     }
 }
@@ -38,7 +38,7 @@
 #[case::discovery_silent(FaultKind::DiscoverySilent, 4)]
 #[case::proxy_upgrade(FaultKind::ProxyUpgrade, 1)]
 fn every_write_gets_one_correct_response(#[case] fault: FaultKind, #[case] rounds: usize) {
-    let report = run(plan(&format!("{fault:?}"), Some(fault), rounds)).expect("the trial can be run");
+    let report = run(options(&format!("{fault:?}"), Some(fault), rounds)).expect("the trial can be run");
     assert!(report.is_clean(), "{report:?}");
     assert_eq!(report.rounds, rounds as u64);
     assert!(
@@ -50,7 +50,8 @@
 /// The primaries of all sets are paused at the same time.
 #[test]
 fn every_write_gets_one_correct_response_when_all_sets_fail_over_at_once() {
-    let report = run(Plan { sets: 4, ..plan("together", Some(FaultKind::PrimaryPaused), 4) })
-        .expect("the trial can be run");
+    let report =
+        run(TrialOptions { replica_set_count: 4, ..options("together", Some(FaultKind::PrimaryPaused), 4) })
+            .expect("the trial can be run");
     assert!(report.is_clean() && report.served > 0, "{report:?}");
 }
