--- a/testkit/src/bin/fleet-trial.rs
+++ b/testkit/src/bin/fleet-trial.rs
@@ -47,7 +47,7 @@
 /// Error that prevents a trial from running.
 #[derive(Debug, thiserror::Error)]
 enum TrialError {
-    #[error("{path}: {source}")]
+    #[error("failed to access {path}: {source}")]
     Read { path: PathBuf, source: std::io::Error },
     #[error("{path}:{source}")]
     Scenario { path: PathBuf, source: ScenarioError },
@@ -156,7 +156,7 @@
     let Report { attempts, handshakes, health_checks, .. } = report;
     println!("  attempts               {attempts}, {} of reads at primaries", report.reads_at_primaries);
     println!(
-        "  new connections        {handshakes}, at most {:.1} % of a server",
+        "  new connections        {handshakes}, at most {:.1} % of a server's capacity",
         percent(report.handshake_share)
     );
     println!("  health checks          {health_checks}");
--- a/testkit/src/client.rs
+++ b/testkit/src/client.rs
@@ -156,7 +156,7 @@
             has_response_started = true;
             match message_type {
                 b'D' => response = Some(Response::Served),
-                b'E' => response = Some(error_response(&body)),
+                b'E' => response = Some(classify_error(&body)),
                 b'Z' => return response.ok_or(io::ErrorKind::InvalidData.into()),
                 _ => {}
             }
@@ -176,8 +176,9 @@
     }
 }
 
-/// Returns the outcome that an ErrorResponse stands for.
-fn error_response(body: &[u8]) -> Response {
+/// Classifies an ErrorResponse as a rejection or another error. The detail of a rejection is the time in
+/// milliseconds after which the client may retry.
+fn classify_error(body: &[u8]) -> Response {
     let field = |field_type: u8| {
         let field = body.split(|b| *b == 0).find(|f| f.first() == Some(&field_type))?;
         Some(String::from_utf8_lossy(&field[1..]).into_owned())
--- a/testkit/src/failover_trial/round.rs
+++ b/testkit/src/failover_trial/round.rs
@@ -239,7 +239,7 @@
         self.replica_set.recover(successor, Role::Replica);
     }
 
-    /// Promotes a replica once a replica has all writes of the primary.
+    /// Promotes a replica as soon as one has all writes of the primary.
     fn hand_over(&mut self, primary: usize) {
         self.wait(HANDOVER_MS);
         while !self.replica_set.is_replicated(primary) {
--- a/testkit/src/fleet/fleet_model.rs
+++ b/testkit/src/fleet/fleet_model.rs
@@ -197,7 +197,8 @@
         request.session_commit.filter(|_| clients_send_tokens && causal)
     }
 
-    /// Returns the time at which a client retries a failed try. Returns `None` if the client does not retry.
+    /// Returns the time at which a client retries a request after a failed try. Returns `None` if the client
+    /// does not retry.
     pub fn retry_at(&self, request: &ClientRequest, failure: TryFailure, now: f64) -> Option<f64> {
         let class = &self.plan.settings.classes[request.class.0];
         self.workload.retry_at(request, class, failure, now)
--- a/testkit/src/fleet/process_trial/exchange.rs
+++ b/testkit/src/fleet/process_trial/exchange.rs
@@ -132,7 +132,7 @@
                 write_acknowledged(shared, request, statement.id);
                 response = Some(ClientResponse::Served(body));
             }
-            Ok((b'E', body)) => response = Some(error_response(&body)),
+            Ok((b'E', body)) => response = Some(classify_error(&body)),
             Ok((b'Z', _)) if response.is_some() => break,
             Ok(_) => {}
             Err(_) if response.is_none() && stream.is_empty() => {
@@ -162,7 +162,7 @@
 
 /// Classifies an `ErrorResponse` as a rejection or another error. The detail of a rejection is the time in
 /// milliseconds after which the client may retry.
-fn error_response(body: &[u8]) -> ClientResponse {
+fn classify_error(body: &[u8]) -> ClientResponse {
     let code = error_field(body, b'C').unwrap_or_default();
     if REJECTION_CODES.contains(&code.as_str()) {
         let detail = error_field(body, b'D');
--- a/testkit/src/fleet/process_trial/lifecycle.rs
+++ b/testkit/src/fleet/process_trial/lifecycle.rs
@@ -95,7 +95,8 @@
     start(&shared, proxy).await;
 }
 
-/// Hot restart of a proxy: starts a successor, and shuts down the predecessor once the successor is ready.
+/// Upgrades a proxy by hot restart: starts a successor, and shuts down the predecessor once the successor is
+/// ready.
 /// Does nothing if the proxy does not have exactly one process.
 pub async fn upgrade(shared: SharedTrial, proxy: usize) {
     let clock = shared.clock();
--- a/testkit/src/fleet/process_trial/proxy_config.rs
+++ b/testkit/src/fleet/process_trial/proxy_config.rs
@@ -45,12 +45,12 @@
 
 /// Returns the settings of one proxy in the format of the configuration file. `idle_timeout_s` is the timeout
 /// in seconds of idle connections to servers.
-pub fn settings(settings: &Settings, zones: usize, idle_timeout_s: f64) -> Value {
+pub fn settings(settings: &Settings, zone_count: usize, idle_timeout_s: f64) -> Value {
     json!({
         "Index": settings.instance_index,
         "GroupSize": settings.instance_count,
         "Zone": zone_name(settings.zone.0),
-        "Zones": (0..zones).map(zone_name).collect::<Vec<_>>(),
+        "Zones": (0..zone_count).map(zone_name).collect::<Vec<_>>(),
         "TickMs": milliseconds(settings.min_step_interval),
         "Classes": settings.classes.iter().enumerate().map(|(i, c)| class_settings(i, c)).collect::<Vec<_>>(),
         "Domain": consistency_settings(settings),
--- a/testkit/src/fleet/scenario.rs
+++ b/testkit/src/fleet/scenario.rs
@@ -64,12 +64,12 @@
 /// Overrides the number of proxies, the number of servers or the seed; `None` keeps the value of the plan.
 /// The number of servers is rounded down to complete replica sets. The request rate and the work to apply a
 /// commit are scaled so that the utilizations stay the same.
-pub fn resize(plan: &mut Plan, proxies: Option<usize>, servers: Option<usize>, seed: Option<u64>) {
+pub fn resize(plan: &mut Plan, proxy_count: Option<usize>, server_count: Option<usize>, seed: Option<u64>) {
     let load = plan.requests_per_s / max_requests_per_s(plan);
     let apply = plan.replication.apply_work_s * writes_per_set(plan);
-    plan.proxy_count = proxies.unwrap_or(plan.proxy_count).max(1);
-    if let Some(servers) = servers {
-        plan.replica_set_count = (servers / plan.members_per_set).max(1);
+    plan.proxy_count = proxy_count.unwrap_or(plan.proxy_count).max(1);
+    if let Some(server_count) = server_count {
+        plan.replica_set_count = (server_count / plan.members_per_set).max(1);
     }
     plan.seed = seed.unwrap_or(plan.seed);
     compute_derived_values(plan, &Utilization { load, apply });
--- a/testkit/src/fleet/simulation/attempts.rs
+++ b/testkit/src/fleet/simulation/attempts.rs
@@ -35,7 +35,8 @@
         model.connections = model.connections.saturating_sub(closed);
     }
 
-    /// Removes an open connection to a server from the idle ones. Returns false if there is none.
+    /// Takes an idle connection to a server, and closes those that have been idle for too long. Returns false
+    /// if no idle connection is left.
     fn take_idle_connection(&mut self, process: usize, server: usize) -> bool {
         let Some(idle) = self.processes[process].idle_connections.get_mut(&server) else { return false };
         let incarnation = self.fleet.backends.servers[server].model.incarnation;
@@ -216,7 +217,7 @@
             self.fleet.checker.write_acknowledged(proxy, attempt.session, commit);
             if self.fleet.plan.settings.session_tokens == SessionTokens::Tracked {
                 let session = attempt.session.to_string();
-                self.send_to_peer(process, &PeerMessage::SessionWrite { session, commit });
+                self.send_to_peers(process, &PeerMessage::SessionWrite { session, commit });
             }
         }
         let Some(open_request) = self.processes[process].open_requests.remove(&request) else { return false };
--- a/testkit/src/fleet/simulation/discovery.rs
+++ b/testkit/src/fleet/simulation/discovery.rs
@@ -81,7 +81,7 @@
             let server = endpoint.server.0 as usize;
             self.fleet.checker.endpoint_listed(proxy, server, endpoint.state, self.now);
             if endpoint.state != EndpointState::Healthy {
-                self.send_to_peer(process, &PeerMessage::ServerWithdrawn(endpoint.server));
+                self.send_to_peers(process, &PeerMessage::ServerWithdrawn(endpoint.server));
             }
         }
         self.record_start_times(process, &endpoints);
--- a/testkit/src/fleet/simulation/lifecycle.rs
+++ b/testkit/src/fleet/simulation/lifecycle.rs
@@ -29,10 +29,10 @@
     /// list that the process has cached, or `None`.
     fn spawn_process(&mut self, proxy: usize, list_version: Option<usize>) -> usize {
         let seed = self.fleet.rng.random();
-        let router = RoutingEngine::new(self.fleet.proxy_settings(proxy), seed)
+        let engine = RoutingEngine::new(self.fleet.proxy_settings(proxy), seed)
             .expect("the plan's settings are valid");
         let start_index = self.fleet.record_start(self.now);
-        self.processes.push(Process::new(proxy, router, start_index, list_version));
+        self.processes.push(Process::new(proxy, engine, start_index, list_version));
         let process = self.processes.len() - 1;
         self.live_processes[proxy].push(process);
         for server in self.out_of_service.clone() {
@@ -65,7 +65,7 @@
             return;
         }
         self.step(predecessor);
-        let snapshot = self.processes[predecessor].router.snapshot();
+        let snapshot = self.processes[predecessor].engine.snapshot();
         let successor = self.spawn_process(proxy, self.processes[predecessor].list_version);
         self.enqueue_event(successor, Event::SnapshotReceived(Box::new(snapshot)));
         self.processes[successor].observations = self.processes[predecessor].observations.clone();
--- a/testkit/src/fleet/simulation/process.rs
+++ b/testkit/src/fleet/simulation/process.rs
@@ -62,7 +62,7 @@
 /// Simulated process of a proxy.
 pub struct Process {
     pub proxy: usize,
-    pub router: RoutingEngine,
+    pub engine: RoutingEngine,
     /// Whether the process has not exited.
     pub alive: bool,
     /// Whether the process accepts requests.
@@ -92,10 +92,10 @@
 
 impl Process {
     /// Creates a process that has just started and does not accept requests yet.
-    pub fn new(proxy: usize, router: RoutingEngine, start_index: usize, list_version: Option<usize>) -> Self {
+    pub fn new(proxy: usize, engine: RoutingEngine, start_index: usize, list_version: Option<usize>) -> Self {
         Self {
             proxy,
-            router,
+            engine,
             alive: true,
             accepting: false,
             paused_until: 0.0,
--- a/testkit/src/fleet/simulation/stepping.rs
+++ b/testkit/src/fleet/simulation/stepping.rs
@@ -24,7 +24,7 @@
     }
 
     /// Sends a message to the peer processes of a process.
-    pub(super) fn send_to_peer(&mut self, process: usize, message: &PeerMessage) {
+    pub(super) fn send_to_peers(&mut self, process: usize, message: &PeerMessage) {
         let proxy = self.processes[process].proxy;
         for other in self.live_processes[proxy].clone() {
             if other != process {
@@ -80,7 +80,7 @@
         state.expire_timers(now);
         let events = std::mem::take(&mut state.events);
         let mut actions = Vec::new();
-        state.router.step(now, events, &mut actions);
+        state.engine.step(now, events, &mut actions);
         for action in actions {
             self.perform_action(process, action);
         }
--- a/testkit/src/replica_set/connection.rs
+++ b/testkit/src/replica_set/connection.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::execution::{error_response, execute};
+use super::execution::{error_message, execute};
 use super::shared::{Incarnation, Shared};
 use super::{unix_ms, MemberState};
 use crate::wire::{load_report, read_message, read_startup, ready_for_query, startup_response};
@@ -76,7 +76,7 @@
         drop(shared.wait_until_running(incarnation).ok_or_else(aborted)?);
         let response = match statement {
             Some(statement) => execute(shared, incarnation, &statement).ok_or_else(aborted)?,
-            None => error_response("08P01"),
+            None => error_message("08P01"),
         };
         let state = shared.wait_until_running(incarnation).ok_or_else(aborted)?;
         let member = &state.members[incarnation.member];
--- a/testkit/src/replica_set/execution.rs
+++ b/testkit/src/replica_set/execution.rs
@@ -10,40 +10,40 @@
 use crate::wire::{message, row};
 
 /// SQLSTATE of a write at a member that is not the primary.
-const READ_ONLY: &str = "25006";
+const READ_ONLY_TRANSACTION: &str = "25006";
 /// SQLSTATE of a request that is rejected before its execution.
-const OVERLOADED: &str = "53300";
+const TOO_MANY_CONNECTIONS: &str = "53300";
 /// SQLSTATE of a write whose outcome is unknown.
-const OUTCOME_UNKNOWN: &str = "XX000";
+const INTERNAL_ERROR: &str = "XX000";
 
 /// Returns an ErrorResponse with this SQLSTATE.
-pub(super) fn error_response(code: &str) -> Vec<u8> {
+pub(super) fn error_message(code: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0VERROR\0C{code}\0Mno\0\0").as_bytes())
 }
 
 /// Returns the SQLSTATE with which a member rejects a statement, or `None` if it accepts the statement.
 fn rejection_code(member: &Member, statement: &Statement) -> Option<&'static str> {
     if statement.is_write && (member.role == Role::Replica || member.is_handing_over) {
-        return Some(READ_ONLY);
+        return Some(READ_ONLY_TRANSACTION);
     }
-    member.is_draining.then_some(OVERLOADED)
+    member.is_draining.then_some(TOO_MANY_CONNECTIONS)
 }
 
 /// Executes a request and returns its response, or `None` if the member's incarnation ends first.
 pub(super) fn execute(shared: &Shared, incarnation: Incarnation, statement: &Statement) -> Option<Vec<u8>> {
     let state = shared.lock();
     if let Some(code) = rejection_code(&state.members[incarnation.member], statement) {
-        return Some(error_response(code));
+        return Some(error_message(code));
     }
     let mut state = shared.wait_until(state, incarnation, |_, member| {
         member.state == MemberState::Running && member.active_requests < shared.config.max_concurrency
     })?;
     if Instant::now() > statement.deadline {
-        return Some(error_response(OVERLOADED)); // the deadline passed before the execution began
+        return Some(error_message(TOO_MANY_CONNECTIONS)); // the deadline passed before the execution began
     }
     let member = &mut state.members[incarnation.member];
     if let Some(code) = rejection_code(member, statement) {
-        return Some(error_response(code));
+        return Some(error_message(code));
     }
     member.active_requests += 1;
     if statement.is_write && member.role == Role::Primary {
@@ -73,7 +73,7 @@
     }
     let member = &mut state.members[incarnation.member];
     if member.role == Role::Replica {
-        return Some(error_response(OUTCOME_UNKNOWN)); // demoted during the execution
+        return Some(error_message(INTERNAL_ERROR)); // demoted during the execution
     }
     *member.executions.entry(statement.id.clone()).or_default() += 1;
     member.log.push(LogEntry { id: statement.id.clone(), written_unix_ms: unix_ms() });
@@ -93,7 +93,7 @@
     })?;
     // The new primary's log may contain the write, but the demoted member cannot know that.
     if state.members[incarnation.member].role == Role::Replica {
-        return Some(error_response(OUTCOME_UNKNOWN));
+        return Some(error_message(INTERNAL_ERROR));
     }
     Some(row(b"v"))
 }
--- a/testkit/tests/replica_set.rs
+++ b/testkit/tests/replica_set.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_write_at_a_paused_primary_fails_and_is_not_in_the_new_primarys_log() {
+fn a_write_at_a_paused_primary_fails_and_violates_no_rule() {
     let set = ReplicaSet::start(3, CONFIG).expect("free ports");
     set.set_member_state(0, MemberState::Paused);
     let shared = std::sync::Arc::new(set);
--- a/testkit/tests/rules.rs
+++ b/testkit/tests/rules.rs
@@ -102,7 +102,7 @@
 }
 
 fn settings() -> impl Strategy<Value = (Settings, Vec<ClassLoad>)> {
-    // With the other policies, the data servers themselves decline reads that their data is too old for.
+    // With the other policies, the data servers themselves decline reads for which their data is too old.
     let stale_read_policy = Just(StaleReadPolicy::AnswerStale);
     let session_tokens = prop_oneof![Just(SessionTokens::FromClient), Just(SessionTokens::Tracked)];
     let listed_role =
