--- a/testkit/src/fleet/process_trial/server_connections.rs
+++ b/testkit/src/fleet/process_trial/server_connections.rs
@@ -74,7 +74,7 @@
     }
 }
 
-/// Present state of a connection's link and server.
+/// Current state of a connection's link and server.
 struct ConnectionState {
     link: LinkState,
     server: ServerState,
--- a/testkit/src/fleet/process_trial/server_execution.rs
+++ b/testkit/src/fleet/process_trial/server_execution.rs
@@ -164,7 +164,7 @@
         })
     }
 
-    /// Returns the response to an attempt that was not executed, with the present status of the server.
+    /// Returns the response to an attempt that was not executed, with the current status of the server.
     fn rejection_response(&self, outcome: Outcome, body: Vec<u8>) -> ServerResponse {
         let status = self.shared.with(|trial| trial.fleet.backends.status(self.server, trial.clock.now()));
         self.new_response(outcome, body, status)
--- a/testkit/src/fleet/process_trial/state.rs
+++ b/testkit/src/fleet/process_trial/state.rs
@@ -122,7 +122,7 @@
         self.clock().now()
     }
 
-    /// Returns the present state of the link between a proxy and a server or the discovery service.
+    /// Returns the current state of the link between a proxy and a server or the discovery service.
     pub fn link_state(&self, proxy: usize, end: LinkEnd) -> LinkState {
         let trial = self.0.borrow();
         trial.fleet.link_state(proxy, end, trial.clock.now())
--- a/testkit/src/fleet/simulation/servers.rs
+++ b/testkit/src/fleet/simulation/servers.rs
@@ -75,7 +75,7 @@
     }
 
     /// Sends the response of a server to an attempt, unless the link drops responses. Without a `status`, the
-    /// response has the present status of the server.
+    /// response has the current status of the server.
     fn respond(
         &mut self,
         process: usize,
@@ -98,7 +98,7 @@
         model.incarnation == execution.incarnation && model.state == ServerState::Up
     }
 
-    /// Starts an execution: a replica reads its data, at its present position.
+    /// Starts an execution: a replica reads its data, at its current position.
     pub(super) fn execution_starts(&mut self, execution: Execution) {
         if !self.is_executing(&execution) {
             return;
