--- a/testkit/src/client.rs
+++ b/testkit/src/client.rs
@@ -152,11 +152,11 @@
                 Ok(n) if n > 0 => {}
                 _ => return Err(io::ErrorKind::TimedOut.into()),
             }
-            let (kind, body) = read_message(stream).ok_or(io::ErrorKind::TimedOut)?;
+            let (message_type, body) = read_message(stream).ok_or(io::ErrorKind::TimedOut)?;
             has_response_started = true;
-            match kind {
+            match message_type {
                 b'D' => response = Some(Response::Served),
-                b'E' => response = Some(error_response(&body)),
+                b'E' => response = Some(classify_error(&body)),
                 b'Z' => return response.ok_or(io::ErrorKind::InvalidData.into()),
                 _ => {}
             }
@@ -176,10 +176,11 @@
     }
 }
 
-/// Returns the outcome that an ErrorResponse stands for.
-fn error_response(body: &[u8]) -> Response {
-    let field = |kind: u8| {
-        let field = body.split(|b| *b == 0).find(|f| f.first() == Some(&kind))?;
+/// Classifies an ErrorResponse as a rejection or another error. The detail of a rejection is the time in
+/// milliseconds after which the client may retry.
+fn classify_error(body: &[u8]) -> Response {
+    let field = |field_type: u8| {
+        let field = body.split(|b| *b == 0).find(|f| f.first() == Some(&field_type))?;
         Some(String::from_utf8_lossy(&field[1..]).into_owned())
     };
     let code = field(b'C').unwrap_or_default();
--- a/testkit/src/failover_trial/plan.rs
+++ b/testkit/src/failover_trial/plan.rs
@@ -1,7 +1,7 @@
-//! Plan of a failover trial: its options, the time scale and the proxy's configuration.
+//! Options of a failover trial, its time scale and the proxy's configuration.
 //!
 //! The times of the platform, such as those of execution, failure detection, election and discovery, are
-//! defined in platform milliseconds. A trial multiplies them by [`Plan::scale`].
+//! defined in platform milliseconds. A trial multiplies them by [`TrialOptions::scale`].
 
 use std::ops::Range;
 use std::path::PathBuf;
@@ -16,19 +16,19 @@
 /// Latency objective and deadline of a request class, in platform milliseconds (before scaling).
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ClassTimes {
-    /// Latency objective; a later response has less value or none.
+    /// Latency objective; a later response has less weight or none.
     pub(super) objective_ms: f64,
-    /// Deadline: time that a client waits for a response, retries included.
-    pub(super) max_wait_ms: f64,
+    /// Time that a client waits for a response, retries included.
+    pub(super) deadline_ms: f64,
 }
 
-pub(super) const WRITE_TIMES: ClassTimes = ClassTimes { objective_ms: 600.0, max_wait_ms: 3000.0 };
-pub(super) const READ_TIMES: ClassTimes = ClassTimes { objective_ms: 500.0, max_wait_ms: 1200.0 };
-pub(super) const SESSION_READ_TIMES: ClassTimes = ClassTimes { objective_ms: 500.0, max_wait_ms: 1500.0 };
+pub(super) const WRITE_TIMES: ClassTimes = ClassTimes { objective_ms: 600.0, deadline_ms: 3000.0 };
+pub(super) const READ_TIMES: ClassTimes = ClassTimes { objective_ms: 500.0, deadline_ms: 1200.0 };
+pub(super) const SESSION_READ_TIMES: ClassTimes = ClassTimes { objective_ms: 500.0, deadline_ms: 1500.0 };
 
 /// Options of a failover trial.
 #[derive(Debug, Clone)]
-pub struct Plan {
+pub struct TrialOptions {
     /// Path of the proxy program.
     pub program: PathBuf,
     /// Folder for the proxy's configuration, logs and temporary files.
@@ -36,7 +36,7 @@
     /// Number of rounds over all replica sets. A round injects one fault.
     pub rounds: usize,
     /// Number of replica sets that run concurrently.
-    pub sets: usize,
+    pub replica_set_count: usize,
     /// Seed of all random numbers.
     pub seed: u64,
     /// Factor by which all times of the platform are multiplied.
@@ -44,12 +44,12 @@
     /// Time after a request's deadline at which the request counts as unanswered.
     pub response_slack: Duration,
     /// The only kind of fault to inject, or `None` for all kinds.
-    pub only: Option<FaultKind>,
+    pub only_kind: Option<FaultKind>,
     /// Whether to print the state of the replica set to standard error after each round.
     pub verbose: bool,
 }
 
-impl Plan {
+impl TrialOptions {
     /// Returns a time of the platform in the trial's scale.
     pub(super) fn scaled(&self, platform_ms: f64) -> Duration {
         Duration::from_secs_f64(platform_ms * self.scale / 1e3)
@@ -71,12 +71,12 @@
             "settings": {
                 "Classes": [
                     {"Name": "font-lookup", "Credit": 1, "OnTimeMs": scaled_ms(read.objective_ms),
-                        "DeadlineMs": scaled_ms(read.max_wait_ms), "Effect": "repeatable"},
+                        "DeadlineMs": scaled_ms(read.deadline_ms), "Effect": "repeatable"},
                     {"Name": "own-changes", "Credit": 2, "OnTimeMs": scaled_ms(session_read.objective_ms),
-                        "DeadlineMs": scaled_ms(session_read.max_wait_ms), "LateValue": 0.2,
+                        "DeadlineMs": scaled_ms(session_read.deadline_ms), "LateValue": 0.2,
                         "Effect": "repeatable"},
                     {"Name": "usage-write", "Credit": 4, "OnTimeMs": scaled_ms(write.objective_ms),
-                        "DeadlineMs": scaled_ms(write.max_wait_ms), "LateValue": 0.5, "Effect": "once"},
+                        "DeadlineMs": scaled_ms(write.deadline_ms), "LateValue": 0.5, "Effect": "once"},
                 ],
                 "Contract": {"AnswerSlackMs": 20, "AskEveryMs": 10000, "ColdShare": 0.27, "OverloadFactor": 2,
                     "OverloadForMs": 1000, "StopSendingWithinMs": 2000, "WarmUpMs": scaled_ms(2000.0)},
--- a/testkit/src/fleet/process_trial/state.rs
+++ b/testkit/src/fleet/process_trial/state.rs
@@ -35,7 +35,8 @@
     pub clock: Clock,
     /// The client request of each try, by the id of the try.
     pub client_requests: HashMap<u64, ClientRequest>,
-    /// Id of the last try. The id is in the comment of the statement.
+    /// Id of the last try, which is in the comment of its statement. For the proxy and the rule checker, each
+    /// try is a request of its own.
     pub last_request_id: u64,
     /// Commit times in seconds of the writes whose response no client has received yet, by the id of the try.
     pub unacknowledged_commits: HashMap<u64, f64>,
@@ -66,7 +67,7 @@
             unacknowledged_commits: HashMap::new(),
             server_addresses: HashMap::new(),
             discovery_addresses: Vec::new(),
-            balancer_targets: (0..plan.proxies).map(|_| BalancerTarget::default()).collect(),
+            balancer_targets: (0..plan.proxy_count).map(|_| BalancerTarget::default()).collect(),
             processes,
             not_primary_since: BTreeMap::new(),
             known_starts: HashMap::new(),
@@ -121,7 +122,7 @@
         self.clock().now()
     }
 
-    /// Returns the present state of the link between a proxy and a server or the discovery service.
+    /// Returns the current state of the link between a proxy and a server or the discovery service.
     pub fn link_state(&self, proxy: usize, end: LinkEnd) -> LinkState {
         let trial = self.0.borrow();
         trial.fleet.link_state(proxy, end, trial.clock.now())
@@ -135,7 +136,7 @@
         clock.sleep_until(now + factor * delay).await;
     }
 
-    /// Handles the effects of an operation on the site: schedules elections, registers new servers and
+    /// Handles the effects of an operation on the backends: schedules elections, registers new servers and
     /// notifies the connections. Publications need no handling, because each watch checks the version of the
     /// endpoint list.
     pub fn handle_effects(&self, effects: Vec<Effect>) {
@@ -154,7 +155,7 @@
         let clock = self.clock();
         clock.sleep_until(at).await;
         let mut effects = Vec::new();
-        self.with(|trial| trial.fleet.site.elect(set, clock.now(), &mut effects));
+        self.with(|trial| trial.fleet.backends.elect(set, clock.now(), &mut effects));
         self.handle_effects(effects);
     }
 }
--- a/testkit/src/fleet/scenario.rs
+++ b/testkit/src/fleet/scenario.rs
@@ -64,12 +64,12 @@
 /// Overrides the number of proxies, the number of servers or the seed; `None` keeps the value of the plan.
 /// The number of servers is rounded down to complete replica sets. The request rate and the work to apply a
 /// commit are scaled so that the utilizations stay the same.
-pub fn resize(plan: &mut Plan, proxies: Option<usize>, servers: Option<usize>, seed: Option<u64>) {
+pub fn resize(plan: &mut Plan, proxy_count: Option<usize>, server_count: Option<usize>, seed: Option<u64>) {
     let load = plan.requests_per_s / max_requests_per_s(plan);
     let apply = plan.replication.apply_work_s * writes_per_set(plan);
-    plan.proxies = proxies.unwrap_or(plan.proxies).max(1);
-    if let Some(servers) = servers {
-        plan.sets = (servers / plan.members).max(1);
+    plan.proxy_count = proxy_count.unwrap_or(plan.proxy_count).max(1);
+    if let Some(server_count) = server_count {
+        plan.replica_set_count = (server_count / plan.members_per_set).max(1);
     }
     plan.seed = seed.unwrap_or(plan.seed);
     compute_derived_values(plan, &Utilization { load, apply });
@@ -81,7 +81,7 @@
 
 /// Returns the rate, in requests per second, at which all servers together can execute requests.
 fn max_requests_per_s(plan: &Plan) -> f64 {
-    let cores = (plan.sets * plan.members * plan.server.cores) as f64;
+    let cores = (plan.replica_set_count * plan.members_per_set * plan.server.cores) as f64;
     cores * plan.server.speed / plan.server.mean_work_s
 }
 
@@ -90,7 +90,7 @@
     let classes = plan.workload.class_loads.iter().zip(&plan.settings.classes);
     let writes = classes.filter(|(_, class)| class.consistency == Consistency::Write);
     let share: f64 = writes.map(|(load, _)| load.share).sum();
-    plan.requests_per_s * share / total_share(plan) / plan.sets as f64
+    plan.requests_per_s * share / total_share(plan) / plan.replica_set_count as f64
 }
 
 /// Computes the values of a plan that depend on its other values and on the utilizations.
@@ -105,7 +105,7 @@
         overload_duration_s: rules.overload_duration.as_secs_f64(),
         ..plan.server
     };
-    plan.settings.instance_count = plan.proxies as u32;
+    plan.settings.instance_count = plan.proxy_count as u32;
     plan.requests_per_s = utilization.load * max_requests_per_s(plan);
     let apply_work_s = utilization.apply / writes_per_set(plan).max(1e-9);
     plan.replication.apply_work_s = apply_work_s.min(1.0);
--- a/testkit/src/fleet/scenario/tests.rs
+++ b/testkit/src/fleet/scenario/tests.rs
@@ -12,7 +12,7 @@
         (at 2 (kill (share 0.7) 1.5) (link (zone 1) (servers (zone 0)) deaf 4))
         (at 3 (list-down 20) (link (share 0.3) list (slow 40) 1))";
     let plan = parse(text).expect("the scenario is valid");
-    assert_eq!((plan.proxies, plan.settings.instance_count, plan.settings.classes.len()), (12, 12, 2));
+    assert_eq!((plan.proxy_count, plan.settings.instance_count, plan.settings.classes.len()), (12, 12, 2));
     let capacity = (2 * 3 * 5) as f64 / 0.07;
     assert!((plan.requests_per_s - 0.4 * capacity).abs() < 1e-6);
     assert!((plan.server.mean_work_s - 0.07).abs() < 1e-9);
@@ -28,7 +28,7 @@
     assert_eq!(plan.faults[1].fault, link);
     let mut resized = plan.clone();
     resize(&mut resized, Some(300), Some(60), None);
-    assert_eq!((resized.sets, resized.settings.instance_count), (20, 300));
+    assert_eq!((resized.replica_set_count, resized.settings.instance_count), (20, 300));
     assert!((resized.requests_per_s / plan.requests_per_s - 10.0).abs() < 1e-6);
     assert!((resized.replication.apply_work_s - plan.replication.apply_work_s).abs() < 1e-9);
 }
--- a/testkit/src/fleet/simulation/lifecycle.rs
+++ b/testkit/src/fleet/simulation/lifecycle.rs
@@ -29,17 +29,17 @@
     /// list that the process has cached, or `None`.
     fn spawn_process(&mut self, proxy: usize, list_version: Option<usize>) -> usize {
         let seed = self.fleet.rng.random();
-        let router = RoutingEngine::new(self.fleet.proxy_settings(proxy), seed)
+        let engine = RoutingEngine::new(self.fleet.proxy_settings(proxy), seed)
             .expect("the plan's settings are valid");
         let start_index = self.fleet.record_start(self.now);
-        self.processes.push(Process::new(proxy, router, start_index, list_version));
+        self.processes.push(Process::new(proxy, engine, start_index, list_version));
         let process = self.processes.len() - 1;
         self.live_processes[proxy].push(process);
         for server in self.out_of_service.clone() {
             self.enqueue_event(process, Event::TakenOutOfService(ServerId(server as u32)));
         }
         if let Some(version) = list_version {
-            let endpoints = self.fleet.site.discovery.full_list(version);
+            let endpoints = self.fleet.backends.discovery.full_list(version);
             self.record_start_times(process, &endpoints);
             self.enqueue_event(process, Event::Endpoints(EndpointUpdate::Cached(endpoints)));
         }
@@ -65,7 +65,7 @@
             return;
         }
         self.step(predecessor);
-        let snapshot = self.processes[predecessor].router.snapshot();
+        let snapshot = self.processes[predecessor].engine.snapshot();
         let successor = self.spawn_process(proxy, self.processes[predecessor].list_version);
         self.enqueue_event(successor, Event::SnapshotReceived(Box::new(snapshot)));
         self.processes[successor].observations = self.processes[predecessor].observations.clone();
--- a/testkit/src/fleet/simulation/stepping.rs
+++ b/testkit/src/fleet/simulation/stepping.rs
@@ -4,7 +4,7 @@
 
 use pipittack_core::api::{Action, AttemptId, Event, Outcome, PeerMessage, RequestId};
 
-use super::super::fleet_model::duration;
+use super::super::fleet_model::duration_from_secs;
 use super::super::rule_checker::FinalAnswer;
 use super::super::workload::TryFailure;
 use super::event_queue::SimulationEvent;
@@ -24,7 +24,7 @@
     }
 
     /// Sends a message to the peer processes of a process.
-    pub(super) fn send_to_peer(&mut self, process: usize, message: &PeerMessage) {
+    pub(super) fn send_to_peers(&mut self, process: usize, message: &PeerMessage) {
         let proxy = self.processes[process].proxy;
         for other in self.live_processes[proxy].clone() {
             if other != process {
@@ -70,7 +70,7 @@
 
     /// Passes the pending events of a process to its routing engine, and performs the returned actions.
     pub(super) fn step(&mut self, process: usize) {
-        let now = duration(self.now);
+        let now = duration_from_secs(self.now);
         let state = &mut self.processes[process];
         if !state.alive {
             return;
@@ -80,7 +80,7 @@
         state.expire_timers(now);
         let events = std::mem::take(&mut state.events);
         let mut actions = Vec::new();
-        state.router.step(now, events, &mut actions);
+        state.engine.step(now, events, &mut actions);
         for action in actions {
             self.perform_action(process, action);
         }
@@ -122,7 +122,7 @@
                 self.close_connections(server, idle.iter().map(|connection| connection.incarnation));
             }
             Action::SetTimer { after, id } => {
-                let at = duration(self.now) + after;
+                let at = duration_from_secs(self.now) + after;
                 self.processes[process].timers.push(Reverse((at, id.0)));
             }
             Action::Log(_) | Action::Gossip { .. } => {}
