--- a/core/src/failover/replica_set.rs
+++ b/core/src/failover/replica_set.rs
@@ -14,7 +14,7 @@
 
 pub use observation::PrimaryObservation;
 
-use super::primary_inquiry::{FailoverProgress, PrimaryCandidate, PrimarySearch};
+use super::primary_search::{FailoverProgress, PrimaryCandidate, PrimarySearch};
 use super::{
     BufferRelease, FailoverDurations, Phase, PhaseInput, PrimaryTracker, RecoveryForecast, ResponseTimes,
 };
--- a/core/src/routing/attempt_result.rs
+++ b/core/src/routing/attempt_completion.rs
@@ -1,7 +1,7 @@
 //! The end of an attempt, together with what the engine recorded when the attempt was sent.
 //!
-//! The module [`completion`](super::completion) creates a [`Completion`]; all components that process the end
-//! of an attempt read it.
+//! The module [`attempt_ended`](super::attempt_ended) creates a [`Completion`]; all components that process
+//! the end of an attempt read it.
 
 use crate::api::{AttemptNumber, ClassId, Consistency, Outcome, RequestId, ServerId};
 
--- a/core/src/routing/completion.rs
+++ b/core/src/routing/attempt_ended.rs
@@ -8,7 +8,7 @@
 use crate::primary_read_admission::PrimaryAttempt;
 use crate::time::secs;
 
-use super::attempt_result::Completion;
+use super::attempt_completion::Completion;
 use super::cluster::ServerResponse;
 use super::fleet::is_large_fleet;
 use super::gossip::{GossipKind, GossipMessage, Timeliness};
--- a/core/src/routing/cluster/mod.rs
+++ b/core/src/routing/cluster/mod.rs
@@ -5,8 +5,8 @@
 //! here, so that the two stay consistent. Times are seconds on the engine's clock.
 
 mod endpoints;
-mod primary_watch;
-mod upkeep;
+mod maintenance;
+mod primary_observation;
 
 pub(super) use endpoints::UpdateScope;
 
--- a/core/src/routing/mod.rs
+++ b/core/src/routing/mod.rs
@@ -13,9 +13,9 @@
 //! `f64` seconds on the engine's clock.
 
 mod arrival;
-mod attempt_result;
+mod attempt_completion;
+mod attempt_ended;
 mod cluster;
-mod completion;
 mod dispatch;
 mod eligibility;
 mod final_answer;
--- a/core/src/routing/outlier_detection.rs
+++ b/core/src/routing/outlier_detection.rs
@@ -12,7 +12,7 @@
 use crate::ewma::Ewma;
 use crate::time::secs;
 
-use super::attempt_result::Completion;
+use super::attempt_completion::Completion;
 use super::fleet::is_large_fleet;
 use super::server::{DownCause, DownState, Server, SuspicionChange};
 use super::ATTEMPT_EWMA;
--- a/core/tests/action_hash/disturbances.rs
+++ b/core/tests/action_hash/disturbances.rs
@@ -5,8 +5,8 @@
 use pipittack_core::api::{DiscoveryMode, EndpointState, EndpointUpdate, Event, ServerId};
 use pipittack_core::RoutingEngine;
 
+use crate::case_run::{CaseRun, Task};
 use crate::cluster::ProcessState;
-use crate::script::{CaseRun, Task};
 use crate::settings::{class, tenant};
 
 /// Offset of a successor process's clock from its predecessor's clock.
--- a/core/tests/action_hash/main.rs
+++ b/core/tests/action_hash/main.rs
@@ -6,18 +6,18 @@
 //! (renamed types, moved code) must not change a hash. A commit that changes the behavior changes the hashes
 //! and says so. Log texts are not hashed.
 
+mod case_run;
 mod cluster;
 mod counters;
 mod disturbances;
 mod hash;
 mod random;
-mod script;
 mod settings;
 
 use pipittack_core::api::{DiscoveryMode, ListedRole, LoadReports, SessionTokens, StaleReadPolicy};
 
+use crate::case_run::{run, CaseResult};
 use crate::counters::Counters;
-use crate::script::{run, CaseResult};
 use crate::settings::{Case, Permitted, ALL, BASE, NONE};
 
 /// Case and the recorded hash of its actions.
--- a/src/net/hot_restart/frame.rs
+++ b/src/net/hot_restart/frame.rs
@@ -12,9 +12,9 @@
 use super::socket::{read_exactly, receive_with_descriptor, send_with_descriptor, write_all};
 
 // `hot_restart` exports these names as well. The program and the client side import them from this module.
-pub use super::predecessor::{take_over_listener, Predecessor, PredecessorStatus};
 pub use super::state::{HandoverState, Hello};
 pub use super::successor::Successor;
+pub use super::takeover::{take_over_listener, Predecessor, PredecessorStatus};
 
 /// Length in bytes of the longest payload.
 const MAX_PAYLOAD_BYTES: u32 = 16 << 20;
--- a/src/net/hot_restart/legacy.rs
+++ b/src/net/hot_restart/legacy.rs
@@ -16,9 +16,9 @@
 
 use super::error::HandoverError;
 use super::frame::FrameError;
-use super::predecessor::{Handover, Predecessor, Protocol};
 use super::socket::{read_exactly, receive_with_descriptor, Received};
 use super::state::{HandoverState, StateError};
+use super::takeover::{Handover, Predecessor, Protocol};
 
 /// Length of a message in bytes, without the state that follows the first message.
 const MESSAGE_BYTES: usize = 5;
--- a/src/net/hot_restart/legacy/tests.rs
+++ b/src/net/hot_restart/legacy/tests.rs
@@ -4,8 +4,8 @@
 use tokio::net::UnixStream;
 
 use super::{receive, receive_handover};
-use crate::net::hot_restart::predecessor::Protocol;
 use crate::net::hot_restart::state::HandoverState;
+use crate::net::hot_restart::takeover::Protocol;
 use crate::net::hot_restart::test_support::send_raw;
 
 const SERVERS: &[u8] = include_bytes!("../../../../tests/fixtures/handover/early_servers.json");
--- a/src/net/hot_restart/mod.rs
+++ b/src/net/hot_restart/mod.rs
@@ -1,7 +1,7 @@
 //! Hot restart: a new process takes over the listener and the client connections of the running one.
 //!
 //! The running process (the predecessor) listens on a Unix socket ([`handover`]). A new process (the
-//! successor) connects to this socket when it starts (`predecessor`). The predecessor sends its listening
+//! successor) connects to this socket when it starts (`takeover`). The predecessor sends its listening
 //! socket, so that no connection in the accept queue is lost, then its state (`state`), and then each client
 //! connection that has no request in flight.
 //!
@@ -15,16 +15,16 @@
 pub mod handover;
 mod legacy;
 mod peer_channel;
-mod predecessor;
 mod shared_resources;
 mod socket;
 mod state;
 mod successor;
+mod takeover;
 #[cfg(test)]
 mod test_support;
 
 pub use frame::FrameError;
-pub use predecessor::{take_over_listener, Predecessor, PredecessorStatus};
 pub use shared_resources::SharedResources;
 pub use state::{HandoverState, Hello};
 pub use successor::Successor;
+pub use takeover::{take_over_listener, Predecessor, PredecessorStatus};
--- a/src/net/server/attempt.rs
+++ b/src/net/server/attempt.rs
@@ -6,8 +6,8 @@
 
 use tokio::time::{timeout_at, Instant};
 
-use super::answer::{Query, QueryResult, RemainingResult};
 use super::connection_pool::{CheckoutResult, PooledConnection};
+use super::query_result::{Query, QueryResult, RemainingResult};
 use super::reply::{read_reply, ExpectedReply, Reply};
 use super::ServerSide;
 use crate::api::{Outcome, ServerId};
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -5,18 +5,18 @@
 //! reports its result to the driver; errors become outcomes. The abort handle of an attempt is kept until the
 //! attempt ends. Cancelling an attempt aborts its task, which closes the connection.
 
-mod answer;
 mod attempt;
 mod connection_pool;
 mod health_check;
 mod load_report;
 mod options;
+mod query_result;
 mod reply;
 mod reuse_statistics;
 mod socket_budget;
 
-pub use answer::{Query, QueryResult};
 pub use options::ServerOptions;
+pub use query_result::{Query, QueryResult};
 pub use reuse_statistics::ReuseStatistics;
 
 use std::cell::RefCell;
--- a/src/net/server/reply.rs
+++ b/src/net/server/reply.rs
@@ -10,8 +10,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use super::answer::QueryResult;
 use super::load_report;
+use super::query_result::QueryResult;
 use crate::api::{LoadReport, Outcome, ServerStatus};
 use crate::net::buffers::{BufferChain, BufferPool};
 use crate::net::driver::{AttemptResult, Clock};
--- a/testkit/src/failover_trial/load.rs
+++ b/testkit/src/failover_trial/load.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use super::plan::{ClassTimes, READ_TIMES, SESSION_READ_TIMES, WRITE_TIMES};
+use super::options::{ClassTimes, READ_TIMES, SESSION_READ_TIMES, WRITE_TIMES};
 use super::Trial;
 use crate::client::{Client, Request, RequestRecord, Response};
 
--- a/testkit/src/failover_trial/mod.rs
+++ b/testkit/src/failover_trial/mod.rs
@@ -7,7 +7,7 @@
 
 mod fault;
 mod load;
-mod plan;
+mod options;
 mod report;
 mod round;
 
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 pub use fault::FaultKind;
-pub use plan::TrialOptions;
+pub use options::TrialOptions;
 pub use report::{FaultTally, Report};
 
 use crate::client::RequestRecord;
--- a/testkit/src/fleet/fleet_model.rs
+++ b/testkit/src/fleet/fleet_model.rs
@@ -10,11 +10,11 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
+use super::backends::Backends;
 use super::link_faults::{LinkEnd, LinkFaults, LinkState};
 use super::plan::Plan;
 use super::report::{ProcessStart, Report};
 use super::rule_checker::RuleChecker;
-use super::site::Backends;
 use super::workload::{ClientRequest, TryFailure, Workload};
 
 /// Time in seconds at which a trial starts. It is large because times before the start must not be negative.
--- a/testkit/src/fleet/process_trial/server_execution.rs
+++ b/testkit/src/fleet/process_trial/server_execution.rs
@@ -4,9 +4,9 @@
 use rand::Rng;
 use tokio::task::spawn_local;
 
+use super::super::backends::{Completion, IncomingRequest, RequestAdmission};
 use super::super::rule_checker::{ReplicaRead, Rule};
 use super::super::server_model::ServerState;
-use super::super::site::{Completion, IncomingRequest, RequestAdmission};
 use super::message_stream::{comment_value, error_message};
 use super::state::{SharedTrial, TrialState};
 use crate::wire::{message, row};
--- a/testkit/src/fleet/process_trial/state.rs
+++ b/testkit/src/fleet/process_trial/state.rs
@@ -12,11 +12,11 @@
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 
+use super::super::backends::Effect;
 use super::super::fleet_model::FleetModel;
 use super::super::link_faults::{LinkEnd, LinkState};
 use super::super::plan::Plan;
 use super::super::report::ProcessStart;
-use super::super::site::Effect;
 use super::super::workload::ClientRequest;
 use super::clients::BalancerTarget;
 use super::clock::Clock;
--- a/testkit/src/fleet/simulation/faults.rs
+++ b/testkit/src/fleet/simulation/faults.rs
@@ -5,9 +5,9 @@
 
 use pipittack_core::api::{EndpointState, Event, ServerId};
 
+use super::super::backends::Effect;
 use super::super::link_faults::{LinkEnd, LinkFault};
 use super::super::plan::{Fault, LinkTarget, Selection};
-use super::super::site::Effect;
 use super::event_queue::SimulationEvent;
 use super::Simulation;
 
--- a/testkit/src/fleet/simulation/mod.rs
+++ b/testkit/src/fleet/simulation/mod.rs
@@ -17,10 +17,10 @@
 
 use rand::Rng;
 
+use super::backends::Effect;
 use super::fleet_model::{FleetModel, FIRST_REQUEST_DELAY_S, START_S};
 use super::plan::Plan;
 use super::report::Report;
-use super::site::Effect;
 use event_queue::{EventQueue, SimulationEvent};
 use pipittack_core::api::{Event, ServerId};
 use process::Process;
--- a/testkit/src/fleet/simulation/servers.rs
+++ b/testkit/src/fleet/simulation/servers.rs
@@ -2,10 +2,10 @@
 
 use pipittack_core::api::{AttemptId, Outcome, ServerStatus};
 
+use super::super::backends::{Completion, IncomingRequest, RequestAdmission};
 use super::super::link_faults::LinkEnd;
 use super::super::rule_checker::ReplicaRead;
 use super::super::server_model::ServerState;
-use super::super::site::{Completion, IncomingRequest, RequestAdmission};
 use super::event_queue::{AttemptResult, Execution, SimulationEvent};
 use super::Simulation;
 
