--- a/core/src/api/settings.rs
+++ b/core/src/api/settings.rs
@@ -78,9 +78,9 @@
     /// Whether two attempts of one request may be in flight at once. Has no effect: the engine sends no
     /// hedged requests.
     pub allow_hedging: bool,
-    /// Whether rejected clients are told when to retry.
+    /// Whether the rejection of a request contains a retry-after hint.
     pub send_retry_after: bool,
-    /// Longest retry-after that clients honour.
+    /// Longest retry-after hint that clients honour.
     pub max_retry_after: Duration,
     /// Time within which a connection must be established; after it the connection attempt has failed.
     pub connect_timeout: Duration,
--- a/core/src/failover/failover_duration.rs
+++ b/core/src/failover/failover_duration.rs
@@ -2,9 +2,10 @@
 //!
 //! Owns a bounded sample of durations for each kind of failover. The probability that a failover ends within
 //! a given time is the share of the longer durations in the sample that end by then. One additional value
-//! represents durations that the sample does not cover. This value follows the Lindy effect: after e seconds,
-//! the probability that the failover ends within the next t seconds is t / (t + e). A failover that has
-//! outlasted the whole sample is therefore expected to last about as long again. Times are seconds.
+//! represents durations that the sample does not cover. For this value, the longer a failover has lasted, the
+//! longer it is assumed to last from now on (the Lindy effect): after e seconds, the probability that the
+//! failover ends within the next t seconds is t / (t + e), but at most 1/2. A failover that has outlasted the
+//! whole sample is therefore expected to last about as long again. Times are seconds.
 
 use crate::api::FailoverKind;
 
@@ -100,8 +101,10 @@
             longer += 1;
             ended_in_time += u32::from(duration <= self.elapsed_secs + within_secs);
         }
-        let lindy_chance = within_secs / (within_secs + self.elapsed_secs.max(within_secs));
-        (f64::from(ended_in_time) + lindy_chance) / (f64::from(longer) + 1.0)
+        // Probability for durations that the sample does not cover: 1/2 if `within_secs` is at least the
+        // elapsed time, and lower otherwise.
+        let uncovered_chance = within_secs / (within_secs + self.elapsed_secs.max(within_secs));
+        (f64::from(ended_in_time) + uncovered_chance) / (f64::from(longer) + 1.0)
     }
 
     /// Returns the time in seconds from now by which `share` of such failovers have ended.
@@ -111,8 +114,8 @@
         let rank = (share.clamp(0.0, 1.0) * longer.len() as f64).ceil() as usize;
         match longer.get(rank.saturating_sub(1)) {
             Some(duration) => duration - self.elapsed_secs,
-            // The failover has outlasted the sample. By the Lindy effect, the median remaining time is the
-            // elapsed time.
+            // The failover has outlasted the sample. The median remaining time is then assumed to be the
+            // elapsed time, and is returned for every `share`.
             None => self.elapsed_secs.max(MIN_REMAINING_SECS),
         }
     }
--- a/core/src/failover/write_buffer.rs
+++ b/core/src/failover/write_buffer.rs
@@ -18,17 +18,17 @@
 const LATE_SHARE: f64 = 0.49;
 /// Lower bound of the retry-after hint, as a share of `max_retry_after`.
 const MIN_RETRY_AFTER_SHARE: f64 = 0.2;
-/// Upper bound of the retry-after hint for a rejected write, as a share of the time left until the write's
-/// deadline.
+/// Upper bound of the delay in [`BufferDecision::Reject`], as a share of the time left until the write's
+/// deadline. [`retry_after_hint`] may raise the delay to its own lower bound.
 const MAX_RETRY_AFTER_SHARE: f64 = 0.15;
 /// Lower bound of the divisor in [`retry_after_hint`], in seconds. Avoids a division by zero if
 /// `max_retry_after` is zero.
 const MIN_RETRY_AFTER_DIVISOR_SECS: f64 = 1e-9;
 
-/// Returns the delay after which a client should retry: the expected time until recovery, but at most
-/// `max_retry_after` and at least a fixed share of it.
-pub fn retry_after_hint(recovery_secs: f64, max_retry_after: Duration) -> Duration {
-    let share = recovery_secs / max_retry_after.as_secs_f64().max(MIN_RETRY_AFTER_DIVISOR_SECS);
+/// Returns the retry-after hint that a client receives: `retry_after_secs`, but at most `max_retry_after` and
+/// at least a fixed share of it. Returns `max_retry_after` if `retry_after_secs` is not finite.
+pub fn retry_after_hint(retry_after_secs: f64, max_retry_after: Duration) -> Duration {
+    let share = retry_after_secs / max_retry_after.as_secs_f64().max(MIN_RETRY_AFTER_DIVISOR_SECS);
     max_retry_after.mul_f64(if share.is_finite() { share.clamp(MIN_RETRY_AFTER_SHARE, 1.0) } else { 1.0 })
 }
 
--- a/core/src/failover/write_buffer/tests.rs
+++ b/core/src/failover/write_buffer/tests.rs
@@ -53,9 +53,9 @@
 }
 
 #[test]
-fn a_retry_after_hint_is_the_expected_recovery_time_within_bounds() {
+fn a_retry_after_hint_lies_between_its_bounds() {
     let ms = Duration::from_millis;
-    let hints = [0.3, 9.0, 0.0, f64::INFINITY].map(|recovery_secs| retry_after_hint(recovery_secs, ms(500)));
+    let hints = [0.3, 9.0, 0.0, f64::INFINITY].map(|secs| retry_after_hint(secs, ms(500)));
     assert_eq!(hints, [ms(300), ms(500), ms(100), ms(500)]);
     assert_eq!(retry_after_hint(1.0, Duration::ZERO), Duration::ZERO);
 }
--- a/core/src/routing/outlier_detection.rs
+++ b/core/src/routing/outlier_detection.rs
@@ -24,10 +24,11 @@
 const USUAL_LOST_SHARE: f64 = 0.03;
 /// Upper bound of the share of lost attempts from which the evidence is computed.
 const MAX_LOST_SHARE: f64 = 0.9;
-/// Share of lost attempts from which on the fault is attributed to the network. A server that responds again
-/// is then not assumed to have restarted.
+/// Share of lost attempts at or above which the fault is attributed to the network. A server that responds
+/// again is then not assumed to have restarted.
 const NETWORK_FAULT_SHARE: f64 = 0.5;
-/// Number of deviations above the mean response time from which on a timeout counts as a lost attempt.
+/// Number of deviations above the mean response time that an attempt must exceed for its timeout to count as
+/// a lost attempt.
 const MIN_LOST_DEVIATIONS: f64 = 3.0;
 /// Shortest time in seconds that a process needs to restart.
 const MIN_RESTART_SECS: f64 = 1.0;
--- a/core/src/routing/tenant_meter.rs
+++ b/core/src/routing/tenant_meter.rs
@@ -12,7 +12,7 @@
 const RATE_WINDOW_SECS: f64 = 2.0;
 /// Error share below which errors never count as the tenant's own.
 const MIN_OWN_ERROR_SHARE: f64 = 0.15;
-/// Multiple of the other tenants' mean error share from which on errors count as the tenant's own.
+/// Multiple of the other tenants' mean error share at or above which errors count as the tenant's own.
 const OWN_ERROR_FACTOR: f64 = 4.0;
 /// Added to the number of other tenants when their error shares are averaged, so that the divisor is never 0.
 const PRIOR_TENANTS: f64 = 0.1;
--- a/core/tests/common/mod.rs
+++ b/core/tests/common/mod.rs
@@ -19,7 +19,7 @@
 /// Reads that any member may serve.
 pub const EVENTUAL_READ: ClassId = ClassId(4);
 
-// Unused aliases of the items above and below.
+// Other names of the classes above and of functions below. No test uses these aliases.
 pub const LOOK: ClassId = BOUNDED_READ;
 pub const OWN: ClassId = SESSION_READ;
 pub const POST: ClassId = KEYED_WRITE;
--- a/src/net/hot_restart/frame.rs
+++ b/src/net/hot_restart/frame.rs
@@ -11,7 +11,8 @@
 
 use super::socket::{read_exactly, receive_with_descriptor, send_with_descriptor, write_all};
 
-// `hot_restart` exports these names as well. The program and the client side import them from this module.
+// Re-exports for the program and the client side, which import all of these items except `HandoverState` from
+// this module. `hot_restart` re-exports the same items.
 pub use super::state::{HandoverState, Hello};
 pub use super::successor::Successor;
 pub use super::takeover::{take_over_listener, Predecessor, PredecessorStatus};
--- a/src/net/hot_restart/handover.rs
+++ b/src/net/hot_restart/handover.rs
@@ -22,6 +22,7 @@
 use super::state::{HandoverState, Hello};
 use super::successor::Successor;
 
+// Re-export for the program, which imports the type from this module. `hot_restart` re-exports it as well.
 pub use super::shared_resources::SharedResources;
 
 /// Time limit for receiving the hello of a successor.
--- a/src/net/server/options.rs
+++ b/src/net/server/options.rs
@@ -17,7 +17,7 @@
     pub max_sockets: usize,
     /// Time within which connecting and the startup exchange must be complete.
     pub connect_timeout: Duration,
-    /// Idle time from which on a connection is not reused; zero for no limit.
+    /// Idle time at or above which a connection is not reused; zero for no limit.
     pub max_idle_time: Duration,
     /// Whether health checks return load reports.
     pub health_checks_return_load_reports: bool,
--- a/src/net/server/reuse_statistics.rs
+++ b/src/net/server/reuse_statistics.rs
@@ -37,8 +37,8 @@
         share.record(now, f64::from(u8::from(broke)), &BREAK_SHARE);
     }
 
-    /// Returns the idle time from which on connections break too often to be reused; `None` for no limit.
-    /// `now` is in seconds.
+    /// Returns the idle time at or above which connections are not reused, because they break too often;
+    /// `None` for no limit. `now` is in seconds.
     pub fn max_idle_time(&self, now: f64) -> Option<Duration> {
         let fresh_share = self.fresh.estimate(now, 0.0, &BREAK_SHARE);
         let max_share = MAX_BREAK_FACTOR * fresh_share + MAX_BREAK_SHARE;
